--- a/crates/valvestage-policy/src/steering/peers.rs
+++ b/crates/valvestage-policy/src/steering/peers.rs
@@ -1,20 +1,20 @@
-//! Other balancers: who they are, what is asked of them, and what they are told.
+//! Communication with the other balancers.
 //!
 //! | module | contents |
 //! |---|---|
 //! | [`peer_message`] | the messages |
-//! | [`peer_table`] | the other balancers that are known |
-//! | [`peer_exchange`] | asking and answering, so much at a time |
-//! | `awaited_answer` | an answer that is under way |
+//! | [`peer_table`] | the known balancers |
+//! | [`peer_exchange`] | pulling missing knowledge and answering pulls, at a limited rate |
+//! | `awaited_answer` | an answer in progress |
 //! | [`zone_members`] | the balancers of one availability zone |
-//! | `answer_queue` | when others are answered |
+//! | `answer_queue` | pulls of others that wait for their answers |
 //! | [`route_chunk`] | some of the routes of a configuration |
 //! | [`route_catalogue`] | a configuration in chunks |
-//! | `route_transfer` | fetching a newer one |
-//! | [`backend_parts`] | backend servers in datagrams, and back |
-//! | `backend_walk` | reading what another balancer knows of them |
-//! | [`part_assembly`] | putting together what comes in several datagrams |
-//! | `name_list` | names that stand once in a datagram |
+//! | `route_transfer` | fetching a newer configuration |
+//! | [`backend_parts`] | encoding of backend servers in datagrams |
+//! | `backend_walk` | reading the backend servers that a peer knows, window by window |
+//! | [`part_assembly`] | reassembly of values that are split over several datagrams |
+//! | `name_list` | names that are listed once in a datagram |
 
 pub(in crate::steering) mod answer_queue;
 pub(in crate::steering) mod awaited_answer;
--- a/crates/valvestage-policy/src/steering/peers/answer_queue.rs
+++ b/crates/valvestage-policy/src/steering/peers/answer_queue.rs
@@ -1,7 +1,8 @@
-//! When other balancers are answered.
+//! The pulls of other balancers that wait for their answers.
 //!
-//! Many may ask at the same moment. Each has its turn as the link can take it: datagrams that are sent faster wait in
-//! queues on the way, which lose what does not fit, packets of callers with it.
+//! Many balancers may ask at the same moment. They are answered in turn at the pace of the link:
+//! datagrams that are sent faster wait in queues on the way, and queues that overflow lose answers
+//! as well as packets of callers.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddrV4;
@@ -9,35 +10,38 @@
 
 use super::peer_message::{BackendsPull, ChunksPull, RoutesPull, WalkScope};
 
-/// The part of its link that a balancer gives to answers at most: callers' packets take the same link.
+/// Maximum share of its link that a balancer uses for answers, since callers' packets take the same
+/// link.
 const LINK_SHARE: f64 = 0.66;
 
-/// Datagrams that are sent at once at most, but for the rest of an answer that has begun: with it 36, or 50 KB. Queues
-/// were seen to lose what is beyond 64 KB.
+/// Maximum number of datagrams that are sent at once, not counting the rest of an answer that has
+/// begun: with it there are up to 36, or 50 KB. Queues have been observed to lose what exceeds 64
+/// KB.
 const BURST_DATAGRAMS: u32 = 20;
 
 /// Bytes of a full datagram.
 const FULL_BYTES: u32 = 1_400;
 
-/// A question that has waited for so long is not answered any more: the one that asked asks again after 150 ms.
+/// A pull that has waited longer than this is dropped: the balancer that sent it asks again after
+/// 150 ms.
 const WAIT_FOR: Duration = Duration::from_millis(120);
 
-/// Questions that wait at most.
+/// Maximum number of waiting pulls.
 const MAX_WAITING: usize = 64;
 
-/// `PeerQuestion` is what another balancer asks for.
+/// What another balancer asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(in crate::steering) enum PeerQuestion {
-    /// What a newer configuration consists of.
+    /// The index of a newer configuration.
     Routes(RoutesPull),
-    /// Some of it.
+    /// Some chunks of a configuration.
     Chunks(ChunksPull),
     /// Changes of backend servers.
     Backends(BackendsPull),
 }
 
 impl PeerQuestion {
-    /// Whether a whole window of datagrams answers it, and more are asked for then.
+    /// Reports whether the answer is a whole window of datagrams, after which more are asked for.
     fn is_large(&self) -> bool {
         match self {
             Self::Chunks(_) => true,
@@ -46,13 +50,14 @@
         }
     }
 
-    /// Whether both are about the same kind of knowledge: one that asks again needs one answer.
+    /// Reports whether both ask for the same kind of knowledge: of two such pulls of one balancer
+    /// only the later one is answered.
     fn is_like(&self, other: &Self) -> bool {
         matches!(self, Self::Backends(_)) == matches!(other, Self::Backends(_))
     }
 }
 
-/// A question that waits for its turn.
+/// A pull that waits for its turn.
 #[derive(Debug)]
 struct WaitingQuestion {
     peer: SocketAddrV4,
@@ -60,21 +65,22 @@
     until: Instant,
 }
 
-/// `AnswerQueue` holds the questions of other balancers until their turn.
+/// Queue of the pulls of other balancers, which limits the rate of answers.
 #[derive(Debug)]
 pub(in crate::steering) struct AnswerQueue {
-    /// Time that the link takes for one full datagram, where it is not for answers alone.
+    /// Time for one full datagram at the share of the link that answers may use.
     datagram_time: Duration,
-    /// In the order in which they came; one a peer and kind.
+    /// Waiting pulls in the order of their arrival, at most one per peer and kind of knowledge.
     waiting: VecDeque<WaitingQuestion>,
-    /// Balancers that were sent chunks a moment ago, until when they are likely to ask for the next ones.
+    /// Balancers that were recently sent a whole window, and until when they are likely to ask for
+    /// the next one.
     under_way: HashMap<SocketAddrV4, Instant>,
-    /// When the link has sent all answers so far.
+    /// When the link will have sent all answers so far.
     busy_until: Option<Instant>,
 }
 
 impl AnswerQueue {
-    /// `new` answers over a link of so many megabits a second.
+    /// Creates a queue for a link of `link_mbps` megabits per second.
     pub(in crate::steering) fn new(link_mbps: f64) -> Self {
         const BITS: f64 = 8.0;
         let megabits = f64::from(FULL_BYTES) * BITS / 1e6;
@@ -87,7 +93,7 @@
         }
     }
 
-    /// `push` takes a question in.
+    /// Adds a pull, or replaces a waiting one of the same peer and kind of knowledge.
     pub(in crate::steering) fn push(
         &mut self,
         peer: SocketAddrV4,
@@ -108,10 +114,11 @@
         }
     }
 
-    /// `pop` gives the next question to answer; none while the link is busy.
+    /// Returns the next pull to answer; `None` while the link is busy or none waits.
     ///
-    /// One that has some chunks already goes before one that has none: it is done sooner, and can tell others. If all had the same
-    /// turns, all would be done at the same late moment.
+    /// A balancer that has received some of an answer goes before one that has received none: it
+    /// completes sooner and can then answer others. If all balancers took turns, all would complete
+    /// at the same late moment.
     pub(in crate::steering) fn pop(
         &mut self,
         now: Instant,
@@ -132,7 +139,7 @@
         Some((peer, question))
     }
 
-    /// `spend` takes in that an answer of so many bytes is sent.
+    /// Records that an answer of `bytes` bytes is sent.
     pub(in crate::steering) fn spend(&mut self, bytes: usize, now: Instant) {
         let begins_at = self.busy_until.map_or(now, |until| until.max(now));
         let bytes = u32::try_from(bytes).unwrap_or(u32::MAX);
@@ -140,7 +147,7 @@
         self.busy_until = Some(begins_at + self.datagram_time.saturating_mul(bytes) / FULL_BYTES);
     }
 
-    /// `next_due` gives when the next question has its turn; none if none waits.
+    /// Returns when the next pull has its turn; `None` if none waits.
     pub(in crate::steering) fn next_due(&self) -> Option<Instant> {
         let burst_time = self.burst_time();
         let busy_until = self.busy_until.filter(|_| !self.waiting.is_empty())?;
@@ -151,7 +158,8 @@
         Some(busy_until.checked_sub(burst_time).unwrap_or(busy_until))
     }
 
-    /// Whether a question is small, or goes on with what its balancer has begun to fetch. Others wait until the link is idle.
+    /// Reports whether a pull is small, or continues an answer that its balancer has begun to
+    /// fetch. Other pulls wait until the link is idle.
     fn goes_on(&self, waiting: &WaitingQuestion) -> bool {
         !waiting.question.is_large() || self.under_way.contains_key(&waiting.peer)
     }
--- a/crates/valvestage-policy/src/steering/peers/awaited_answer.rs
+++ b/crates/valvestage-policy/src/steering/peers/awaited_answer.rs
@@ -1,4 +1,4 @@
-//! An answer of another balancer that is under way.
+//! An answer of another balancer that is in progress.
 
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
@@ -6,19 +6,20 @@
 use crate::steering::decision::IncompleteAnswer;
 use crate::steering::store::store_follower::StoreKind;
 
-/// An answer of which nothing came for this time is not waited for any longer. The queue of a link of 10 Mbit/s
-/// holds 50 ms; the rest is for a slow VM at either end.
+/// An answer is given up when nothing of it has arrived for this time. The queue of a link of 10
+/// Mbit/s holds 50 ms; the rest allows for a slow VM at either end.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// One that answered nothing so many times in a row is not asked again by itself: it may be gone, or have too
-/// much to answer. The next heartbeat that knows more says whom to ask.
+/// A balancer that has not answered so many pulls in a row is not asked again by a retry: it may be
+/// gone, or have too much to answer. The next heartbeat that announces more knowledge determines
+/// whom to ask.
 const FRUITLESS_TRIES: u32 = 3;
 
-/// `AwaitedAnswer` is what was asked of one balancer, and what has come of it.
+/// A pull that was sent to one balancer, and what has arrived of the answer.
 #[derive(Debug, Clone)]
 pub(in crate::steering) struct AwaitedAnswer {
     peer: SocketAddrV4,
-    /// Datagrams that are expected; 0: not known before the first one comes.
+    /// Number of expected datagrams; 0 if it is not known before the first one arrives.
     expected: usize,
     came: usize,
     began: Instant,
@@ -27,7 +28,8 @@
 }
 
 impl AwaitedAnswer {
-    /// `new` begins to wait for datagrams of a balancer; `former` is what was awaited before.
+    /// Starts to wait for the datagrams of a balancer. `former` is the answer that was awaited
+    /// before.
     pub(in crate::steering) fn new(
         peer: SocketAddrV4,
         expected: usize,
@@ -40,42 +42,43 @@
         Self { peer, expected, came: 0, began: now, waits_until: now + ANSWER_TIMEOUT, fruitless }
     }
 
-    /// `peer` gives the balancer that was asked.
+    /// Returns the balancer that was asked.
     pub(in crate::steering) fn peer(&self) -> SocketAddrV4 {
         self.peer
     }
 
-    /// `is_pending` tells whether another balancer is not to be asked instead. One that has not answered once gives way to
-    /// the next that knows as much: where one that hears nobody was asked at each of its heartbeats, a configuration came
-    /// 3 s late.
+    /// Reports whether the answer is still to be awaited, rather than `other` asked. A balancer
+    /// that has left one pull unanswered gives way to the next one that knows as much: if a
+    /// balancer that receives nothing were asked again at each of its heartbeats, a configuration
+    /// would arrive 3 s late.
     pub(in crate::steering) fn is_pending(&self, other: SocketAddrV4, now: Instant) -> bool {
         let gives_way = self.fruitless > 0 && self.peer != other;
 
         !self.is_over(now) && !gives_way
     }
 
-    /// `is_over` tells whether nothing more is to be expected of it.
+    /// Reports whether the answer has timed out.
     pub(in crate::steering) fn is_over(&self, now: Instant) -> bool {
         self.waits_until <= now
     }
 
-    /// `may_ask_again` tells whether the same balancer is worth another try.
+    /// Reports whether a further pull to the same balancer is worthwhile.
     pub(in crate::steering) fn may_ask_again(&self) -> bool {
         self.came > 0 || self.fruitless < FRUITLESS_TRIES
     }
 
-    /// `on_part` takes in that a datagram came which had something new.
+    /// Records the arrival of a datagram that brought something new.
     pub(in crate::steering) fn on_part(&mut self, now: Instant) {
         self.came += 1;
         self.waits_until = now + ANSWER_TIMEOUT;
     }
 
-    /// `is_whole` tells whether all that was asked for came.
+    /// Reports whether everything that was asked for has arrived.
     pub(in crate::steering) fn is_whole(&self) -> bool {
         self.expected > 0 && self.came >= self.expected
     }
 
-    /// `incomplete` gives what came, for the log.
+    /// Returns what has arrived so far, for the log.
     pub(in crate::steering) fn incomplete(
         &self,
         kind: StoreKind,
--- a/crates/valvestage-policy/src/steering/peers/backend_parts.rs
+++ b/crates/valvestage-policy/src/steering/peers/backend_parts.rs
@@ -1,4 +1,4 @@
-//! Backend servers in datagrams, and back.
+//! Encoding of backend servers in datagrams.
 
 use std::time::{Duration, Instant};
 
@@ -14,18 +14,19 @@
 use crate::steering::knowledge::backend_entry::{BackendEnd, BackendEntry, BackendPhase};
 use crate::steering::store::watch_role::millis_since;
 
-/// Bytes of one change of a backend server, as the codec writes it: a name of up to 5 and 9 bytes, a birth of 4, a position of 11, an
-/// address of 7, and some small ones.
+/// Bytes of one change of a backend server in the codec's encoding: a name of up to 5 and 9 bytes,
+/// a birth of 4, a position of 11, an address of 7, and some small fields.
 const CHANGE_BYTES: usize = 45;
 
-/// Changes in one datagram. The names of a part have room in what is left of it.
+/// Number of changes in one datagram. The names of a part fit into the rest of it.
 const CHANGES_EACH: usize = (MAX_MESSAGE_BYTES - 40) / CHANGE_BYTES;
 
-/// Changes in one answer.
+/// Number of changes in one answer.
 const CHANGES_AT_ONCE: usize = CHANGES_EACH * ANSWER_WINDOW;
 
-/// Returns the next changes that another balancer does not know, in the order of their
-/// revisions; or the first of all that there is, where not all changes after its revision are remembered.
+/// Returns the next changes that another balancer does not know, in the order of their positions.
+/// If not all changes after its position are remembered, returns the first of all backend servers
+/// instead.
 #[must_use]
 pub fn backends_messages(
     directory: &BackendDirectory,
@@ -43,7 +44,8 @@
         parts.push(&[]);
     }
     let count = u16::try_from(parts.len()).unwrap_or(u16::MAX);
-    // Each part goes up to the next one. Several entries may have the same revision.
+    // Each part ends before the first position of the next one, since several entries may have the
+    // same position.
     let ends = parts.iter().skip(1).map(|part| part.first().map(|entry| entry.position.before()));
     let ends: Vec<_> = ends.chain([next_position.map(StorePosition::before)]).collect();
 
@@ -66,7 +68,7 @@
     messages
 }
 
-/// Returns the backend servers of some tokens, the gone ones among them; none if no token is known.
+/// Returns the backend servers of some tokens, including gone ones; `None` if no token is known.
 #[must_use]
 pub fn wanted_message(
     directory: &BackendDirectory,
@@ -91,7 +93,8 @@
     })
 }
 
-/// The entries after a revision, as many as go into one answer, and the revision of the one that follows them.
+/// Returns the entries after a position, as many as go into one answer, and the position of the
+/// entry that follows them.
 fn next_changes(
     directory: &BackendDirectory,
     after: StorePosition,
@@ -133,7 +136,7 @@
     }
 }
 
-/// Returns the entries that a peer told of; those whose names are missing are left out.
+/// Returns the entries that a peer reported, without those whose names are missing.
 #[must_use]
 pub fn entries_of(part: BackendsPart, now: Instant) -> Vec<BackendEntry> {
     let BackendsPart { names, changes, .. } = part;
--- a/crates/valvestage-policy/src/steering/peers/backend_walk.rs
+++ b/crates/valvestage-policy/src/steering/peers/backend_walk.rs
@@ -1,7 +1,7 @@
-//! Reading what another balancer knows of backend servers, some of it at a time.
+//! Reads the backend servers that another balancer knows, window by window.
 //!
-//! Changes come in the order of their revisions, so what has come need not come again: the next answer goes on
-//! from there. Only at the end of the walk is everything known up to a revision.
+//! Changes arrive in the order of their revisions, so what has arrived is not sent again: the next
+//! answer continues from there. Only at the end of the walk is everything known up to a position.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, HashSet};
@@ -19,43 +19,47 @@
 use crate::steering::knowledge::backend_entry::BackendEntry;
 use crate::steering::store::store_follower::StoreKind;
 
-/// A walk that has taken so long begins anew: what was told at its beginning may have gone, and be forgotten, 60 s
-/// later. The longest that was seen took under 1 s.
+/// A walk that has taken longer than this is restarted: backend servers that were reported at its
+/// beginning may have gone meanwhile, and peers forget those 60 s later. The longest walk that was
+/// observed took less than 1 s.
 const WALK_LIFE: Duration = Duration::from_secs(10);
 
-/// A walk that came further within this time goes on: an answer that does not come is asked for twice meanwhile.
+/// A walk that has advanced within this time counts as progressing. An answer that does not arrive
+/// is asked for twice meanwhile.
 const PROGRESS_LIFE: Duration = Duration::from_millis(400);
 
-/// Time between two comparisons with others that believe in other backend servers: each tells all that there are.
+/// Time between two comparisons with peers that have a different set of living backend servers,
+/// since each comparison transfers all backend servers.
 const COMPARE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// `WalkNews` is what a part brought.
+/// What a part of an answer brought.
 #[derive(Debug, Default)]
 pub(in crate::steering) struct WalkNews {
-    /// Backend servers of which something else is believed now.
+    /// Backend servers whose known state has changed.
     pub changed: Vec<InstanceId>,
-    /// The balancer to ask for what follows.
+    /// The balancer to pull the next window from, and the pull.
     pub ask: Option<(SocketAddrV4, PeerMessage)>,
-    /// Whether everything that the peer knows is here.
+    /// Whether everything that the peer knows has arrived.
     pub is_end: bool,
 }
 
-/// A part that is here.
+/// A part that has arrived.
 #[derive(Debug)]
 struct PartSpan {
-    /// With it, everything up to this revision has come; none: with it, everything.
+    /// With this part, everything up to this position has arrived; `None` if it is the last part.
     told_until: Option<StorePosition>,
-    /// Up to which revision its sender knows every change.
+    /// Its sender knows every change up to this position.
     complete_until: StorePosition,
     told: ToldBackends,
 }
 
-/// `ToldBackends` are the backend servers that a peer told of.
+/// The backend servers that a peer reported.
 #[derive(Debug, Default)]
 struct ToldBackends {
-    /// Those that it believes in.
+    /// Those that it counts as living.
     living: HashSet<InstanceId>,
-    /// Those whose entries are gone. It may tell of such an end at the position that the entry had while it was there.
+    /// Those whose entries are gone. The peer may report such an end at the position that the entry
+    /// had while it existed.
     gone: HashSet<InstanceId>,
 }
 
@@ -76,18 +80,18 @@
     }
 }
 
-/// `BackendWalk` reads what other balancers know of backend servers.
+/// Reads the backend servers that other balancers know.
 #[derive(Debug, Default)]
 pub(in crate::steering) struct BackendWalk {
-    /// Whether a peer has told all that it remembers: the store does not tell which backend servers
-    /// are gone, and their flows still come.
+    /// Whether a peer has reported everything that it remembers. The store does not report which
+    /// backend servers are gone, and packets of their flows still arrive.
     has_history: bool,
-    /// The walk under way; none between two.
+    /// The walk in progress.
     walk: Option<Walk>,
     awaited: Option<AwaitedAnswer>,
-    /// When a walk last came further.
+    /// When a walk last advanced.
     advanced_at: Option<Instant>,
-    /// When to ask for everything again at the earliest, to compare.
+    /// Earliest time to ask for everything again, to compare.
     compares_from: Option<Instant>,
 }
 
@@ -96,17 +100,18 @@
 struct Walk {
     peer: SocketAddrV4,
     scope: WalkScope,
-    /// Everything up to this revision has come. Where the walk began, if nothing has.
+    /// Everything up to this position has arrived; initially the position at which the walk began.
     cursor: StorePosition,
-    /// Where the answer under way begins: one that brings the cursor no further is not followed by another.
+    /// Where the answer in progress begins. If it does not advance the cursor, no further pull
+    /// follows it.
     asked_from: StorePosition,
-    /// The part of it that counts for every balancer: the peer knows every change up to here.
+    /// The cursor as far as the peer knows every change, which is valid for other peers too.
     certain_until: StorePosition,
-    /// The backend servers that were told of.
+    /// The backend servers that were reported.
     told: ToldBackends,
-    /// Parts that came before those in front of them, by the revision that they begin after.
+    /// Parts that arrived before their predecessors, by the position after which they begin.
     early: BTreeMap<StorePosition, PartSpan>,
-    /// Until when to go on from where it is.
+    /// When the walk expires.
     lasts_until: Instant,
 }
 
@@ -124,7 +129,8 @@
         }
     }
 
-    /// Goes on with another balancer, which may not know what the former one knew beyond its completeness.
+    /// Continues with a balancer, which may be another one and then may not know what the former
+    /// one knew beyond the position up to which it knew everything.
     fn move_to(&mut self, peer: SocketAddrV4) {
         if self.peer != peer {
             self.peer = peer;
@@ -133,7 +139,7 @@
         }
     }
 
-    /// Takes a part in; gives up to which revision everything is known if it was the last one.
+    /// Adds a part. Returns the position up to which everything is known if all parts have arrived.
     fn take(&mut self, after: StorePosition, span: PartSpan) -> Option<StorePosition> {
         self.early.insert(after, span);
 
@@ -152,19 +158,19 @@
 }
 
 impl BackendWalk {
-    /// `has_history` tells whether a peer has told all that it remembers.
+    /// Reports whether a peer has reported everything that it remembers.
     pub(in crate::steering) fn has_history(&self) -> bool {
         self.has_history
     }
 
-    /// Returns whether a walk is under way and came further a moment ago.
+    /// Reports whether a walk is in progress and has advanced recently.
     pub(in crate::steering) fn is_progressing(&self, now: Instant) -> bool {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < PROGRESS_LIFE;
 
         self.walk.is_some() && self.advanced_at.is_some_and(is_recent)
     }
 
-    /// `pull` asks a balancer that knows more; none while another answer is under way.
+    /// Returns the pull for a balancer that knows more; `None` while another answer is in progress.
     pub(in crate::steering) fn pull(
         &mut self,
         knowledge: &Knowledge,
@@ -189,8 +195,9 @@
         Some(self.ask(peer, now))
     }
 
-    /// Whether to ask for everything because an entry is missing whose time to return is over. Changes after what is completely known
-    /// do not tell that it went before, and it keeps this balancer from being complete.
+    /// Reports whether to ask for everything because an entry is missing whose time to return is
+    /// over. Changes after the position up to which everything is known do not show that it went
+    /// before, and it keeps this balancer's knowledge from being complete.
     fn asks_for_overdue(&mut self, knowledge: &Knowledge, now: Instant) -> bool {
         let is_due = self.compares_from.is_none_or(|from| from <= now);
         if !is_due || !knowledge.directory.has_overdue(now) {
@@ -201,7 +208,8 @@
         true
     }
 
-    /// `compare` asks a balancer for everything; none while another answer is under way, or soon after the last time.
+    /// Returns the pull of everything for a balancer; `None` while another answer is in progress,
+    /// or soon after the last comparison.
     pub(in crate::steering) fn compare(
         &mut self,
         peer: SocketAddrV4,
@@ -217,7 +225,8 @@
         Some(self.ask(peer, now))
     }
 
-    /// `retry` asks once more for what did not come; with what is known of the answer that was given up.
+    /// Gives up an answer that has timed out. Returns what arrived of it, for the log, and the pull
+    /// for the rest; `None` if no answer has timed out.
     pub(in crate::steering) fn retry(
         &mut self,
         knowledge: &Knowledge,
@@ -235,8 +244,8 @@
         Some((incomplete, ask.map(|message| (peer, message))))
     }
 
-    /// `on_part` takes a part in. At the end of a walk through everything, those that the peer does not
-    /// know are gone, or missing until the time given.
+    /// Processes a part. At the end of a walk of everything, backend servers that the peer does not
+    /// know are gone, or missing until `missing_until` if that is given.
     pub(in crate::steering) fn on_part(
         &mut self,
         knowledge: &mut Knowledge,
@@ -281,7 +290,7 @@
         news
     }
 
-    /// The walk that a part belongs to, if any.
+    /// Returns the walk that a part belongs to, if any.
     fn walk_of(
         &mut self,
         sender: SocketAddrV4,
@@ -312,7 +321,8 @@
         PeerMessage::BackendsPull(BackendsPull { after, scope })
     }
 
-    /// Takes in that all is known up to a revision; gives the backend servers that are gone with it.
+    /// Completes the walk: all is known up to a position. Returns the backend servers that are
+    /// shown to be gone.
     fn end(
         &mut self,
         knowledge: &mut Knowledge,
--- a/crates/valvestage-policy/src/steering/peers/name_list.rs
+++ b/crates/valvestage-policy/src/steering/peers/name_list.rs
@@ -1,9 +1,9 @@
-//! Names that stand once in a datagram, and are meant by their places.
+//! Lists of names in a datagram, each of which is listed once and referred to by its index.
 
-/// `NamePlace` is the place of a name in such a list.
+/// Index of a name in such a list.
 pub type NamePlace = u16;
 
-/// `place_of` gives the place of a name in a list; it is added if it is new.
+/// Returns the index of a name in a list, to which it is added if it is new.
 pub(in crate::steering) fn place_of(names: &mut Vec<String>, name: &str) -> NamePlace {
     let known = names.iter().position(|known| known == name);
     let place = known.unwrap_or_else(|| {
--- a/crates/valvestage-policy/src/steering/peers/part_assembly.rs
+++ b/crates/valvestage-policy/src/steering/peers/part_assembly.rs
@@ -1,10 +1,10 @@
-//! Putting together what comes in several datagrams.
+//! Reassembly of values that are split over several datagrams.
 
 use std::net::SocketAddrV4;
 
 use super::peer_message::MessagePart;
 
-/// `PartAssembly` collects the parts that one peer sends about one version or revision.
+/// Collects the parts that one peer sends of one version or revision.
 #[derive(Debug)]
 pub struct PartAssembly<T> {
     sender: SocketAddrV4,
@@ -13,8 +13,8 @@
 }
 
 impl<T> PartAssembly<T> {
-    /// `add` adds a part, to a new assembly where it does not belong to the present one; gives all
-    /// parts when none is missing.
+    /// Adds a part to `assembly`, which is replaced by a new one if the part does not belong to it.
+    /// Returns all parts when none is missing.
     pub fn add(
         assembly: &mut Option<Self>,
         sender: SocketAddrV4,
--- a/crates/valvestage-policy/src/steering/peers/peer_exchange.rs
+++ b/crates/valvestage-policy/src/steering/peers/peer_exchange.rs
@@ -1,7 +1,7 @@
-//! Asking other balancers for what they know more, and telling them what they know less.
+//! Pulls missing knowledge from other balancers, and answers their pulls.
 //!
-//! The one that asks sets the pace, a window of datagrams at a time, and keeps what has come: an answer that is too
-//! much for a link at once would lose the same end each time it is sent.
+//! The balancer that pulls sets the pace, one window of datagrams at a time, and keeps what has
+//! arrived: an answer too large for a link would lose its end each time if it were sent at once.
 
 use std::net::SocketAddrV4;
 use std::time::Instant;
@@ -19,28 +19,28 @@
 use crate::steering::decision::IncompleteAnswer;
 use crate::steering::knowledge::Knowledge;
 
-/// `ExchangeStep` is what a datagram of another balancer leads to.
+/// What to do after a datagram of another balancer.
 #[derive(Debug, Default)]
 pub struct ExchangeStep {
-    /// The balancer to ask for what follows.
+    /// The balancer to pull the next window from, and the pull.
     pub ask: Option<(SocketAddrV4, PeerMessage)>,
-    /// Whether a newer configuration is whole; [`PeerExchange::catalogue`] has it.
+    /// Whether a newer configuration is complete; [`PeerExchange::catalogue`] returns it.
     pub has_routes: bool,
 }
 
-/// `OverdueAnswer` is an answer that did not come whole in time.
+/// An answer that did not arrive completely in time.
 #[derive(Debug)]
 pub struct OverdueAnswer {
-    /// What came of it.
+    /// What arrived of it, for the log.
     pub incomplete: IncompleteAnswer,
-    /// Whom to ask for the rest.
+    /// The balancer to pull the rest from, and the pull; `None` if it is not asked again.
     pub ask: Option<(SocketAddrV4, PeerMessage)>,
 }
 
-/// `PeerExchange` asks one balancer at a time for each kind of knowledge, and answers others.
+/// Pulls each kind of knowledge from one balancer at a time, and answers the pulls of others.
 #[derive(Debug)]
 pub struct PeerExchange {
-    /// The configuration in force, cut for others; at times one behind it.
+    /// The configuration in force, in chunks. It may be one version behind until it is renewed.
     catalogue: RouteCatalogue,
     routes: RouteTransfer,
     backends: BackendWalk,
@@ -48,7 +48,8 @@
 }
 
 impl PeerExchange {
-    /// `new` knows nothing, and answers over a link of so many megabits a second.
+    /// Creates an exchange that knows nothing and sends answers over a link of `link_mbps` megabits
+    /// per second.
     #[must_use]
     pub fn new(link_mbps: f64) -> Self {
         Self {
@@ -59,23 +60,25 @@
         }
     }
 
-    /// Returns whether parts of an answer about backend servers came a moment ago.
+    /// Reports whether parts of an answer about backend servers have arrived recently.
     #[must_use]
     pub fn is_being_told(&self, now: Instant) -> bool {
         self.backends.is_progressing(now)
     }
 
-    /// `knows_newer_routes` tells whether the sender of a heartbeat has a newer configuration.
+    /// Reports whether the sender of a heartbeat has a newer configuration.
     #[must_use]
     pub fn knows_newer_routes(&self, knowledge: &Knowledge, heartbeat: &PeerHeartbeat) -> bool {
         heartbeat.version > knowledge.routes.version
     }
 
-    /// `knows_more_backends` tells whether it knows something of backend servers that is not known here.
+    /// Reports whether the sender of a heartbeat knows something about backend servers that is not
+    /// known here.
     #[must_use]
     pub fn knows_more_backends(&self, knowledge: &Knowledge, heartbeat: &PeerHeartbeat) -> bool {
         let directory = &knowledge.directory;
-        // While entries are missing that may return, changes are known beyond what is complete.
+        // While entries are missing that may return, changes are known beyond the position up to
+        // which everything is known.
         let has_changes = heartbeat.changed_at > directory.complete_until()
             && (heartbeat.complete_until > directory.complete_until()
                 || heartbeat.changed_at > directory.changed_at());
@@ -83,7 +86,8 @@
         has_changes || !self.backends.has_history() && !heartbeat.complete_until.is_start()
     }
 
-    /// `pulls` gives the questions for the sender of a heartbeat; none while their answers are awaited.
+    /// Returns the pulls to send to the sender of a heartbeat. A pull is left out while an answer
+    /// of its kind is awaited.
     pub fn pulls(
         &mut self,
         knowledge: &Knowledge,
@@ -102,11 +106,14 @@
         pulls
     }
 
-    /// `compare` gives the question for the sender of a heartbeat that knows all changes which are known here, and yet believes in
-    /// other backend servers; none if that is not so, or was asked a moment ago.
+    /// Returns the pull to send to the sender of a heartbeat that knows the same changes as this
+    /// balancer but has a different set of living backend servers. `None` if that is not the case,
+    /// while an answer is awaited, or soon after the last comparison.
     ///
-    /// Ends that balancers conclude by themselves have the revision that was read last, and two of them may conclude different
-    /// ends at one revision. Whoever had read up to it asked neither, and believed for good in what was gone.
+    /// When balancers conclude by themselves that a backend server is gone, its end gets the
+    /// revision that was read last, so two balancers may conclude different ends at one revision. A
+    /// balancer that has read up to that revision would pull neither and would keep the gone
+    /// backend servers for good.
     pub fn compare(
         &mut self,
         knowledge: &Knowledge,
@@ -115,7 +122,7 @@
         now: Instant,
     ) -> Option<PeerMessage> {
         let directory = &knowledge.directory;
-        // Those that are missing may return, until their time is over.
+        // Missing entries may return until their time is over.
         let awaits_missing = directory.has_missing() && !directory.has_overdue(now);
         let knows_the_same = directory.is_complete()
             && !awaits_missing
@@ -127,7 +134,7 @@
         self.backends.compare(peer, now)
     }
 
-    /// `overdue` gives the answers that did not come whole in time.
+    /// Returns the answers that did not arrive completely in time.
     pub fn overdue(&mut self, knowledge: &Knowledge, now: Instant) -> Vec<OverdueAnswer> {
         if self.routes.is_waiting() {
             self.renew_catalogue(knowledge);
@@ -139,13 +146,13 @@
         overdue.map(|(incomplete, ask)| OverdueAnswer { incomplete, ask }).collect()
     }
 
-    /// `catalogue` gives the configuration that came whole last.
+    /// Returns the latest complete configuration.
     #[must_use]
     pub fn catalogue(&self) -> &RouteCatalogue {
         &self.catalogue
     }
 
-    /// `on_index` takes in what a newer configuration consists of.
+    /// Processes a part of the index of a newer configuration.
     pub fn on_index(
         &mut self,
         knowledge: &Knowledge,
@@ -159,7 +166,7 @@
         self.take_step(step)
     }
 
-    /// `on_chunk` takes some of a configuration in.
+    /// Processes a chunk of a configuration.
     pub fn on_chunk(
         &mut self,
         knowledge: &Knowledge,
@@ -187,7 +194,7 @@
         }
     }
 
-    /// `on_backends_part` takes some backend servers in.
+    /// Processes some backend servers that a peer sent.
     pub(in crate::steering) fn on_backends_part(
         &mut self,
         knowledge: &mut Knowledge,
@@ -199,7 +206,7 @@
         self.backends.on_part(knowledge, sender, part, missing_until, now)
     }
 
-    /// `on_question` takes in what another balancer asks for.
+    /// Queues the pull of another balancer.
     pub(in crate::steering) fn on_question(
         &mut self,
         peer: SocketAddrV4,
@@ -209,7 +216,8 @@
         self.queue.push(peer, question, now);
     }
 
-    /// `next_answer` gives the next balancer to answer, and the answer; none while the link is busy.
+    /// Returns the next balancer to answer, and the answer; `None` while the link is busy or nobody
+    /// waits.
     pub fn next_answer(
         &mut self,
         knowledge: &Knowledge,
@@ -226,13 +234,13 @@
         Some((peer, messages))
     }
 
-    /// `next_due` gives when there is something to answer; none if nobody waits.
+    /// Returns when the next answer may be sent; `None` if nobody waits.
     #[must_use]
     pub fn next_due(&self) -> Option<Instant> {
         self.queue.next_due()
     }
 
-    /// What the configuration consists of, where that is news.
+    /// Returns the index of the configuration if it is newer than that of the sender of the pull.
     fn answer_routes(&mut self, knowledge: &Knowledge, pull: RoutesPull) -> Vec<PeerMessage> {
         if knowledge.routes.version <= pull.version {
             return Vec::new();
@@ -242,7 +250,7 @@
         self.catalogue.index_messages()
     }
 
-    /// Some of the configuration.
+    /// Returns the chunks that were asked for, one window at most.
     fn answer_chunks(&mut self, knowledge: &Knowledge, pull: &ChunksPull) -> Vec<PeerMessage> {
         self.renew_catalogue(knowledge);
 
@@ -250,7 +258,7 @@
         self.catalogue.chunk_messages(&pull.digests[..count])
     }
 
-    /// Cuts the configuration in force, where another one has come from the store.
+    /// Splits the configuration in force into chunks if the store has brought another one.
     fn renew_catalogue(&mut self, knowledge: &Knowledge) {
         let routes = &knowledge.routes;
 
@@ -261,7 +269,8 @@
     }
 }
 
-/// Some of the backend servers, where there is something to tell.
+/// Returns some of the backend servers if everything is known here and there is something to
+/// report.
 fn answer_backends(knowledge: &Knowledge, pull: BackendsPull, now: Instant) -> Vec<PeerMessage> {
     let directory = &knowledge.directory;
     let is_asked = pull.scope == WalkScope::Everything || directory.changed_at() > pull.after;
--- a/crates/valvestage-policy/src/steering/peers/peer_message.rs
+++ b/crates/valvestage-policy/src/steering/peers/peer_message.rs
@@ -1,11 +1,13 @@
-//! What balancers tell each other, one message a datagram.
+//! The messages between balancers, one per datagram.
 //!
-//! Heartbeats say how much a balancer knows; one that knows less asks for the rest. Everything told
-//! carries a version or a revision of the store, and only what is newer is taken, so messages may be
-//! lost, doubled or late. They are not authenticated: the settings hold no secret, and one from the
-//! store could not be had while the store is away, which is when peers matter most. Addresses of
-//! balancers are reached from the deployment's own network only, and a message can add nothing that
-//! the backend server named by it would not check for itself.
+//! A heartbeat says how much its sender knows, and a balancer that knows less pulls the rest. All
+//! knowledge carries a version or a revision of the store, and only what is newer is applied, so
+//! messages may be lost, duplicated or delayed.
+//!
+//! Messages are not authenticated: the settings hold no secret, and one from the store could not be
+//! read while the store is unreachable, which is when peers matter most. Addresses of balancers can
+//! be reached only from the deployment's own network, and a message can add nothing that the
+//! backend server named by it would not check itself.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -20,38 +22,39 @@
 use crate::steering::knowledge::backend_name::{BackendName, BirthDigest};
 use crate::steering::knowledge::evacuated_zones::EvacuationReport;
 
-/// Bytes of data in one datagram at most, so that none is cut into fragments on an Ethernet link.
+/// Maximum payload of one datagram in bytes, so that none is fragmented on an Ethernet link.
 pub const MAX_MESSAGE_BYTES: usize = 1_400;
 
-/// Datagrams of one answer at most. 22 KB take 18 ms on a link of 10 Mbit/s, and two answers at once fit into a
-/// queue of 64 KB. With 8, the 63 chunks of a configuration of 4,245 addresses take eight questions in place of four.
+/// Maximum number of datagrams in one answer. 22 KB take 18 ms on a link of 10 Mbit/s, and two
+/// answers at once fit into a queue of 64 KB. With 8 datagrams, the 63 chunks of a configuration of
+/// 4,245 addresses would take eight pulls instead of four.
 pub const ANSWER_WINDOW: usize = 16;
 
-/// `PeerMessage` is one message between balancers.
+/// A message between balancers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// How much the sender knows.
+    /// Announces how much the sender knows.
     Heartbeat(PeerHeartbeat),
-    /// Asks what a newer configuration consists of.
+    /// Asks for the index of a newer configuration.
     RoutesPull(RoutesPull),
-    /// What a configuration consists of.
+    /// Some or all of the index of a configuration.
     RoutesIndex(RoutesIndex),
-    /// Asks for some of it.
+    /// Asks for some chunks of a configuration.
     ChunksPull(ChunksPull),
-    /// Some of a configuration.
+    /// A chunk of a configuration.
     RoutesChunk(RouteChunk),
     /// Asks for changes of backend servers.
     BackendsPull(BackendsPull),
-    /// Some backend servers.
+    /// Some changes of backend servers.
     Backends(BackendsPart),
 }
 
 impl PeerMessage {
-    /// `bytes` gives how many bytes it takes on a link: about as many for parts of a configuration, which are seldom full, and at
-    /// most for the others.
+    /// Returns the size of the message on a link in bytes: an estimate for parts of a
+    /// configuration, which are seldom full, and the maximum for other messages.
     #[must_use]
     pub fn bytes(&self) -> usize {
-        /// Bytes of the heads of a datagram, and of what stands before a chunk.
+        /// Bytes of the headers of a datagram and of the fields before a chunk.
         const HEAD_BYTES: usize = 60;
 
         match self {
@@ -64,47 +67,54 @@
     }
 }
 
-/// `PeerHeartbeat` says how much its sender knows, and of whom.
+/// Announces how much its sender knows, and what it observes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerHeartbeat {
     /// Availability zone of the sender.
     pub zone: ZoneName,
-    /// Whether one that knows more is to answer at once. An answer never asks, so that two balancers
-    /// that each know something the other does not are not caught in answering each other.
+    /// Whether a receiver that knows more is to answer at once. An answer never sets this, so that
+    /// two balancers that each know something the other does not know don't answer each other
+    /// endlessly.
     pub asks: bool,
     /// Version of its configuration.
     pub version: ConfigurationVersion,
-    /// Up to which revision it knows every change of backend servers.
+    /// The sender knows every change of backend servers up to this position.
     pub complete_until: StorePosition,
-    /// Revision of the last change that it knows.
+    /// Position of the last change that it knows.
     pub changed_at: StorePosition,
-    /// Where the store stood when it was first listed in its present era.
+    /// The store's position when it was first listed in its present era.
     pub era_head: StorePosition,
-    /// Which backend servers it believes in.
+    /// Digest of the backend servers that it counts as living.
     pub living: LivingDigest,
-    /// How long ago the store confirmed all this, milliseconds; at the sender or before it.
+    /// Time since the store confirmed this state to the sender or to the balancer that reported it,
+    /// in milliseconds.
     pub age_ms: u32,
-    /// How long ago the store last failed to answer the sender, or one that it heard of,
-    /// milliseconds.
+    /// Time since the store last failed to answer the sender, or a balancer whose failure was
+    /// reported to it, in milliseconds.
     pub outage_age_ms: u32,
-    /// Balancers that follow the store, the sender among them if it does.
+    /// Balancers that follow the store, including the sender if it does.
     pub watchers: Vec<WatcherSighting>,
-    /// Some balancers that it has heard.
+    /// Some balancers that it has heard recently.
     pub peers: Vec<SocketAddrV4>,
-    /// What it has seen of backend servers.
+    /// What it has observed of backend servers in trouble.
     pub health: HealthReport,
-    /// The availability zones that operators have evacuated; none: that is not known, or they do not do so here.
+    /// The availability zones that operators have evacuated; `None` if that is not known, or if
+    /// operators cannot evacuate zones here.
     pub evacuations: Option<EvacuationReport>,
-    /// What its callers ask of the services that are asked most; none: it does not say.
+    /// Demand of its callers for the services with the highest demand; `None` if this heartbeat
+    /// carries no demand.
     pub demands: Option<Vec<ServiceDemand>>,
-    /// Tokens of flows whose backend servers it does not know; whoever does tells them.
+    /// Tokens of flows whose backend servers it does not know; a receiver that knows them answers
+    /// with their entries.
     pub wanted: Vec<ShortToken>,
 }
 
 impl PeerHeartbeat {
-    /// `grow_older` takes in that it waited to be read, for so long at most: confirmations of the store that it tells of are older
-    /// by that. Told on as fresh, they would keep all others from noticing that nobody is answered any more. How long ago an
-    /// outage was stays: to take it for a later one does no harm.
+    /// Adds the time that the heartbeat has waited to be read, which is `waited` at most, to the
+    /// ages of the store confirmations in it. Forwarded as fresh, they would keep the other
+    /// balancers from noticing that the store answers nobody any more.
+    ///
+    /// The age of the last outage stays as it is: to take an outage for a later one does no harm.
     pub fn grow_older(&mut self, waited: Duration) {
         let waited_ms = u32::try_from(waited.as_millis()).unwrap_or(u32::MAX);
 
@@ -115,78 +125,79 @@
     }
 }
 
-/// `ServiceDigest` is a number for a service, the same at every balancer.
+/// Digest that identifies a service, the same at every balancer.
 pub type ServiceDigest = u32;
 
-/// `ServiceDemand` is what the callers of one balancer ask of a service.
+/// Demand of one balancer's callers for a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceDemand {
     /// The service.
     pub service: ServiceDigest,
-    /// Requests under way, averaged over a second, in hundredths.
+    /// Number of requests in flight, averaged over a second, in hundredths.
     pub busy_hundredths: u32,
 }
 
 impl ServiceDemand {
-    /// `new` reports an average.
+    /// Creates a report of an average number of requests in flight.
     #[must_use]
     pub fn new(service: ServiceDigest, busy: f64) -> Self {
         Self { service, busy_hundredths: parts(busy, 100.0) }
     }
 
-    /// `busy` gives what was reported.
+    /// Returns the reported number of requests in flight.
     #[must_use]
     pub fn busy(&self) -> f64 {
         f64::from(self.busy_hundredths) / 100.0
     }
 }
 
-/// `BalancerReport` is what a balancer tells others of what it sees.
+/// Observations of a balancer that it reports to others in its heartbeats.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct BalancerReport {
     /// Backend servers in trouble.
     pub health: HealthReport,
-    /// What its callers ask for.
+    /// Demand of its callers.
     pub demands: Vec<ServiceDemand>,
     /// Tokens of flows whose backend servers it does not know.
     pub wanted: Vec<ShortToken>,
 }
 
-/// `HealthReport` is what one balancer has seen of backend servers in trouble.
+/// What one balancer has observed of backend servers in trouble.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HealthReport {
-    /// Those that seem dead.
+    /// Backend servers that are suspected to have failed.
     pub suspects: Vec<InstanceId>,
-    /// How requests ended at those that seem to fail more of them than others.
+    /// Outcomes of requests at backend servers that seem to fail more of them than others do.
     pub outcomes: Vec<OutcomeReport>,
-    /// Those that it has begun to avoid by itself.
+    /// Backend servers that it has begun to avoid on its own observation.
     pub avoided: Vec<AvoidanceReport>,
 }
 
-/// `AvoidanceReport` tells that a balancer has begun to avoid a backend server.
+/// Report that a balancer has begun to avoid a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AvoidanceReport {
     /// The backend server.
     pub instance: InstanceId,
-    /// For how long from now, milliseconds.
+    /// Remaining time of the avoidance, in milliseconds.
     pub left_ms: u32,
 }
 
-/// `OutcomeReport` is how requests ended at one backend server, as one balancer saw it.
+/// Outcomes of requests at one backend server, as observed by one balancer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutcomeReport {
     /// The backend server.
     pub instance: InstanceId,
-    /// Requests with an ordinary answer, in tenths: older ones count less.
+    /// Requests with an ordinary answer, in tenths; older ones count less.
     pub answered_tenths: u16,
-    /// The others, in tenths.
+    /// Requests without an ordinary answer, in tenths.
     pub poor_tenths: u16,
-    /// How many of them were expected by the other backend servers of the service, in tenths.
+    /// How many requests without an ordinary answer the other backend servers of the service would
+    /// have led to expect, in tenths.
     pub expected_tenths: u16,
 }
 
 impl OutcomeReport {
-    /// `new` reports a count.
+    /// Creates a report of counted outcomes.
     #[must_use]
     pub fn new(instance: InstanceId, count: &OutcomeCount) -> Self {
         Self {
@@ -197,7 +208,7 @@
         }
     }
 
-    /// `count` gives what was reported.
+    /// Returns the reported outcomes.
     #[must_use]
     pub fn count(&self) -> OutcomeCount {
         OutcomeCount {
@@ -208,155 +219,158 @@
     }
 }
 
-/// A count in tenths; one too large for the field is the largest.
+/// Returns a count in tenths, saturated at the largest value of the type.
 fn tenths(count: f64) -> u16 {
     u16::try_from(parts(count, 10.0)).unwrap_or(u16::MAX)
 }
 
-/// A number in so many parts of one; one too large for the type is the largest.
+/// Returns a number in units of one divided by `parts_of_one`, saturated at the bounds of the type.
 fn parts(number: f64, parts_of_one: f64) -> u32 {
     let parts = (number * parts_of_one).round().clamp(0.0, f64::from(u32::MAX));
 
-    // Within the range of the type, as just made sure.
+    // The value was clamped to the range of the type.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     let parts = parts as u32;
     parts
 }
 
-/// `WatcherSighting` says when a balancer was last known to follow the store.
+/// When a balancer was last known to follow the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatcherSighting {
     /// The balancer.
     pub peer: SocketAddrV4,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// How long ago the store answered it, or else it was trying, milliseconds.
+    /// Time since the store last answered it or, if `is_answered` is `false`, since it tried, in
+    /// milliseconds.
     pub age_ms: u32,
     /// Whether the store answers it.
     pub is_answered: bool,
-    /// How long the last page took of a long list that it is reading, milliseconds; none: it reads no such list.
+    /// Duration of the call for the last page of a long list that it is reading, in milliseconds;
+    /// `None` if it reads no such list.
     pub page_ms: Option<u16>,
 }
 
-/// `RoutesPull` asks what a newer configuration consists of.
+/// Asks for the index of a newer configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutesPull {
     /// Version of the sender's configuration.
     pub version: ConfigurationVersion,
 }
 
-/// `RoutesIndex` is what a configuration consists of.
+/// The index of a configuration, or one part of it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutesIndex {
-    /// Which part of it; nearly always the only one.
+    /// Which part of the index this is; nearly always the only one.
     pub part: MessagePart,
     /// Version of the configuration.
     pub version: ConfigurationVersion,
-    /// Silence after which a flow may be forgotten, milliseconds.
+    /// Idle time after which a flow may be forgotten, in milliseconds.
     pub idle_timeout_ms: u64,
-    /// Its chunks, in the order of their addresses.
+    /// Digests of its chunks, in the order of their addresses.
     pub digests: Vec<ChunkDigest>,
 }
 
-/// `ChunksPull` asks for chunks of a configuration.
+/// Asks for chunks of a configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunksPull {
-    /// [`ANSWER_WINDOW`] of them at most.
+    /// Digests of the chunks, at most [`ANSWER_WINDOW`] of them.
     pub digests: Vec<ChunkDigest>,
 }
 
-/// `BackendsPull` asks for changes of backend servers.
+/// Asks for changes of backend servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendsPull {
-    /// Changes up to this revision are known, or were told in this walk.
+    /// Changes up to this position are known, or were reported in this walk.
     pub after: StorePosition,
-    /// What the sender is reading.
+    /// What the sender of the pull is reading.
     pub scope: WalkScope,
 }
 
-/// `WalkScope` is what one that asks for backend servers needs.
+/// The backend servers that a pull asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WalkScope {
-    /// What has changed after a revision.
+    /// Those that have changed after a position.
     Changes,
-    /// All that there is, so that what is not there is known to be gone.
+    /// All of them, so that those that are missing from the answer are known to be gone.
     Everything,
-    /// Those whose tokens its heartbeat names.
+    /// Those of the tokens that a heartbeat names.
     Wanted,
 }
 
-/// `MessagePart` counts the datagrams that belong together.
+/// Number of a datagram among those that belong together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MessagePart {
-    /// Number of this one, from 0.
+    /// Number of this datagram, from 0.
     pub index: u16,
-    /// How many there are; at least 1.
+    /// Number of datagrams, at least 1.
     pub count: u16,
 }
 
-/// `BackendsPart` is some of the changes of backend servers after a revision.
+/// Some of the changes of backend servers after a position.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendsPart {
-    /// Which part of one answer.
+    /// Which part of the answer this is.
     pub part: MessagePart,
-    /// What is being read.
+    /// The scope of the pull that this answers.
     pub scope: WalkScope,
-    /// The changes begin after this revision.
+    /// The changes begin after this position.
     pub after: StorePosition,
-    /// They go up to this revision; none: nothing follows them.
+    /// With this part, all changes up to this position have been sent; `None` if no further ones
+    /// follow.
     pub told_until: Option<StorePosition>,
-    /// Every change up to this revision is known to the sender.
+    /// The sender knows every change up to this position.
     pub complete_until: StorePosition,
-    /// Names of services and availability zones; the changes have their places in this list.
+    /// Names of services and availability zones, which the changes refer to by index.
     pub names: Vec<String>,
     /// The changes.
     pub changes: Vec<BackendChange>,
 }
 
-/// `BackendChange` is what a backend server was at a revision.
+/// State of a backend server at a position of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendChange {
     /// The name of its entry.
     pub name: BackendName,
-    /// Which incarnation of that name.
+    /// Digest that distinguishes the incarnations of that name.
     pub birth: BirthDigest,
-    /// The store's revision at the change.
+    /// The store's position at the change.
     pub position: StorePosition,
-    /// What it was then.
+    /// The entry after the change.
     pub record: BackendRecord,
 }
 
-/// `BackendRecord` is the entry of a backend server as balancers tell it.
+/// The entry of a backend server in messages between balancers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendRecord {
-    /// Place of the service that it runs in the part's names.
+    /// Index of its service in the part's names.
     pub service: u16,
-    /// Place of the availability zone of its VM in the part's names.
+    /// Index of the availability zone of its VM in the part's names.
     pub zone: u16,
-    /// Where it takes packets.
+    /// Address to which packets for it are sent.
     pub address: SocketAddrV4,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes at once.
     pub slots: u32,
-    /// How much longer it is slow from its start, milliseconds.
+    /// Remaining time of its slow start, in milliseconds; 0 if it is over.
     pub cold_for_ms: u32,
-    /// Where it stands.
+    /// Its phase.
     pub standing: BackendStanding,
 }
 
-/// `BackendStanding` is [`crate::steering::BackendPhase`] without a time of this VM.
+/// [`crate::steering::BackendPhase`] without a time of the sender's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BackendStanding {
-    /// It takes new flows.
+    /// It accepts new flows.
     Ready,
-    /// It takes no new ones.
+    /// It accepts no new flows.
     Draining,
-    /// Its entry names no backend server to use.
+    /// Its entry does not describe a usable backend server.
     Unusable,
     /// Its entry is gone.
     Gone,
-    /// Its entry went while it took new flows, so long ago: it may return.
+    /// Its entry lapsed while it accepted new flows, so it may return.
     Lapsed {
-        /// Milliseconds.
+        /// Time since it lapsed, in milliseconds.
         ago_ms: u32,
     },
 }
--- a/crates/valvestage-policy/src/steering/peers/peer_table.rs
+++ b/crates/valvestage-policy/src/steering/peers/peer_table.rs
@@ -1,4 +1,4 @@
-//! The other balancers that are known.
+//! The table of the other known balancers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -9,38 +9,40 @@
 use super::zone_members::ZoneMembers;
 use crate::steering::seeded_draw::SeededDraw;
 
-/// A balancer that was not heard of for so long is forgotten, unless the settings name it. It is more
-/// than the longest cut that the platform's pages tell of.
+/// A balancer that was neither heard nor reported for so long is forgotten unless the settings name
+/// it. This is longer than the longest network partition that the platform's documentation names.
 pub(in crate::steering) const FORGET_AFTER: Duration = Duration::from_secs(20);
 
-/// Balancers remembered at most, by far more than the size to design for.
+/// Maximum number of balancers in the table, far above the size that the system is designed for.
 const MAX_PEERS: usize = 2_048;
 
-/// A balancer heard of within this time is told on to others.
+/// Balancers that were heard within this time are named to others.
 pub(in crate::steering) const TELL_WITHIN: Duration = Duration::from_secs(3);
 
-/// Rounds of turns in which a balancer tells all others of itself before it counts as known to them: a datagram may be lost.
+/// Number of rounds in which a balancer sends heartbeats to all others before they count as knowing
+/// it, since a datagram may be lost.
 const ROUNDS_TO_SETTLE: u64 = 2;
 
-/// Shortest time for that. News makes rounds short in a small deployment.
+/// Shortest time before the others count as knowing this balancer. In a small deployment,
+/// heartbeats that are sent at once for an update make rounds short.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// `PeerTable` holds the addresses of other balancers.
+/// The known addresses of other balancers, and the order in which they get heartbeats.
 #[derive(Debug)]
 pub struct PeerTable {
     own: SocketAddrV4,
-    /// Named by the settings; never forgotten.
+    /// Addresses named by the settings, which are never forgotten.
     seeds: Vec<SocketAddrV4>,
-    /// When each balancer was last heard itself; none if others told of it.
+    /// The balancers that were heard or reported.
     heard: BTreeMap<SocketAddrV4, PeerSighting>,
-    /// Balancers that have not had their turn yet, in the order of their turns.
+    /// Balancers that have not had their turn in the present round, the next one last.
     ///
-    /// Each balancer draws its own order. Where all went through one order at the same pace, whole
-    /// stretches of it would be left out by all of them for a while.
+    /// Each balancer draws its own order. If all of them went through the same order at the same
+    /// pace, whole stretches of it would be left out by all of them for a while.
     turns: Vec<SocketAddrV4>,
-    /// Rounds of turns that have begun.
+    /// Number of rounds that have begun.
     rounds: u64,
-    /// Set until this balancer and the others know of each other.
+    /// Set until this balancer and the others count as knowing each other.
     unsettled: Option<UnsettledView>,
     /// When any balancer was last heard.
     heard_at: Option<Instant>,
@@ -49,18 +51,18 @@
 /// What has to happen before a balancer that knew nobody counts as known to all others.
 #[derive(Debug, Clone, Copy)]
 struct UnsettledView {
-    /// The round of turns that has to begin.
+    /// The round that has to begin.
     until_round: u64,
-    /// The time that has to come.
+    /// The time that has to be reached.
     until: Instant,
 }
 
-/// When a balancer was heard, and heard of.
+/// When a balancer was last heard, and last heard or reported by others.
 #[derive(Debug, Clone)]
 struct PeerSighting {
     heard_itself: Option<Instant>,
     heard_of: Instant,
-    /// Its availability zone, once it has told it.
+    /// Its availability zone, once it has reported it.
     zone: Option<ZoneName>,
 }
 
@@ -71,7 +73,7 @@
 }
 
 impl PeerTable {
-    /// `new` knows the balancers that the settings name.
+    /// Creates a table that holds only the balancers named by the settings.
     #[must_use]
     pub fn new(own: SocketAddrV4, seeds: &[SocketAddrV4], now: Instant) -> Self {
         let mut table = Self {
@@ -89,30 +91,31 @@
         table
     }
 
-    /// `set_seeds` replaces the balancers that the settings name.
+    /// Replaces the balancers that are named by the settings.
     pub fn set_seeds(&mut self, seeds: &[SocketAddrV4]) {
         self.seeds = seeds.iter().copied().filter(|seed| *seed != self.own).collect();
     }
 
-    /// `len` gives the number of balancers that were heard of.
+    /// Returns the number of balancers that were heard or reported.
     #[must_use]
     pub fn len(&self) -> usize {
         self.heard.len()
     }
 
-    /// `is_empty` tells whether none was heard of.
+    /// Reports whether no balancer was heard or reported.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.heard.is_empty()
     }
 
-    /// `on_heard` takes in that a balancer has spoken; true if it was not known.
+    /// Records that a message of a balancer has arrived. Returns whether the balancer was unknown.
     pub fn on_heard(&mut self, peer: SocketAddrV4, now: Instant) -> bool {
         if peer == self.own || self.heard.len() >= MAX_PEERS {
             return false;
         }
 
-        // One that has heard nobody for a while may be forgotten by others, who take over what it did.
+        // A balancer that has heard nobody for a while may have been forgotten by others, which
+        // then take over its work.
         if !self.hears_anyone(now) {
             self.unsettle(now);
         }
@@ -124,14 +127,14 @@
         is_new
     }
 
-    /// `on_zone` takes in in which availability zone a balancer is.
+    /// Records the availability zone of a known balancer.
     pub fn on_zone(&mut self, peer: SocketAddrV4, zone: &ZoneName) {
         if let Some(sighting) = self.heard.get_mut(&peer) {
             sighting.zone = Some(zone.clone());
         }
     }
 
-    /// What is known of a balancer, which may be new.
+    /// Returns the entry of a balancer, which is added if it is new.
     fn sighting(&mut self, peer: SocketAddrV4, now: Instant) -> &mut PeerSighting {
         if !self.heard.contains_key(&peer) && self.unsettled.is_some() {
             self.unsettle(now);
@@ -141,9 +144,10 @@
         self.heard.entry(peer).or_insert(fresh)
     }
 
-    /// `unsettle` takes in that others may not know of this balancer, nor this one of them.
+    /// Records that others may not know this balancer, or it may not know them, until enough rounds
+    /// have been completed.
     pub fn unsettle(&mut self, now: Instant) {
-        // The one that goes on may have passed them over already.
+        // The present round may have passed them over already.
         let until_round = self.rounds + 1 + ROUNDS_TO_SETTLE;
 
         self.unsettled = Some(UnsettledView { until_round, until: now + SETTLE_TIME });
@@ -153,7 +157,7 @@
         self.heard_at.is_some_and(|at| now.saturating_duration_since(at) < TELL_WITHIN)
     }
 
-    /// `zone_members` gives the balancers of an availability zone, in which this one is.
+    /// Returns the balancers of an availability zone to which this balancer belongs.
     #[must_use]
     pub fn zone_members(&self, zone: &ZoneName, now: Instant) -> ZoneMembers {
         let may_be_member =
@@ -166,7 +170,7 @@
         }
     }
 
-    /// `recent_count` gives how many were heard themselves lately.
+    /// Returns the number of balancers that were heard recently.
     #[must_use]
     pub fn recent_count(&self, now: Instant) -> u32 {
         let recent = self.heard.values().filter(|sighting| sighting.is_recent(now));
@@ -174,7 +178,7 @@
         u32::try_from(recent.count()).unwrap_or(u32::MAX)
     }
 
-    /// `on_told` takes in that another balancer knows of one.
+    /// Records that another balancer has reported one.
     pub fn on_told(&mut self, peer: SocketAddrV4, now: Instant) {
         if peer == self.own || self.heard.len() >= MAX_PEERS {
             return;
@@ -183,7 +187,7 @@
         self.sighting(peer, now).heard_of = now;
     }
 
-    /// `settle` takes in that this balancer and the others know of each other, once that is so.
+    /// Ends the unsettled state once its rounds and its time are over.
     fn settle(&mut self, now: Instant) {
         let is_reached =
             |view: &UnsettledView| view.until <= now && view.until_round <= self.rounds;
@@ -193,7 +197,7 @@
         }
     }
 
-    /// `forget_silent` forgets balancers that were not heard of for long, and gives them.
+    /// Removes the balancers that were neither heard nor reported for long, and returns them.
     pub fn forget_silent(&mut self, now: Instant) -> Vec<SocketAddrV4> {
         self.settle(now);
         let is_silent = |sighting: &PeerSighting| {
@@ -208,7 +212,7 @@
         silent
     }
 
-    /// `choose` gives some balancers, others each time until all had their turn.
+    /// Returns the next balancers in turn. Every balancer gets its turn before one gets a second.
     pub fn choose(&mut self, count: usize, draw: &mut SeededDraw) -> Vec<SocketAddrV4> {
         let mut chosen = Vec::with_capacity(count);
 
@@ -225,7 +229,7 @@
         chosen
     }
 
-    /// All balancers but some, in a drawn order.
+    /// Returns all balancers but `except` in a random order.
     fn shuffled(&self, except: &[SocketAddrV4], draw: &mut SeededDraw) -> Vec<SocketAddrV4> {
         let missing = self.seeds.iter().filter(|seed| !self.heard.contains_key(seed));
         let all = self.heard.keys().chain(missing).copied();
@@ -237,7 +241,7 @@
         order
     }
 
-    /// `sample` gives some balancers that were heard lately, others each time.
+    /// Returns some balancers that were heard recently, starting at an offset given by `draw`.
     pub fn sample(&self, count: usize, draw: usize, now: Instant) -> Vec<SocketAddrV4> {
         let recent = self.heard.iter().filter(|(_, sighting)| sighting.is_recent(now));
         let recent: Vec<SocketAddrV4> = recent.map(|(peer, _)| *peer).collect();
--- a/crates/valvestage-policy/src/steering/peers/route_catalogue.rs
+++ b/crates/valvestage-policy/src/steering/peers/route_catalogue.rs
@@ -1,4 +1,4 @@
-//! A configuration in chunks, by their digests.
+//! A configuration in chunks that are identified by their digests.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -9,21 +9,21 @@
 use super::route_chunk::{ChunkDigest, RouteChunk, chunks_of};
 use crate::steering::knowledge::route_map::RouteMap;
 
-/// Digests in one datagram, which has room for what stands before them.
+/// Number of digests in one datagram. The rest of a datagram is for the fields before them.
 const DIGESTS_EACH: usize = (MAX_MESSAGE_BYTES - 40) / size_of::<ChunkDigest>();
 
-/// `RouteCatalogue` is a configuration in chunks.
+/// A configuration that is split into chunks.
 #[derive(Debug, Clone, Default)]
 pub struct RouteCatalogue {
     version: ConfigurationVersion,
     idle_timeout_ms: u64,
-    /// The chunks in the order of their addresses; each one is in `chunks`.
+    /// Digests of the chunks in the order of their addresses; each of them is a key of `chunks`.
     order: Vec<ChunkDigest>,
     chunks: HashMap<ChunkDigest, Arc<RouteChunk>>,
 }
 
 impl RouteCatalogue {
-    /// `new` cuts a configuration.
+    /// Splits a configuration into chunks.
     #[must_use]
     pub fn new(map: &RouteMap) -> Self {
         let chunks: Vec<_> =
@@ -37,7 +37,7 @@
         }
     }
 
-    /// `assemble` puts a configuration together from chunks that are all there; none if one is missing.
+    /// Assembles a configuration from its chunks; returns `None` if one is missing.
     #[must_use]
     pub fn assemble(
         index: &RoutesIndex,
@@ -56,19 +56,19 @@
         })
     }
 
-    /// `version` gives the configuration's version.
+    /// Returns the configuration's version; 0 if there is none yet.
     #[must_use]
     pub fn version(&self) -> ConfigurationVersion {
         self.version
     }
 
-    /// `get` gives a chunk.
+    /// Returns a chunk; `None` if the configuration has no such chunk.
     #[must_use]
     pub fn get(&self, digest: &ChunkDigest) -> Option<Arc<RouteChunk>> {
         self.chunks.get(digest).cloned()
     }
 
-    /// `map` gives the configuration.
+    /// Returns the configuration joined from its chunks.
     #[must_use]
     pub fn map(&self) -> RouteMap {
         let mut map = RouteMap {
@@ -82,8 +82,8 @@
         map
     }
 
-    /// `index_messages` gives what the configuration consists of. 1 MiB of configuration, the most that the
-    /// store takes, has some 130 chunks, which one datagram has room for.
+    /// Returns the index of the configuration. 1 MiB of configuration, the most that the store
+    /// takes, has some 130 chunks, whose digests fit into one datagram.
     #[must_use]
     pub fn index_messages(&self) -> Vec<PeerMessage> {
         let mut parts: Vec<_> = self.order.chunks(DIGESTS_EACH).collect();
@@ -105,8 +105,8 @@
             .collect()
     }
 
-    /// `chunk_messages` gives chunks that are asked for, and the index besides where one of them is not
-    /// there: another configuration has come into force meanwhile.
+    /// Returns the chunks that were asked for. If one of them does not exist any more, because
+    /// another configuration has come into force meanwhile, the index is added.
     #[must_use]
     pub fn chunk_messages(&self, digests: &[ChunkDigest]) -> Vec<PeerMessage> {
         let known: Vec<_> = digests.iter().filter_map(|digest| self.get(digest)).collect();
@@ -121,7 +121,8 @@
     }
 }
 
-/// `join_index` puts the parts of an index together, in their order. A digest that stands twice is one chunk.
+/// Joins the parts of an index in their order; returns `None` if there are no parts. A digest that
+/// is listed twice stands for one chunk.
 #[must_use]
 pub fn join_index(parts: Vec<RoutesIndex>) -> Option<RoutesIndex> {
     let mut parts = parts.into_iter();
--- a/crates/valvestage-policy/src/steering/peers/route_chunk.rs
+++ b/crates/valvestage-policy/src/steering/peers/route_chunk.rs
@@ -1,9 +1,10 @@
-//! Some of the routes of a configuration, as many as one datagram takes.
+//! Some of the routes of a configuration, as many as fit into one datagram.
 //!
-//! All balancers cut the same configuration in the same way, and where a route is added or removed only the
-//! chunks around it change. So a chunk is known by a digest of what it holds: it may come from any
-//! balancer, and one that the former configuration had need not come at all. Of a configuration of 4,245 addresses
-//! in 63 chunks, a change of one route mostly takes two or three datagrams.
+//! All balancers split the same configuration in the same way, and when a route is added or removed
+//! only the chunks around it change. A chunk is identified by a digest of its contents, so any
+//! balancer can send it, and one that the former configuration had need not be sent at all. Of a
+//! configuration of 4,245 addresses in 63 chunks, a change of one route mostly takes two or three
+//! datagrams.
 
 use std::hash::Hasher;
 use std::net::SocketAddrV4;
@@ -16,55 +17,59 @@
 use crate::steering::knowledge::cold_rate::ColdRate;
 use crate::steering::knowledge::route_map::{RouteMap, RouteTarget};
 
-/// Bytes that a chunk may have as the codec writes it. The rest of a datagram is for what stands before it.
+/// Maximum size of a chunk in the codec's encoding, in bytes. The rest of a datagram is for the
+/// fields before it.
 const MAX_CHUNK_BYTES: usize = MAX_MESSAGE_BYTES - 40;
 
-/// A chunk of fewer bytes goes on in any case.
+/// A chunk of fewer bytes ends before an address only if the address does not fit into it.
 const SMALL_CHUNK_BYTES: usize = MAX_CHUNK_BYTES / 3;
 
-/// A chunk of more bytes ends soon.
+/// In a chunk of more bytes, the denser boundaries apply, so that it ends soon.
 const LARGE_CHUNK_BYTES: usize = MAX_CHUNK_BYTES * 2 / 3;
 
-/// One address in so many begins a chunk where the one before it is neither small nor large.
+/// One address in so many begins a new chunk if the chunk before it is neither small nor large.
 const BOUNDARY_EVERY: u64 = 64;
 
-/// One address in so many begins a chunk where the one before it is large. So nearly all ends depend on addresses, not on
-/// bytes, and a route that is added moves few of them.
+/// One address in so many begins a new chunk if the chunk before it is large. Nearly all boundaries
+/// then depend on addresses rather than on sizes, and a route that is added moves few of them.
 const EAGER_BOUNDARY_EVERY: u64 = 8;
 
-/// Targets in one entry of a chunk; an address with more has several. All have room in a datagram.
+/// Maximum number of targets in one entry of a chunk, which fit into a datagram. An address with
+/// more targets has several entries.
 const MAX_ENTRY_TARGETS: usize = 40;
 
-/// Regions in one entry at most, the first by name: a route that allows more flows nowhere else.
+/// Maximum number of regions in one entry. Of more regions only the first by name are kept: a route
+/// that allows more of them gets no flows in the others.
 const MAX_ENTRY_REGIONS: usize = 16;
 
-/// `ChunkDigest` names a chunk by what it holds: SipHash-2-4 of it, little-endian.
+/// Identifies a chunk by its contents: their SipHash-2-4, little-endian.
 pub type ChunkDigest = [u8; 8];
 
-/// `RouteChunk` is some of the routes of a configuration.
+/// Some of the routes of a configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteChunk {
-    /// Names of services and regions, which are meant by their places in this list.
+    /// Names of services and regions, which are referred to by index.
     pub names: Vec<String>,
-    /// What backend servers bear while they are cold, of those of these services that have such a limit.
+    /// Limits of the load of backend servers during their slow start, for those of these services
+    /// that have such a limit.
     pub cold_rates: Vec<(NamePlace, ColdRate)>,
     /// Addresses in ascending order, each with some or all of its targets.
     pub entries: Vec<ChunkEntry>,
 }
 
-/// `ChunkEntry` is an address with targets.
+/// An address with some or all of its targets.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkEntry {
-    /// Where callers send to.
+    /// The address that callers send to.
     pub address: SocketAddrV4,
-    /// Places of services in the chunk's names, and their shares.
+    /// Indexes of services in the chunk's names, with their weights.
     pub targets: Vec<(NamePlace, u32)>,
-    /// Places of the regions in which new flows may go; none: no such limit.
+    /// Indexes of the regions to which new flows may go; `None` if there is no such limit.
     pub regions: Option<Vec<NamePlace>>,
 }
 
 impl RouteChunk {
-    /// `digest` gives the name of this chunk, the same at every balancer.
+    /// Returns the digest of this chunk, which is the same at every balancer.
     #[must_use]
     pub fn digest(&self) -> ChunkDigest {
         let mut hasher = SipHasher24::new();
@@ -94,12 +99,13 @@
         hasher.finish().to_le_bytes()
     }
 
-    /// `bytes` gives how many bytes it has as the codec writes it, at most.
+    /// Returns the maximum size of the chunk in the codec's encoding, in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
-        /// An address with its port, the tag of its family, and the counts of its targets and regions.
+        /// An address with its port, the tag of its family, and the numbers of its targets and
+        /// regions.
         const ENTRY_BYTES: usize = 10;
-        /// The place of a name, which has two bytes at most in a list that fits into a datagram.
+        /// The index of a name takes two bytes at most in a list that fits into a datagram.
         const PLACE_BYTES: usize = 2;
         const RATE_BYTES: usize = PLACE_BYTES + 5;
         let target_bytes = |entry: &ChunkEntry| {
@@ -121,7 +127,7 @@
                 .sum::<usize>()
     }
 
-    /// `add_to` puts what it holds into a configuration. What has a name that is missing is left out.
+    /// Adds the routes of the chunk to a configuration. Items whose names are missing are left out.
     pub fn add_to(&self, map: &mut RouteMap) {
         for (place, rate) in &self.cold_rates {
             if let Some(service) = self.name(*place) {
@@ -144,7 +150,8 @@
         self.names.get(usize::from(place)).cloned()
     }
 
-    /// Adds an address with some of its targets, and what the configuration says besides of these.
+    /// Adds an entry with an address, some of its targets, and the settings of the configuration
+    /// that apply to them.
     fn push(&mut self, map: &RouteMap, address: SocketAddrV4, targets: &[RouteTarget]) {
         let mut places = Vec::with_capacity(targets.len());
         for target in targets {
@@ -163,13 +170,13 @@
         self.entries.push(ChunkEntry { address, targets: places, regions });
     }
 
-    /// Bytes that an entry adds at most, as the codec writes it.
+    /// Returns the maximum number of bytes that an entry adds in the codec's encoding.
     fn added_bytes(&self, map: &RouteMap, address: SocketAddrV4, targets: &[RouteTarget]) -> usize {
-        // A place of a name has 2 bytes at most in a list that fits into a datagram.
+        // The index of a name takes two bytes at most in a list that fits into a datagram.
         const PLACE_BYTES: usize = 2;
         const IP_BYTES: usize = 4;
         let port_bytes = varint_bytes(u16::MAX.into());
-        // A rate goes with the name of its service.
+        // A rate is sent along with the name of its service.
         let rate_bytes = PLACE_BYTES + varint_bytes(u32::MAX);
         let target_bytes = targets.iter().map(|target| PLACE_BYTES + varint_bytes(target.weight));
         let regions = map.allowed_regions.get(&address).into_iter().flatten();
@@ -190,14 +197,14 @@
     }
 }
 
-/// Bytes of a number as the codec writes it: seven bits in each.
+/// Returns the size of a number in the codec's encoding, which stores seven bits per byte.
 fn varint_bytes(number: u32) -> usize {
     let bits = usize::try_from(u32::BITS - number.leading_zeros()).unwrap_or(0);
 
     bits.div_ceil(7).max(1)
 }
 
-/// `chunks_of` cuts a configuration.
+/// Splits a configuration into chunks.
 #[must_use]
 pub fn chunks_of(map: &RouteMap) -> Vec<RouteChunk> {
     let mut routes: Vec<_> = map.routes.iter().collect();
@@ -224,7 +231,7 @@
     chunks
 }
 
-/// The targets of one address in parts of which each has room in a datagram.
+/// Returns the targets of one address in groups that each fit into a datagram.
 fn parts_of(targets: &[RouteTarget]) -> Vec<&[RouteTarget]> {
     if targets.is_empty() {
         return vec![targets];
@@ -233,7 +240,8 @@
     targets.chunks(MAX_ENTRY_TARGETS).collect()
 }
 
-/// Whether an address begins a chunk after one of so many bytes, the same in every configuration.
+/// Reports whether an address begins a new chunk after a chunk of `used` bytes, the same in every
+/// configuration.
 fn begins_chunk(address: SocketAddrV4, used: usize) -> bool {
     if used < SMALL_CHUNK_BYTES {
         return false;
--- a/crates/valvestage-policy/src/steering/peers/route_transfer.rs
+++ b/crates/valvestage-policy/src/steering/peers/route_transfer.rs
@@ -1,8 +1,9 @@
-//! Fetching a newer configuration from other balancers, some chunks at a time.
+//! Fetches a newer configuration from other balancers, some chunks at a time.
 //!
-//! The one that fetches sets the pace: it asks for the next chunks when the last ones are there, so no more than one
-//! window of them is under way to it, and what is lost is asked for again by itself. Chunks that came count for every
-//! later configuration that has them, whoever sends the rest.
+//! The balancer that fetches sets the pace: it asks for the next chunks when the last ones have
+//! arrived, so at most one window of them is in flight to it, and lost chunks are asked for again
+//! individually. Chunks that have arrived are reused for every later configuration that contains
+//! them, whichever balancer sends the rest.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddrV4;
@@ -19,37 +20,39 @@
 use crate::steering::decision::IncompleteAnswer;
 use crate::steering::store::store_follower::StoreKind;
 
-/// `TransferStep` is what a datagram of another balancer leads to.
+/// What to do after a datagram of another balancer.
 #[derive(Debug)]
 pub(in crate::steering) enum TransferStep {
-    /// Nothing to do but wait.
+    /// Wait for further datagrams.
     Wait,
-    /// Ask a balancer for more.
+    /// Send a pull to a balancer.
     Ask(SocketAddrV4, PeerMessage),
-    /// The configuration is whole.
+    /// The configuration is complete.
     Whole(RouteCatalogue),
 }
 
-/// `RouteTransfer` fetches one configuration at a time, the newest that it was told of.
+/// Fetches one configuration at a time, the newest one that was announced.
 #[derive(Debug, Default)]
 pub(in crate::steering) struct RouteTransfer {
     index_parts: Option<PartAssembly<RoutesIndex>>,
-    /// What the configuration consists of, once that is known.
+    /// The index of the configuration, once it is known.
     index: Option<RoutesIndex>,
-    /// Chunks of it that came; none of another configuration.
+    /// Chunks of it that have arrived, without those of other configurations.
     chunks: HashMap<ChunkDigest, Arc<RouteChunk>>,
     awaited: Option<AwaitedAnswer>,
-    /// The last chunk of the answer that is awaited: what has not come before it is lost.
+    /// The last chunk of the awaited answer: when it arrives, chunks before it that have not
+    /// arrived are lost.
     last_asked: Option<ChunkDigest>,
 }
 
 impl RouteTransfer {
-    /// `is_waiting` tells whether an answer is awaited.
+    /// Reports whether an answer is awaited.
     pub(in crate::steering) fn is_waiting(&self) -> bool {
         self.awaited.is_some()
     }
 
-    /// `pull` asks a balancer that has a newer configuration; none while another answer is under way.
+    /// Returns the pull for a balancer that has a newer configuration; `None` while another answer
+    /// is in progress.
     pub(in crate::steering) fn pull(
         &mut self,
         own: &RouteCatalogue,
@@ -69,7 +72,8 @@
         })
     }
 
-    /// `retry` asks once more for what did not come; with what is known of the answer that was given up.
+    /// Gives up an answer that has timed out. Returns what arrived of it, for the log, and the pull
+    /// for the rest; `None` if no answer has timed out.
     pub(in crate::steering) fn retry(
         &mut self,
         own: &RouteCatalogue,
@@ -87,7 +91,7 @@
         Some((incomplete, ask.map(|message| (peer, message))))
     }
 
-    /// `on_index` takes in what a newer configuration consists of.
+    /// Processes a part of the index of a newer configuration.
     pub(in crate::steering) fn on_index(
         &mut self,
         own: &RouteCatalogue,
@@ -110,7 +114,7 @@
         self.go_on(own, sender, now)
     }
 
-    /// `on_chunk` takes a chunk in.
+    /// Processes a chunk.
     pub(in crate::steering) fn on_chunk(
         &mut self,
         own: &RouteCatalogue,
@@ -135,14 +139,14 @@
         }
     }
 
-    /// `end` forgets a configuration that is not newer than the one in force any more.
+    /// Forgets a configuration that is not newer than `version`, which is in force.
     pub(in crate::steering) fn end(&mut self, version: ConfigurationVersion) {
         if self.index.as_ref().is_some_and(|index| index.version <= version) {
             *self = Self::default();
         }
     }
 
-    /// Puts the configuration together, or asks for the next chunks.
+    /// Assembles the configuration, or asks for the next chunks.
     fn go_on(&mut self, own: &RouteCatalogue, peer: SocketAddrV4, now: Instant) -> TransferStep {
         let Some(index) = &self.index else { return TransferStep::Wait };
         let digests = self.missing(own, index);
@@ -155,7 +159,7 @@
         whole.map_or(TransferStep::Wait, TransferStep::Whole)
     }
 
-    /// The first chunks that are not here, as many as may be under way at once.
+    /// Returns the first missing chunks, as many as may be in flight at once.
     fn missing(&self, own: &RouteCatalogue, index: &RoutesIndex) -> Vec<ChunkDigest> {
         let is_missing =
             |digest: &&ChunkDigest| !self.chunks.contains_key(*digest) && own.get(digest).is_none();
--- a/crates/valvestage-policy/src/steering/peers/zone_members.rs
+++ b/crates/valvestage-policy/src/steering/peers/zone_members.rs
@@ -1,15 +1,17 @@
-//! The balancers of one availability zone, as one of them knows them.
+//! The balancers of one availability zone, as known by one of them.
 
 use std::net::SocketAddrV4;
 
-/// `ZoneMembers` is the balancers of this availability zone.
+/// The known balancers of the availability zone of this balancer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneMembers {
-    /// This balancer.
+    /// Address of this balancer.
     pub own: SocketAddrV4,
-    /// The others, dead ones among them for some seconds. Those whose zone is not known count as members: whoever goes by ranks
-    /// then rather leaves something to one that does not exist than takes what another one has.
+    /// Addresses of the others, for some seconds including failed ones. Balancers whose zone is not
+    /// known count as members: a decision by rank then rather leaves work to a balancer that does
+    /// not exist than takes over the work of another one.
     pub others: Vec<SocketAddrV4>,
-    /// Whether all members know of this one, and this one of all of them, as far as can be told.
+    /// Whether all members know this balancer, and this balancer knows all of them, as far as can
+    /// be told.
     pub is_settled: bool,
 }
--- a/crates/valvestage-policy/src/steering/store.rs
+++ b/crates/valvestage-policy/src/steering/store.rs
@@ -1,11 +1,11 @@
-//! The platform's store: who follows it, and how.
+//! Following the platform's store.
 //!
 //! | module | contents |
 //! |---|---|
-//! | [`watch_role`] | which balancers follow it |
-//! | [`store_follower`] | keeping up with one kind of objects |
-//! | [`evacuation_follower`] | evacuated zones, put together |
-//! | [`store_link`] | all kinds, and what their answers say |
+//! | [`watch_role`] | the choice of the balancers that follow the store |
+//! | [`store_follower`] | listing and watching one kind of object |
+//! | [`evacuation_follower`] | following the evacuated availability zones |
+//! | [`store_link`] | all kinds of objects, and how their replies are applied |
 
 pub mod evacuation_follower;
 pub mod store_follower;
--- a/crates/valvestage-policy/src/steering/store/evacuation_follower.rs
+++ b/crates/valvestage-policy/src/steering/store/evacuation_follower.rs
@@ -1,4 +1,4 @@
-//! What the store says of evacuated zones, put together.
+//! Following the evacuated availability zones in the store.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -12,30 +12,32 @@
 use crate::steering::decision::Decision;
 use crate::steering::knowledge::evacuated_zones::{EvacuatedZones, EvacuationReport};
 
-/// `EvacuationNews` is what the store says of the evacuation of one zone.
+/// A change of the evacuation of one availability zone, as reported by the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EvacuationNews {
-    /// The zone.
+    /// The availability zone.
     pub zone: ZoneName,
     /// The store's position at the change.
     pub position: StorePosition,
-    /// Whether it is asked for; else it was taken back.
+    /// Whether the evacuation is requested; `false` if the operator has withdrawn it.
     pub is_asked: bool,
 }
 
-/// `EvacuationFollower` follows the operator's evacuations.
+/// Follows the operator's evacuations and assembles the set of evacuated availability zones.
 #[derive(Debug)]
 pub struct EvacuationFollower {
     follower: StoreFollower,
-    /// Zones that there are. An evacuation of another one was written by somebody who does not know the deployment.
+    /// The availability zones of the deployment. Evacuations of other zones are ignored, since
+    /// whoever wrote them does not know the deployment.
     zones: BTreeSet<ZoneName>,
-    /// What the list that is being read has so far.
+    /// The evacuated zones in the pages read so far of the current list.
     listed: BTreeSet<ZoneName>,
 }
 
 impl EvacuationFollower {
-    /// Creates a follower that begins with a list, which may be cached: a balancer that has just started is told of changes since by others, or
-    /// watches for them by itself, before an evacuation has to be in force.
+    /// Creates a follower that begins with a list, which may come from the store's cache: a
+    /// balancer that has just started learns of later changes from its peers or by its own watch
+    /// before an evacuation has to be in force.
     #[must_use]
     pub fn new(zones: BTreeSet<ZoneName>) -> Self {
         let mut follower = StoreFollower::new(StoreKind::Evacuations);
@@ -44,19 +46,20 @@
         Self { follower, zones, listed: BTreeSet::new() }
     }
 
-    /// Returns whether the last call failed.
+    /// Reports whether the last call failed.
     #[must_use]
     pub fn is_failing(&self) -> bool {
         self.follower.is_failing()
     }
 
-    /// Returns what was noticed of the store since the last call.
+    /// Returns the decisions to log, collected since this was last called.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         self.follower.take_decisions()
     }
 
-    /// Returns the call to make now; none while one is under way or a pause lasts. What others have told is gone
-    /// on from, which saves the list of each one that begins to follow.
+    /// Returns the call to make now; `None` while a call is in flight or a pause lasts. Watching
+    /// continues from what peers have reported, so a balancer that begins to follow the store does
+    /// not need a list of its own.
     pub fn next_call(&mut self, known: &EvacuatedZones, now: Instant) -> Option<StoreCall> {
         if known.is_known() {
             self.follower.go_on_from(known.as_of());
@@ -65,7 +68,8 @@
         self.follower.next_call(known.as_of(), now)
     }
 
-    /// Processes an answer. Returns what is the case by now; none if that is not known.
+    /// Processes a reply. Returns the set of evacuated zones; `None` if it is not completely known
+    /// or has not advanced.
     pub fn on_reply(
         &mut self,
         known: &EvacuatedZones,
@@ -104,7 +108,8 @@
     }
 }
 
-/// What is known with changes up to a revision, of which those up to what is known count for nothing.
+/// Applies changes to the known evacuations. Changes at or before the known position are skipped,
+/// since they are already included.
 fn changed(
     known: &EvacuatedZones,
     changes: &[EvacuationNews],
--- a/crates/valvestage-policy/src/steering/store/store_follower.rs
+++ b/crates/valvestage-policy/src/steering/store/store_follower.rs
@@ -1,8 +1,8 @@
-//! Keeping up with one kind of objects in the store: list all pages, then watch.
+//! Following one kind of object in the store: list all pages, then watch.
 //!
-//! A list is not the picture of one moment, so the watch begins at the revision of the first page and
-//! replays what changed in between. A watch whose history is gone starts a new list. What is known
-//! stays in force meanwhile.
+//! The pages of a list are not read at one moment, so the watch starts at the revision of the first
+//! page and replays what changed in between. A watch whose history the store no longer has is
+//! followed by a new list. What is already known stays in force meanwhile.
 
 use std::time::{Duration, Instant};
 
@@ -11,27 +11,31 @@
 
 use crate::steering::decision::Decision;
 
-/// Longest time from an answer to the end of the next watch. A watch that is cut off without a word shows it
-/// only by its end, and a configuration has to be in force 3 s after its acknowledgement.
+/// Longest time from an answer to the end of the next watch. A connection that is cut off silently
+/// shows only at the end of the watch, and a configuration has to be in force within 3 s of its
+/// acknowledgement.
 pub const WATCH_WAIT: Duration = Duration::from_millis(1_500);
 
-/// Shortest wait of a watch whose answer is needed at once.
+/// Shortest wait of a watch that is cut short by [`StoreFollower::end_watches_at`].
 const SHORTEST_WATCH: Duration = Duration::from_millis(100);
 
-/// Pause after a first failure; doubled with each further one.
+/// Pause after the first failure; doubled with each further one.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
 
-/// Longest pause: a store that returns is noticed within this time.
+/// Longest pause after a failure, and so the longest time until a store that is reachable again is
+/// noticed.
 const LONGEST_PAUSE: Duration = Duration::from_millis(800);
 
-/// Pause after something that the operator wrote: what follows in the next moment comes with one call.
+/// Pause after a change written by the operator, so that changes that directly follow it are read
+/// by the same call.
 const OPERATOR_PAUSE: Duration = Duration::from_millis(100);
 
-/// Pause after changes of backend servers. While some are replaced there is one every 100 to 200 ms, and a
-/// leaving one is to get no new flows 3 s later: two followers out of step have it in half of this.
+/// Pause after changes of backend servers. During a replacement there is a change every 100 to 200
+/// ms, and a backend server that leaves has to get no new flows after 3 s. Two followers whose
+/// pauses are not aligned read a change within about half of this pause.
 const BACKENDS_PAUSE: Duration = Duration::from_millis(400);
 
-/// `StoreKind` is a kind of objects that steering follows.
+/// Kind of object that a balancer follows in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum StoreKind {
     /// The operator's configuration.
@@ -42,92 +46,93 @@
     Evacuations,
 }
 
-/// `StoreCall` is one call to the store.
+/// One call to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreCall {
-    /// Read the page of the list that follows a name; none: the first page.
+    /// Reads the next page of the list.
     List {
-        /// The last name of the page before.
+        /// The last name of the previous page; `None` for the first page.
         after: Option<String>,
         /// How old the answer may be.
         freshness: ListFreshness,
     },
-    /// Wait for changes.
+    /// Waits for changes.
     Watch {
-        /// The revision to wait after.
+        /// Changes after this revision are reported.
         revision: StoreRevision,
-        /// Longest wait.
+        /// How long the store waits for a change before it answers with none.
         wait: Duration,
     },
 }
 
-/// `ListFreshness` is how old a list may be.
+/// How old a list may be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListFreshness {
-    /// It is what the store has now.
+    /// The list is the current state of the store.
     Current,
-    /// It may be some seconds old, with a revision that says so, and costs a tenth.
+    /// The list may come from the store's cache and be some seconds old. Its position says how old
+    /// it is, and it costs a tenth of a current one.
     Cached,
 }
 
-/// `StoreReply` is how a call ended.
+/// Outcome of a call to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreReply<T> {
     /// A page of the list.
     Page {
-        /// Its objects.
+        /// The objects on the page.
         objects: Vec<T>,
-        /// Name of the last object, if a further page follows it.
+        /// Name of the last object if a further page follows; `None` on the last page.
         next_after: Option<String>,
         /// The store's position when the page was read.
         position: StorePosition,
     },
-    /// Changes, in order; possibly none.
+    /// Changes in order, possibly none.
     Changes {
         /// The changed objects.
         objects: Vec<T>,
-        /// The position to go on from.
+        /// The position from which to continue watching.
         position: StorePosition,
     },
-    /// The history that the watch asked for is gone.
+    /// The store no longer has the history that the watch asked for.
     HistoryGone,
-    /// No usable answer.
+    /// The call brought no usable answer.
     Failed,
 }
 
-/// `FollowerNews` is what a reply brought.
+/// What a reply of the store brought.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FollowerNews<T> {
-    /// Objects, in order.
+    /// The objects that were listed or changed, in order.
     pub objects: Vec<T>,
-    /// What the objects complete.
+    /// What is completely known with these objects.
     pub completes: Completeness,
 }
 
-/// `Completeness` says what is known after a reply.
+/// How much is completely known after a reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Completeness {
-    /// Nothing more than before.
+    /// Nothing more than before the reply.
     Unchanged,
-    /// A first page: what a list has so far begins here.
+    /// The objects are the first page of a list with more pages.
     ListBegins,
-    /// The last page of a list.
+    /// The objects are the last page of a list.
     ListEnds {
-        /// The position of its first page: changes after it are still to come.
+        /// The position of the first page: changes after it are still to be watched for.
         position: StorePosition,
-        /// Whether calls have failed since the list before, so that entries may have lapsed.
+        /// Whether calls have failed since the previous list, so that entries may have lapsed.
         after_outage: bool,
-        /// Whether the last page is also the first.
+        /// Whether the list has only one page.
         single_page: bool,
     },
-    /// All changes up to a position.
+    /// All changes up to this position are known.
     Until(StorePosition),
 }
 
-/// Where the follower stands.
+/// Progress of a follower.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Phase {
-    /// `position` is that of the first page.
+    /// Reads a list. `position` is that of its first page, `None` before it has been read.
     Listing {
         after: Option<String>,
         position: Option<StorePosition>,
@@ -137,38 +142,41 @@
     },
 }
 
-/// `StoreFollower` decides the next call for one kind of objects.
+/// Decides the next call to the store for one kind of object.
 #[derive(Debug)]
 pub struct StoreFollower {
     kind: StoreKind,
     phase: Phase,
-    /// Whether a call is under way; there is one at most.
+    /// Whether a call is in flight; there is at most one.
     calling: bool,
-    /// Pause after changes.
+    /// Pause after a reply with changes.
     pause: Duration,
     not_before: Option<Instant>,
     failures: u32,
-    /// Whether calls have failed since the last list.
+    /// Whether calls have failed, or the store's era has changed, since the last complete list.
     was_away: bool,
-    /// Whether only a list can tell what is the case: the history after what is known is gone.
+    /// Whether only a list can bring the current state, because the history after the known
+    /// position is gone or belongs to another era.
     needs_list: bool,
     /// How old lists may be.
     freshness: ListFreshness,
     last_answer: Option<Instant>,
-    /// When the call under way, or the last one, was made.
+    /// When the call in flight, or else the last call, was made.
     called_at: Option<Instant>,
-    /// How long the last page took of a list that has more of them; none while no such list is being read.
+    /// Duration of the call for the last page of a list that has further pages; `None` while no
+    /// such list is being read.
     page_time: Option<Duration>,
-    /// The last era that was heard of; none before the first answer.
+    /// The latest known era; `None` before the first answer.
     era: Option<StoreEra>,
-    /// When an answer is needed that watches are to end for.
+    /// When watches have to end at the latest; `None` if there is no such time.
     watch_due: Option<Instant>,
-    /// What was noticed since it was last taken.
+    /// Decisions to log, collected until [`Self::take_decisions`].
     decisions: Vec<Decision>,
 }
 
 impl<T> StoreReply<T> {
-    /// Returns where the store stood; none if the answer does not say so.
+    /// Returns the store's position at the time of the answer; `None` for a reply without a
+    /// position.
     #[must_use]
     pub fn position(&self) -> Option<StorePosition> {
         match self {
@@ -206,38 +214,41 @@
         }
     }
 
-    /// Returns what was noticed of the store since the last call.
+    /// Returns the decisions to log, collected since this was last called.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         std::mem::take(&mut self.decisions)
     }
 
-    /// Allows lists that are some seconds old, where a watch from their position on brings what has changed
-    /// meanwhile before it is needed. Where that history is gone, the next list is a current one.
+    /// Allows lists from the store's cache, which may be some seconds old. It fits objects for
+    /// which a watch from the list's position brings the later changes early enough. If the history
+    /// after that position is gone, the next list is a current one.
     pub fn allow_cached_lists(&mut self) {
         self.freshness = ListFreshness::Cached;
     }
 
-    /// Returns when the store answered last.
+    /// Returns when the store last answered; `None` before its first answer.
     #[must_use]
     pub fn last_answer(&self) -> Option<Instant> {
         self.last_answer
     }
 
-    /// Returns how long the last page took of a list that is being read and has more of them; none if there is no such list.
+    /// Returns the duration of the call for the last page of a list that is being read and has
+    /// further pages; `None` if there is no such list.
     #[must_use]
     pub fn page_time(&self) -> Option<Duration> {
         self.page_time
     }
 
-    /// Returns whether the last call failed.
+    /// Reports whether the last call failed.
     #[must_use]
     pub fn is_failing(&self) -> bool {
         self.failures > 0
     }
 
-    /// Returns the call to make now; none while one is under way or a pause lasts.
+    /// Returns the call to make now; `None` while a call is in flight or a pause lasts.
     ///
-    /// Peers may know more than this follower has read itself: then the watch goes on from there.
+    /// `known_until` may lie beyond what this follower has read, since peers also report changes:
+    /// the watch then continues from there.
     pub fn next_call(&mut self, known_until: StorePosition, now: Instant) -> Option<StoreCall> {
         if self.calling || self.not_before.is_some_and(|time| time > now) {
             return None;
@@ -246,7 +257,8 @@
         self.calling = true;
         self.called_at = Some(now);
         self.era = self.era.max((!known_until.is_start()).then_some(known_until.era));
-        // Others take this balancer for a follower by the age of its last answer.
+        // Other balancers count this one as a follower only while its last answer is recent, so a
+        // watch that starts late after an answer ends earlier.
         let age = self.last_answer.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         let wait = WATCH_WAIT.saturating_sub(age).max(WATCH_WAIT / 2);
         let until_due = self.watch_due.map(|due| due.saturating_duration_since(now));
@@ -262,8 +274,10 @@
         })
     }
 
-    /// Skips a list that has not begun, since all up to a position is known. For objects that only their
-    /// owners take away: those that lapse while the store is away have to be listed.
+    /// Skips a list that has not begun and watches from a position up to which everything is known.
+    ///
+    /// Use it only for objects that are removed by their owners alone: entries that lapse while the
+    /// store is unreachable can be found missing only by a list.
     pub fn go_on_from(&mut self, position: StorePosition) {
         let is_to_list = matches!(self.phase, Phase::Listing { after: None, position: None });
 
@@ -272,34 +286,34 @@
         }
     }
 
-    /// Delays watches until a time. Lists are made all the same.
+    /// Delays watches until a time. Lists are not delayed.
     pub fn hold_watch(&mut self, until: Instant) {
         if matches!(self.phase, Phase::Watching { .. }) {
             self.not_before = self.not_before.max(Some(until));
         }
     }
 
-    /// Lets watches end at a time, if they would last longer; none: as usual.
+    /// Sets the time at which watches have to end at the latest; `None` removes the limit.
     pub fn end_watches_at(&mut self, due: Option<Instant>) {
         self.watch_due = due;
     }
 
-    /// Allows a watch that was delayed until a time.
+    /// Ends the delay that was set by [`Self::hold_watch`] with the same time.
     pub fn release_watch(&mut self, until: Instant) {
         if self.not_before == Some(until) {
             self.not_before = None;
         }
     }
 
-    /// Begins anew with a list, once no watch is under way. A list that has begun goes on.
+    /// Restarts with a list unless a watch is in flight. A list that has begun is continued.
     pub fn list_again(&mut self) {
         if !self.calling && matches!(self.phase, Phase::Watching { .. }) {
             self.restart_list();
         }
     }
 
-    /// Begins anew with a list, as after failures: nobody has followed the store for a
-    /// while, so entries may have lapsed unseen.
+    /// Restarts with a list as after failures: nobody has followed the store for a while, so
+    /// entries may have lapsed unnoticed. Has no effect while a call is in flight.
     pub fn assume_outage(&mut self) {
         if !self.calling {
             self.was_away = true;
@@ -307,7 +321,7 @@
         }
     }
 
-    /// Processes the result of the call. Returns what it brought.
+    /// Processes the reply to the call in flight. Returns the objects that it brought.
     pub fn on_reply<T>(&mut self, reply: StoreReply<T>, now: Instant) -> FollowerNews<T> {
         self.calling = false;
         let (objects, completes) = match reply {
@@ -359,13 +373,14 @@
         FollowerNews { objects, completes }
     }
 
-    /// Whether an answer was given before the store was restored.
+    /// Reports whether an answer predates a restore of the store that is already known.
     fn is_of_former_era(&self, position: StorePosition) -> bool {
         self.era.is_some_and(|era| position.era < era)
     }
 
-    /// Whether an answer goes on from what was read. Revisions of another era name other changes, so a watch that ends in a new era
-    /// says nothing of what came before its revision there.
+    /// Reports whether an answer continues what was read before. Revisions of different eras are
+    /// not comparable, so a watch that ends in a new era does not report what came before its
+    /// revision there.
     fn goes_on_in(&self, position: StorePosition) -> bool {
         match &self.phase {
             Phase::Listing { position: None, .. } => {
@@ -377,8 +392,8 @@
         }
     }
 
-    /// Enters the era of an answer. In a new one only a current list can tell what is the case, and entries that it lacks may be
-    /// written again.
+    /// Adopts the era of an answer. In a new era only a current list can bring the current state,
+    /// and entries that it lacks may be written again.
     fn enter_era(&mut self, position: StorePosition) {
         let former = self.era.replace(position.era);
 
--- a/crates/valvestage-policy/src/steering/store/store_link.rs
+++ b/crates/valvestage-policy/src/steering/store/store_link.rs
@@ -1,4 +1,4 @@
-//! What this balancer asks the store, and what it makes of the answers.
+//! The calls of this balancer to the store, and how their replies are applied.
 
 use std::collections::{BTreeSet, HashSet};
 use std::time::{Duration, Instant};
@@ -18,64 +18,67 @@
 use crate::steering::knowledge::lapse::RETURN_TIME;
 use crate::steering::knowledge::route_map::RouteMap;
 
-/// A failed call is followed by another one within 0.8 s, so that the store has returned by then if it
-/// answers.
+/// A failed call is retried within 0.8 s, so a store that is reachable again has answered by then.
 const RETRY_TIME: Duration = Duration::from_millis(800);
 
-/// The store answers this balancer if it has done so within this time: one watch, and a slow answer.
+/// The store counts as answering for so long after its last answer: one watch, and time for a slow
+/// answer.
 const ANSWER_LIFE: Duration = Duration::from_millis(2_500);
 
-/// Watches that are to confirm that a restored store has settled end so much later, since waits have whole milliseconds.
+/// Delay after the end of a contest at which watches that have to confirm it end. Waits are sent in
+/// whole milliseconds, so a watch that ends exactly at that time could end too early.
 const CONFIRMED_AFTER: Duration = Duration::from_millis(20);
 
-/// A balancer has just started for this time: two rounds of heartbeats to learn who else follows the store, and some more.
+/// Period after the start in which a balancer leaves watches to others: two rounds of heartbeats to
+/// learn which balancers follow the store, and a margin.
 const FRESH_FOR: Duration = Duration::from_millis(1_200);
 
-/// `BackendNews` is what the store says of one backend server.
+/// A change of the entry of one backend server, as reported by the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendNews {
-    /// The name of its entry.
+    /// The name of the entry.
     pub name: BackendName,
     /// The store's position at the change.
     pub position: StorePosition,
-    /// What became of the entry.
+    /// What happened to the entry.
     pub change: EntryChange,
 }
 
-/// `EntryChange` is what the store says of an entry.
+/// State of an entry after a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EntryChange {
-    /// It is there.
+    /// The entry exists and is usable.
     Written(BackendEntry),
-    /// It is there, and names no backend server to use.
+    /// The entry exists but does not describe a usable backend server.
     Unusable,
-    /// It is gone.
+    /// The entry was deleted, by its owner or by the store when its lease expired.
     Deleted,
 }
 
-/// `StoreLink` follows all kinds of objects.
+/// Follows all kinds of objects in the store and applies the replies to the knowledge.
 #[derive(Debug)]
 pub struct StoreLink {
     routes: StoreFollower,
     backends: StoreFollower,
-    /// None where operators evacuate no zones.
+    /// `None` where operators cannot evacuate zones.
     evacuations: Option<EvacuationFollower>,
-    /// What the list that is being read has so far.
+    /// The backend servers in the pages read so far of the current list.
     listed: HashSet<InstanceId>,
     /// When that list was begun.
     list_began: Option<Instant>,
-    /// The last era of the store that was heard of; none before the first one.
+    /// The latest known era of the store; `None` before the first one is known.
     era: Option<StoreEra>,
     /// When the store last failed to answer this balancer or another one, or was restored.
     last_failure: Option<Instant>,
-    /// Whether a call of this balancer has failed since it last began to follow the store.
+    /// Whether a call has failed since this balancer last began to follow the store.
     has_failed_since_begin: bool,
     /// When this balancer started.
     started_at: Instant,
 }
 
 impl StoreLink {
-    /// Creates a link that has read nothing. Zones can be evacuated where they are given.
+    /// Creates a link that has read nothing. `evacuable` holds the availability zones that
+    /// operators can evacuate; `None` if they cannot evacuate any.
     #[must_use]
     pub fn new(evacuable: Option<BTreeSet<ZoneName>>, now: Instant) -> Self {
         Self {
@@ -91,7 +94,7 @@
         }
     }
 
-    /// Returns whether the store does not answer this balancer.
+    /// Reports whether the last call failed for any kind of object.
     #[must_use]
     pub fn is_failing(&self) -> bool {
         let evacuations = self.evacuations.as_ref();
@@ -101,7 +104,7 @@
             || evacuations.is_some_and(EvacuationFollower::is_failing)
     }
 
-    /// Returns what was noticed of the store since the last call.
+    /// Returns the decisions to log, collected since this was last called.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         let mut decisions = self.routes.take_decisions();
         decisions.extend(self.backends.take_decisions());
@@ -109,8 +112,11 @@
         decisions
     }
 
-    /// Returns when the store last answered for routes and backend servers, for the kind that it answered longer ago.
-    /// With a third kind in it others would be told of an answer more often than each 1.5 s, and each by four messages.
+    /// Returns the earlier of the times at which the store last answered for routes and for backend
+    /// servers; `None` until it has answered for both.
+    ///
+    /// Evacuations are left out: with a third kind, answers would be announced to peers more often
+    /// than every 1.5 s, each with four messages.
     #[must_use]
     pub fn answered_at(&self) -> Option<Instant> {
         let routes = self.routes.last_answer()?;
@@ -119,7 +125,8 @@
         Some(routes.min(backends))
     }
 
-    /// Returns the same while the store answers; none while it does not.
+    /// Returns the value of [`Self::answered_at`] while the store answers; `None` while it does
+    /// not.
     #[must_use]
     pub fn answering_since(&self, now: Instant) -> Option<Instant> {
         let is_recent = |at: &Instant| now.saturating_duration_since(*at) <= ANSWER_LIFE;
@@ -127,32 +134,34 @@
         self.answered_at().filter(is_recent).filter(|_| !self.is_failing())
     }
 
-    /// Returns how long the last page took of a list of backend servers that is being read and has more of them.
+    /// Returns the duration of the call for the last page of a list of backend servers that is
+    /// being read and has further pages; `None` if there is no such list.
     #[must_use]
     pub fn page_time(&self) -> Option<Duration> {
         self.backends.page_time()
     }
 
-    /// Returns when the store last failed to answer this balancer or another one, or was restored.
+    /// Returns when the store last failed to answer this balancer or another one, or was restored;
+    /// `None` if neither has happened.
     #[must_use]
     pub fn last_failure(&self) -> Option<Instant> {
         self.last_failure
     }
 
-    /// Records a store failure that a peer has told of.
+    /// Records the time of a store failure that a peer has reported.
     pub fn merge_peer_failure(&mut self, at: Option<Instant>) {
         self.last_failure = self.last_failure.max(at);
     }
 
-    /// Returns when entries have returned that lapsed before the store last failed; none if
-    /// it never did.
+    /// Returns the time by which entries that lapsed before the store's last failure have been
+    /// written again; `None` if it never failed.
     #[must_use]
     pub fn settles_at(&self) -> Option<Instant> {
         self.last_failure.map(|at| at + RETRY_TIME + RETURN_TIME)
     }
 
-    /// Returns until when an entry that goes now may return: it may have lapsed in an
-    /// outage. None: it is gone.
+    /// Returns until when an entry that disappears now may be written again, because it may have
+    /// lapsed in an outage; `None` if its disappearance is final.
     #[must_use]
     pub fn missing_until(&self, now: Instant) -> Option<Instant> {
         let is_unsettled = self.settles_at().is_some_and(|at| at > now);
@@ -160,15 +169,16 @@
         is_unsettled.then(|| now + RETURN_TIME)
     }
 
-    /// Returns whether the store does not answer this balancer since it last began to follow it. What failed
-    /// before says nothing of this try: a call whose answer is long has no other chance than to be waited for.
+    /// Reports whether calls have been failing since this balancer last began to follow the store.
+    /// Failures before that are no reason to give up the present attempt: a call with a long answer
+    /// has to be waited for.
     #[must_use]
     pub fn is_try_failing(&self) -> bool {
         self.has_failed_since_begin && self.is_failing()
     }
 
-    /// Prepares for following the store. Where nobody has followed it for a while, it may
-    /// have been away.
+    /// Prepares for following the store. If nobody has followed it for a while, an outage is
+    /// assumed.
     pub fn begin(&mut self, knowledge: &Knowledge, now: Instant) {
         self.has_failed_since_begin = false;
         let shortest_lapse = knowledge.entry_times().shortest_lapse();
@@ -179,8 +189,9 @@
         }
     }
 
-    /// Records the era of the store, as it says or as another balancer knows it. A restored store counts as away until now: entries
-    /// that its copy lacks may be written again.
+    /// Records the era of the store, as reported by the store or by another balancer. A restored
+    /// store counts as unreachable until now, since entries that its backup lacks may be written
+    /// again.
     pub fn enter_era(&mut self, era: StoreEra, now: Instant) {
         let former = self.era.replace(self.era.map_or(era, |known| known.max(era)));
 
@@ -189,8 +200,9 @@
         }
     }
 
-    /// Returns the calls that are due. One that is not staying follows until others are known to. Where packets wait for
-    /// entries that are not known, one that stays begins to watch for them at once.
+    /// Returns the calls that are due. A balancer that is not going to keep following the store
+    /// makes calls until enough others are known to follow it. If packets wait for unknown entries,
+    /// a balancer that keeps following begins to watch for them at once.
     pub fn calls(
         &mut self,
         knowledge: &Knowledge,
@@ -199,7 +211,7 @@
         now: Instant,
     ) -> Vec<(StoreKind, StoreCall)> {
         let known_until = knowledge.directory.complete_until();
-        // A watch may tell of a return late; a list does not.
+        // A watch may report a returned entry late; a list shows it at once.
         if knowledge.directory.has_overdue(now) {
             self.backends.list_again();
         }
@@ -227,8 +239,8 @@
         routes.into_iter().chain(backends).chain(evacuations).collect()
     }
 
-    /// Returns the call about evacuated zones that is due. A balancer that has just started reads what it needs to know, and leaves
-    /// the watches to others.
+    /// Returns the call for evacuated zones that is due. A balancer that has just started reads the
+    /// list if its peers have not reported it, and leaves the watches to others.
     fn next_evacuations(
         &mut self,
         knowledge: &Knowledge,
@@ -241,7 +253,8 @@
         } else if knowledge.evacuated.is_known() {
             is_staying && !self.is_fresh(now)
         } else {
-            // Before there is a configuration, too: else all balancers would go on trying to learn.
+            // Also while there is no configuration: otherwise all balancers would keep trying to
+            // read the evacuations.
             self.answered_at().is_some()
         };
 
@@ -249,14 +262,15 @@
         follower.next_call(&knowledge.evacuated, now)
     }
 
-    /// Whether this balancer has just started. It reads what it needs to know, and leaves watches to others: of many that start at
-    /// once nearly all begin to follow, and most have stopped when this time is over. What changed meanwhile the first watch
-    /// tells at once.
+    /// Reports whether this balancer has just started. It then reads the lists that it needs and
+    /// leaves watches to others: when many balancers start at once, nearly all begin to follow the
+    /// store, and most have stopped by the end of this period. The first watch reports at once what
+    /// has changed meanwhile.
     fn is_fresh(&self, now: Instant) -> bool {
         self.started_at + FRESH_FOR > now
     }
 
-    /// Returns whether the last call for a kind failed.
+    /// Reports whether the last call for a kind of object failed.
     #[must_use]
     pub fn is_kind_failing(&self, kind: StoreKind) -> bool {
         match kind {
@@ -268,8 +282,8 @@
         }
     }
 
-    /// Processes an answer about evacuated zones. Returns what is the case by now, where that is
-    /// known.
+    /// Processes a reply about evacuated zones. Returns the set of evacuated zones; `None` if it is
+    /// not completely known or has not advanced.
     pub fn on_evacuations_reply(
         &mut self,
         knowledge: &Knowledge,
@@ -281,15 +295,14 @@
         self.evacuations.as_mut()?.on_reply(&knowledge.evacuated, reply, now)
     }
 
-    /// Processes an answer about the configuration. Returns what it brought.
+    /// Processes a reply about the configuration. Returns the configurations that it brought.
     pub fn on_routes_reply(&mut self, reply: StoreReply<RouteMap>, now: Instant) -> Vec<RouteMap> {
         self.note_reply(&reply, now);
 
         self.routes.on_reply(reply, now).objects
     }
 
-    /// Processes an answer about backend servers. Returns those of which
-    /// something else is believed now.
+    /// Processes a reply about backend servers. Returns those whose known state has changed.
     pub fn on_backends_reply(
         &mut self,
         knowledge: &mut Knowledge,
@@ -320,7 +333,8 @@
         changed
     }
 
-    /// Takes in what the store says of one backend server; gives those of which something else is believed.
+    /// Applies the change of one backend server's entry. Returns the backend servers whose known
+    /// state has changed.
     fn take(&self, knowledge: &mut Knowledge, news: BackendNews, now: Instant) -> Vec<InstanceId> {
         let directory = &mut knowledge.directory;
         let BackendNews { name, position, change } = news;
@@ -335,7 +349,8 @@
         match (change, self.missing_until(now)) {
             (EntryChange::Written(entry), _) => return directory.admit(entry, now),
             (EntryChange::Unusable, _) => {
-                // It is there again if it had lapsed: others may have seen that it was good meanwhile.
+                // If the entry had lapsed, it exists again: it may have been usable meanwhile, and
+                // others may have seen that.
                 let births = if living.is_empty() { directory.births(name) } else { living };
                 living = births;
                 living.retain(|instance| directory.mark_unusable(*instance, position));
@@ -355,7 +370,8 @@
         living
     }
 
-    /// Takes in what a reply completes; gives the backend servers that it shows to be absent.
+    /// Applies what is completely known after a reply. Returns the backend servers that it shows to
+    /// be absent.
     fn complete(
         &self,
         knowledge: &mut Knowledge,
--- a/crates/valvestage-policy/src/steering/store/watch_role.rs
+++ b/crates/valvestage-policy/src/steering/store/watch_role.rs
@@ -1,14 +1,15 @@
-//! Which balancers follow the store.
+//! The choice of the balancers that follow the store.
 //!
-//! Calls to the store are few for the whole deployment, so some balancers follow it and tell the
-//! others. Nobody appoints them: a balancer that hears of too few begins, after a pause drawn anew each
-//! time so that not all begin at once, and one that hears of too many stops. Of many the two with the
-//! lowest addresses stay, the second one in another availability zone than the first, since a zone that
-//! is cut off takes its followers with it.
+//! To keep calls to the store few in the whole deployment, some balancers follow it and report what
+//! they read to the others. The choice is made without coordination: a balancer that knows of too
+//! few followers begins to follow after a pause, which is drawn anew each time so that not all
+//! begin at once, and one that knows of too many stops. Of many followers the two with the lowest
+//! addresses stay, the second one in another availability zone than the first, since a zone that is
+//! cut off takes its followers with it.
 //!
-//! While the store answers nobody, or turns some balancers away, a few try at a time. One that gets no
-//! answer lets others try, so that calls do not grow with the deployment, and one that the store
-//! does answer is found.
+//! While the store answers nobody, or refuses some balancers, a few balancers try at a time. A
+//! balancer that gets no answer backs off and lets others try, so that the number of calls does not
+//! grow with the deployment and a balancer that the store does answer is found.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -18,97 +19,110 @@
 
 use crate::steering::peers::peer_message::WatcherSighting;
 
-/// Balancers that follow the store: one may fail or be cut off without a gap.
+/// Number of balancers that follow the store, so that one may fail or be cut off without a gap.
 const WANTED_WATCHERS: usize = 2;
 
-/// A balancer whose last answer of the store is older than this no longer counts: one watch of 1.5 s,
-/// and time for the news of its end.
+/// A balancer counts as a follower for so long after the store last answered it: one watch of 1.5
+/// s, and time for the report of its end to spread.
 const SIGHTING_LIFE: Duration = Duration::from_millis(2_200);
 
-/// A sighting that is newer by this much is passed on at once: news of a watch's end has to outrun
-/// the life of a sighting.
+/// A sighting that is newer by at least this much is forwarded at once, so that the report of a
+/// watch's end arrives before the former sighting expires.
 const NEWS_STEP: Duration = Duration::from_millis(600);
 
-/// Followers told of in one heartbeat, those first that stay; more of them are about to stop.
+/// Number of followers named in one heartbeat, those that stay first. Any further ones are about to
+/// stop.
 const MAX_TOLD: usize = 4;
 
-/// How long a peer's unanswered attempt counts.
+/// How long an attempt counts of a peer that the store does not answer.
 const ATTEMPT_TTL: Duration = Duration::from_millis(800);
 
-/// Balancers that try at once, while what is known is in force everywhere.
+/// Number of balancers that may try at once while the known state is complete and in force.
 const WANTED_TRIERS: usize = 3;
 
-/// Balancers that try at once, of those that know nothing yet: each of them has callers waiting.
+/// Number of balancers that may try at once while they know nothing yet: callers wait at each of
+/// them.
 const WANTED_BEGINNERS: usize = 4;
 
 /// A balancer that gets no answer lets others try after this time.
 const TRY_FOR: Duration = Duration::from_millis(1_600);
 
-/// One whose calls have failed lets others try after this time: a second try each.
+/// A balancer whose calls have failed lets others try after this time, which allows each call one
+/// retry.
 const TRY_FOR_AFTER_FAILURE: Duration = Duration::from_millis(400);
 
-/// Then it does not try again until about all others had their turn, but at least for so long.
+/// Shortest backoff after an unanswered attempt. The backoff lasts about as long as all other
+/// balancers need to try in turn, but not less than this.
 const MIN_BACKOFF: Duration = Duration::from_millis(1_500);
 
-/// And at most for so long: others may be cut off without its knowing.
+/// Longest backoff after an unanswered attempt, since the others may be cut off without this
+/// balancer's knowing.
 const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
-/// Longest pause before a balancer begins to follow the store. With the life of a sighting it stays
-/// below the 3 s within which a configuration has to be in force, but for the last ones to begin.
+/// Longest pause before a balancer begins to follow the store. Together with the time after which a
+/// sighting expires, it stays below the 3 s within which a configuration has to be in force, except
+/// for the last balancers to begin.
 const MAX_JITTER: Duration = Duration::from_millis(600);
 
-/// Shortest pause at the start of the process, in which peers that know everything may speak first.
-/// Two datagrams to and fro take some milliseconds; a store that has to be read costs a call a page.
+/// Shortest pause at the start of the process, in which peers with complete knowledge may report
+/// first. Two datagrams each way take a few milliseconds, while reading the store costs one call
+/// per page.
 const START_DELAY: Duration = Duration::from_millis(15);
 
-/// What is drawn on top of it: when all start at once, some read the store and tell the others.
+/// Upper bound of the jitter that is added to the shortest pause: when all balancers start at once,
+/// some read the store and report to the others.
 const START_JITTER: Duration = Duration::from_millis(45);
 
-/// What is drawn at the first start of a deployment, whose traffic begins ten seconds later, so that most balancers hear of the first
-/// followers before they begin.
+/// Upper bound of the jitter at the first start of a deployment, whose traffic begins 10 s later:
+/// most balancers learn of the first followers before they begin themselves.
 const FIRST_START_JITTER: Duration = Duration::from_millis(3_000);
 
-/// Pause for a peer that knows everything to tell it.
+/// Time for a peer with complete knowledge to answer a pull before this balancer begins to follow
+/// the store.
 const PULL_GRACE: Duration = Duration::from_millis(100);
 
-/// `RoleState` is what the decision goes by, besides other balancers.
+/// Inputs of the decision other than what is known of other followers.
 #[derive(Debug, Clone, Copy)]
 pub struct RoleState {
     /// Whether the store answers this balancer.
     pub is_answering: bool,
-    /// Whether calls of this balancer have failed since it began to follow the store, and since that last answered it.
+    /// Whether calls of this balancer have failed since it began to follow the store and since the
+    /// store last answered it.
     pub is_failing: bool,
-    /// Whether this balancer knows all that it needs, or all that there is.
+    /// Whether this balancer knows everything that it needs, or everything that exists.
     pub is_complete: bool,
     /// Whether balancers of more than one availability zone are known.
     pub has_zones: bool,
-    /// How long the last page took of a long list that this balancer is reading; none: it reads no such list.
+    /// Duration of the call for the last page of a long list that this balancer is reading; `None`
+    /// if it reads no such list.
     pub page_time: Option<Duration>,
-    /// Whether a balancer was heard that knows everything, and can be asked.
+    /// Whether a peer with complete knowledge has been heard and can be asked.
     pub hears_complete: bool,
-    /// Whether another balancer is telling this one what it knows.
+    /// Whether a peer is currently sending its knowledge to this balancer.
     pub is_being_told: bool,
-    /// Balancers that were heard lately.
+    /// Number of peers that were heard recently.
     pub recent_peers: u32,
-    /// A draw between 0 and 1.
+    /// A random number between 0 and 1.
     pub draw: f64,
 }
 
-/// What is known of another balancer that follows the store.
+/// What is known of another balancer that follows the store or tries to.
 #[derive(Debug, Clone)]
 struct Sighting {
-    /// When the store last answered it, or when it was trying.
+    /// When the store last answered it or, if the store does not answer it, when it last tried.
     seen_at: Instant,
     is_answered: bool,
-    /// How long the last page took of a long list that it is reading.
+    /// Duration of the call for the last page of a long list that it is reading, in milliseconds.
     page_ms: Option<u16>,
     zone: ZoneName,
 }
 
-/// `ReaderRank` orders balancers that read a long list: the faster ones first, and those that are about as fast by address.
+/// Sort key of balancers that read a long list: the faster ones first, and those of about the same
+/// speed by address.
 type ReaderRank = (u32, SocketAddrV4);
 
-/// The rank of a balancer that reads a long list, or has not begun. Times of pages differ by chance, so only their magnitude counts.
+/// Returns the rank of a balancer that reads a long list or, without a page time, has not begun.
+/// Page times vary by chance, so only their order of magnitude counts.
 fn reader_rank(page_ms: Option<u16>, peer: SocketAddrV4) -> ReaderRank {
     let magnitude = page_ms.map_or(u32::MAX, |time| time.max(1).ilog2());
 
@@ -123,26 +137,27 @@
     }
 }
 
-/// `WatchRole` decides whether this balancer follows the store.
+/// Decides whether this balancer follows the store.
 #[derive(Debug)]
 pub struct WatchRole {
     own: SocketAddrV4,
     watching: bool,
     zone: ZoneName,
-    /// The balancers that follow the store, this one left out.
+    /// The other balancers that follow the store or try to.
     sightings: BTreeMap<SocketAddrV4, Sighting>,
-    /// When the store had last answered this balancer when others were told.
+    /// Time of the store's answer that was last announced to peers.
     told: Option<Instant>,
-    /// When to begin, while there are too few.
+    /// When to begin to follow the store, while too few others do.
     begin_at: Option<Instant>,
-    /// Until when to try, while the store does not answer.
+    /// Until when to keep trying, while the store does not answer.
     try_until: Option<Instant>,
     /// Until when not to try.
     backoff_until: Option<Instant>,
 }
 
 impl WatchRole {
-    /// `new` waits for peers for a moment that is drawn between 0 and 1.
+    /// Creates the role of a balancer that has just started. It waits for its peers for a time that
+    /// `draw`, between 0 and 1, determines.
     #[must_use]
     pub fn new(
         own: SocketAddrV4,
@@ -165,38 +180,40 @@
         }
     }
 
-    /// `on_pull_sent` takes in that a peer was asked for what is not known here.
+    /// Records that a peer was asked for missing knowledge, which postpones the begin of following.
     pub fn on_pull_sent(&mut self, now: Instant) {
         if let Some(begin_at) = &mut self.begin_at {
             *begin_at = now + PULL_GRACE;
         }
     }
 
-    /// `next_due` gives when to decide again at the latest; none if nothing is due.
+    /// Returns when [`Self::step`] has to be called at the latest; `None` if nothing is due.
     #[must_use]
     pub fn next_due(&self) -> Option<Instant> {
         self.begin_at
     }
 
-    /// `is_watching` tells whether this balancer follows the store.
+    /// Reports whether this balancer follows the store.
     #[must_use]
     pub fn is_watching(&self) -> bool {
         self.watching
     }
 
-    /// Returns whether this balancer goes on following the store, as far as it knows of others that do.
+    /// Reports whether this balancer will keep following the store, as far as it knows the other
+    /// followers.
     #[must_use]
     pub fn is_staying(&self, has_zones: bool) -> bool {
         self.watching && self.is_chosen(has_zones)
     }
 
-    /// `others` gives the number of others that are known to follow it.
+    /// Returns the number of other balancers that are known to follow the store or to try to.
     #[must_use]
     pub fn others(&self) -> usize {
         self.sightings.len()
     }
 
-    /// `on_sighting` takes in that a balancer follows the store; true if others should hear it now.
+    /// Records the report that a balancer follows the store. Returns whether peers should be
+    /// notified at once.
     pub fn on_sighting(&mut self, told: &WatcherSighting, now: Instant) -> bool {
         let Some(seen_at) = time_of_age(told.age_ms, now) else { return false };
         let sighting = Sighting {
@@ -219,15 +236,16 @@
                     || known.is_answered != told.is_answered
                     || known.page_ms.is_none() && told.page_ms.is_some()
             }
-            // In a herd that starts at once many follow for a moment; some are enough to tell of.
+            // When many balancers start at once, many of them follow for a moment; it is enough to
+            // announce some of them.
             None => self.sightings.len() < MAX_TOLD,
         };
         self.sightings.insert(told.peer, sighting);
         is_news
     }
 
-    /// `on_answer` takes in that the store has answered this balancer; true if others should hear it
-    /// now.
+    /// Records that the store has answered this balancer. Returns whether peers should be notified
+    /// at once.
     pub fn on_answer(&mut self, answered_at: Instant) -> bool {
         if !self.watching || self.told.is_some_and(|told| answered_at < told + NEWS_STEP) {
             return false;
@@ -237,8 +255,8 @@
         true
     }
 
-    /// `sightings` gives those that follow the store, for heartbeats. `answered_at` is when the store
-    /// last answered this balancer; none while it does not.
+    /// Returns the followers to name in heartbeats. `answered_at` is the time of the store's last
+    /// answer to this balancer, `None` while the store does not answer it.
     #[must_use]
     pub fn sightings(
         &self,
@@ -267,7 +285,7 @@
         told
     }
 
-    /// `step` decides anew.
+    /// Updates the decision whether this balancer follows the store.
     pub fn step(&mut self, state: RoleState, now: Instant) {
         self.sightings.retain(|_, sighting| sighting.is_alive(now));
         if state.is_answering {
@@ -276,7 +294,8 @@
 
         if state.is_complete && self.has_enough(state) {
             self.begin_at = None;
-            // A follower without a working connection to the store steps down regardless of its address.
+            // A follower without a working connection to the store steps down regardless of its
+            // address.
             self.watching &= state.is_answering && self.is_chosen(state.has_zones);
         } else if self.watching {
             self.retry_or_yield(state, now);
@@ -285,7 +304,8 @@
         }
     }
 
-    /// Stops following the store once the attempt deadline has passed, so that another balancer can try.
+    /// Stops following the store if others provide what is missing, or once the attempt deadline
+    /// has passed, so that another balancer can try.
     fn retry_or_yield(&mut self, state: RoleState, now: Instant) {
         if !state.is_complete && (state.is_being_told || self.is_outranked(state)) {
             self.watching = false;
@@ -305,7 +325,8 @@
         }
     }
 
-    /// Begins, unless enough others are at it.
+    /// Begins to follow the store after the pause, unless enough others are trying or this balancer
+    /// backs off.
     fn consider(&mut self, state: RoleState, now: Instant) {
         let wanted = if state.is_complete { WANTED_TRIERS } else { WANTED_BEGINNERS };
         let trying = self.sightings.values().filter(|sighting| !sighting.is_answered).count();
@@ -326,8 +347,9 @@
         }
     }
 
-    /// Whether enough others that come before this balancer are reading what nobody knows yet. A long list takes longer than any
-    /// pause before the next ones begin, and all that read it share the store's link.
+    /// Reports whether enough balancers with a better rank are reading what no balancer knows yet.
+    /// A long list takes longer to read than any pause before the next balancers begin, and all
+    /// that read it share the store's link.
     fn is_outranked(&self, state: RoleState) -> bool {
         let own = reader_rank(state.page_time.map(whole_millis), self.own);
         let is_before = |(peer, sighting): &(&SocketAddrV4, &Sighting)| {
@@ -338,7 +360,8 @@
         !state.hears_complete && before >= WANTED_BEGINNERS
     }
 
-    /// Whether the store answers enough others: two, and not both in one zone where there are more.
+    /// Reports whether the store answers enough other balancers: two, in different availability
+    /// zones where there is more than one.
     fn has_enough(&self, state: RoleState) -> bool {
         let answered = self.answered();
         let mut zones: Vec<&ZoneName> = answered.iter().map(|(_, zone)| *zone).collect();
@@ -349,14 +372,14 @@
         answered.len() >= WANTED_WATCHERS && zones.len() >= wanted_zones
     }
 
-    /// The others whom the store answers, by address.
+    /// Returns the other balancers that the store answers, ordered by address.
     fn answered(&self) -> Vec<(SocketAddrV4, &ZoneName)> {
         let answered = self.sightings.iter().filter(|(_, sighting)| sighting.is_answered);
 
         answered.map(|(peer, sighting)| (*peer, &sighting.zone)).collect()
     }
 
-    /// Whether this balancer is one of those that stay.
+    /// Reports whether this balancer is one of the two that stay, as long as the store answers it.
     fn is_chosen(&self, has_zones: bool) -> bool {
         let mut all = self.answered();
         all.push((self.own, &self.zone));
@@ -369,8 +392,9 @@
     }
 }
 
-/// Puts the two that stay before all others: a balancer that hears of one zone only goes on following, and in a
-/// herd one zone alone may have more followers than are told of. While long lists are read, those that come first in it do.
+/// Sorts followers so that the two that stay come first. A balancer that hears of followers in one
+/// zone only keeps following, and when many start at once, a single zone may have more followers
+/// than a heartbeat names. While long lists are read, the readers with the best rank come first.
 fn staying_first(mut sightings: Vec<WatcherSighting>) -> Vec<WatcherSighting> {
     if sightings.iter().any(|sighting| sighting.page_ms.is_some()) {
         sightings.sort_by_key(|sighting| reader_rank(sighting.page_ms, sighting.peer));
@@ -388,20 +412,21 @@
     sightings
 }
 
-/// How long one that got no answer rests, so that the others come first.
+/// Returns how long a balancer without an answer backs off, so that all others try before it.
 fn backoff_for(recent_peers: u32) -> Duration {
-    // Some try at a time, and each turn takes about as long as a call that gets no answer.
+    // Three balancers try at a time, and each turn takes about as long as a call without an answer.
     const TURN: Duration = Duration::from_millis(800);
     let turns = recent_peers / 3;
 
     (TURN * turns).clamp(MIN_BACKOFF, MAX_BACKOFF)
 }
 
-/// Added to what a message says of ages, for its way. With less than the real time a piece of news
-/// that is passed on at once would stay young for ever.
+/// Added to the ages in a message for its transit time. If it were less than the real transit time,
+/// information that is forwarded at once would never age.
 const HOP_AGE: Duration = Duration::from_millis(10);
 
-/// The time of something that another balancer gave an age for.
+/// Returns the time of an event whose age another balancer reported; `None` if it is too far in the
+/// past.
 pub(in crate::steering) fn time_of_age(age_ms: u32, now: Instant) -> Option<Instant> {
     now.checked_sub(Duration::from_millis(age_ms.into()) + HOP_AGE)
 }
--- a/crates/valvestage-policy/tests/steering/follower.rs
+++ b/crates/valvestage-policy/tests/steering/follower.rs
@@ -1,4 +1,4 @@
-//! Listing, watching, and what goes wrong meanwhile.
+//! Listing and watching one kind of object in the store, with failures, lost history and new eras.
 
 use std::time::Instant;
 
@@ -41,7 +41,7 @@
         Some(StoreCall::List { after: Some("b".to_owned()), freshness: ListFreshness::Current });
     assert_eq!(follower.next_call(at(0), now), second);
 
-    // Something changed between the two pages: the watch replays it.
+    // Something has changed between the two pages: the watch replays it.
     let news = follower.on_reply(page(&[3], None, 15), now);
     let ends = Completeness::ListEnds { position: at(10), after_outage: false, single_page: false };
     assert_eq!(news, FollowerNews { objects: vec![3], completes: ends });
@@ -152,7 +152,7 @@
     assert_eq!(follower.next_call(at(0), now), second);
 }
 
-/// A follower of backend servers that has just been told of a change.
+/// Creates a follower that has just received a change.
 fn told_of_a_change(kind: StoreKind, now: Instant) -> StoreFollower {
     let mut follower = StoreFollower::new(kind);
     follower.next_call(at(0), now);
@@ -169,7 +169,7 @@
 
     assert!(follower.next_call(at(0), now + millis(390)).is_none());
     let call = follower.next_call(at(0), now + millis(410));
-    // The answers of a follower are never further apart than those of one without news.
+    // The pause shortens the watch, so that answers are never further apart than without changes.
     let Some(StoreCall::Watch { wait, .. }) = call else { panic!("{call:?}") };
     assert!(wait + millis(410) <= WATCH_WAIT, "{wait:?}");
 }
--- a/crates/valvestage-policy/tests/steering/large_answers.rs
+++ b/crates/valvestage-policy/tests/steering/large_answers.rs
@@ -1,12 +1,12 @@
-//! What balancers tell each other when there is much to tell.
+//! Guards against answers between balancers that overflow the queue of a slow link.
 //!
-//! Seen: a configuration that had grown to 4,245 addresses was in force at the balancers that follow the store, and
-//! for seven seconds nowhere else; callers were served by the one before. Drains and ends of backend servers were
-//! not known either. How it came about: a balancer with a link of 10 Mbit/s answered with 118 datagrams at once, and
-//! the queue of its link took the first 64 KB. The rest was lost, the same parts each time, and with them what stood
-//! behind them: the changes of backend servers. What was there counted for nothing in the next answer. Cause: an
-//! answer without a bound for what is sent at once, and without a way to ask for the rest. Proved by log lines that tell
-//! the parts which came (101 to 106 of 118, always the first ones), and by these tests.
+//! A configuration of 4,245 addresses reached only the balancers that follow the store; everywhere
+//! else the former one stayed in force for 7 s, and drains and ends of backend servers stayed
+//! unknown too. A balancer with a link of 10 Mbit/s had answered with 118 datagrams at once, of
+//! which the link's queue took the first 64 KB. The rest was lost, the same parts each time (101 to
+//! 106 of the 118 arrived, always the first ones), and with it the changes of backend servers
+//! behind it. The parts that had arrived were not reused for the next answer. An answer therefore
+//! needs a limit on what is sent at once, and a way to ask for the rest.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -18,17 +18,17 @@
 use crate::fixtures::{HOME, backend, millis, routes, target};
 use crate::links::{LinkLimits, SLOW_LINK};
 
-/// A service's name as long as those in operation.
+/// A service name of the usual length.
 const SERVICE: &str = "streams";
 
-/// The longest that a new configuration may take until it is in force everywhere.
+/// Maximum time until a new configuration is in force everywhere.
 const BOUND_MS: u64 = 3_000;
 
-/// Half of those that restart together are ready within this time: half of the two seconds over which service after a restart is
-/// measured.
+/// Maximum time until half of the balancers that restart together are ready: half of the 2 s over
+/// which service after a restart is measured.
 const HALF_READY_WITHIN: Duration = Duration::from_secs(1);
 
-/// A configuration of so many addresses.
+/// Returns a configuration with the given number of addresses.
 fn large_routes(version: u64, addresses: u16) -> RouteMap {
     let address = |number: u16| {
         let [high, low] = number.to_be_bytes();
@@ -40,7 +40,7 @@
     RouteMap { version, routes, idle_timeout_ms: 15_000, ..Default::default() }
 }
 
-/// One of many backend servers, each at an address of its own.
+/// Returns one of many backend servers, each with an address of its own.
 fn one_of_many(instance: u64) -> BackendEntry {
     let [.., high, low] = instance.to_be_bytes();
     let address = SocketAddrV4::new(Ipv4Addr::new(10, 1, high, low), 8_080);
@@ -48,7 +48,8 @@
     BackendEntry { address, ..backend(instance, SERVICE, HOME) }
 }
 
-/// Balancers with such links in three availability zones, which know a configuration and four backend servers.
+/// Returns balancers in three availability zones, with the given links, that know a configuration
+/// and four backend servers.
 fn settled(count: usize, limits: LinkLimits) -> Deployment {
     let mut deployment = Deployment::over_links(count, 3, Some(limits));
     deployment.store.put_routes(routes(3, &[(443, "core")]));
@@ -83,12 +84,15 @@
     assert!(took <= millis(BOUND_MS), "{took:?}");
 }
 
-/// Of the 4 s after which balancers are held to bounds again whose connections fell silent, 2.2 s may go by until others notice that
-/// nobody is answered, and 0.85 s until one of them has read the configuration over a slow link.
+/// Time left to spread a configuration, in milliseconds. Balancers whose connections fell silent
+/// are held to bounds again after 4 s. Of these, up to 2.2 s pass until others notice that the
+/// store answers nobody, and 0.85 s until one of them has read the configuration over a slow link.
 const LEFT_TO_TELL_MS: u64 = 950;
 
-/// Few have it at the same moment and tell the others, who ask them all at once: whoever has some of it goes on first, so that
-/// it is whole somewhere soon, and can be had there. Where all had the same turns, all were done at the same late moment.
+/// Guards against balancers that answer all pulls in equal turns. A few have the configuration at
+/// first, and all others ask them at once. A balancer that has received some of it is served first,
+/// so that others soon have all of it and can answer too. With equal turns, all would complete at
+/// the same late moment.
 #[test]
 fn ninety_are_told_of_a_large_configuration_before_their_time_is_over() {
     let mut deployment = settled(90, SLOW_LINK);
@@ -170,7 +174,8 @@
 #[test]
 fn a_balancer_that_starts_over_slow_links_learns_of_many_backend_servers_in_time() {
     let mut deployment = settled(6, SLOW_LINK);
-    // Those of the size to design for, and as many that were there before them.
+    // As many backend servers as the system is designed for, and as many again that were there
+    // before them.
     for instance in 5..=5_400 {
         deployment.store.put_backend(one_of_many(instance));
     }
@@ -184,8 +189,9 @@
     assert_eq!(deployment.node(5).knowledge().directory.iter().count(), 5_400);
 }
 
-/// Pattern: many balancers ask few others for all backend servers at once. If all had the same turns all would be done at the same late
-/// moment, and none could tell others before.
+/// Guards against answering in equal turns when many balancers ask a few others for all backend
+/// servers at once: all would complete at the same late moment, and none could answer others
+/// before.
 #[test]
 fn a_herd_that_asks_few_for_many_backend_servers_is_ready_soon() {
     const BALANCERS: usize = 40;
--- a/crates/valvestage-policy/tests/steering/late_messages.rs
+++ b/crates/valvestage-policy/tests/steering/late_messages.rs
@@ -1,6 +1,8 @@
-//! Pattern: a balancer stands still for some seconds, and messages wait to be read. Each tells how old its news is; read late, that
-//! is wrong by the time of the standstill. Told on as fresh, it kept 75 balancers from noticing for 2 s that the store answered nobody
-//! any more, and a configuration came into force 0.3 s too late.
+//! Guards against stale information that is forwarded as fresh.
+//!
+//! While a balancer is paused, received messages wait to be read, and the ages in them are then too
+//! low by the length of the pause. Forwarded as fresh, they kept 75 balancers from noticing for 2 s
+//! that the store answered nobody any more, and a configuration came into force 0.3 s too late.
 
 use std::time::{Duration, Instant};
 
@@ -11,10 +13,10 @@
 
 use crate::fixtures::{AWAY, HOME, address, at, millis, start};
 
-/// How long it stands still.
+/// How long the balancer is paused.
 const STANDSTILL: Duration = Duration::from_millis(1_500);
 
-/// How old the news was when it was sent, in milliseconds.
+/// Age of the sighting when it was sent, in milliseconds.
 const SENT_AGE_MS: u32 = 150;
 
 fn heartbeat() -> PeerHeartbeat {
@@ -59,7 +61,8 @@
     EntryPolicy::new(options, now)
 }
 
-/// Reads the message, and gives the ages of the follower in what the balancer tells others then and in the next 300 ms.
+/// Delivers the message, and returns the ages of the follower in the heartbeats that the balancer
+/// sends in the next 300 ms.
 fn told_ages(policy: &mut EntryPolicy, now: Instant) -> Vec<u32> {
     let message = PeerMessage::Heartbeat(heartbeat());
     let mut actions = policy.on_message(address(2, 7_400), message, now);
--- a/crates/valvestage-policy/tests/steering/links.rs
+++ b/crates/valvestage-policy/tests/steering/links.rs
@@ -1,33 +1,33 @@
-//! Links that carry so many bytes a second, and lose what does not fit into their queue.
+//! Simulated links with a limited rate, which drop datagrams that do not fit into their queue.
 
 use std::time::{Duration, Instant};
 
 use valvestage_policy::steering::PeerMessage;
 use valvestage_policy::steering::seeded_draw::SeededDraw;
 
-/// Bytes of the heads of a datagram on an Ethernet link: UDP, IP and the frame.
+/// Bytes of the headers of a datagram on an Ethernet link: UDP, IP and the frame.
 const HEAD_BYTES: usize = 46;
 
-/// What one link takes.
+/// Limits of one link.
 #[derive(Debug, Clone, Copy)]
 pub struct LinkLimits {
     pub bytes_per_s: u32,
-    /// Bytes that wait; a datagram that finds more is lost.
+    /// Maximum number of queued bytes; a datagram that finds more is dropped.
     pub queue_bytes: u32,
-    /// Share of datagrams that are lost besides.
+    /// Share of the other datagrams that are lost at random.
     pub loss: f64,
 }
 
-/// A small VM's link, of 10 Mbit/s, with the queue of a usual network device.
+/// The link of a small VM, 10 Mbit/s with the queue of a common network device.
 pub const SLOW_LINK: LinkLimits =
     LinkLimits { bytes_per_s: 1_250_000, queue_bytes: 64 << 10, loss: 0.0 };
 
-/// The outgoing link of each balancer.
+/// The outgoing links of all balancers.
 pub struct LinkTable {
     limits: LinkLimits,
-    /// When each link has sent all that waits.
+    /// When each link will have sent everything in its queue.
     idle_at: Vec<Option<Instant>>,
-    /// Bytes that were sent.
+    /// Bytes that were sent over all links.
     pub bytes: usize,
     draw: SeededDraw,
 }
@@ -37,13 +37,13 @@
         Self { limits, idle_at: vec![None; count], bytes: 0, draw: SeededDraw::new(7) }
     }
 
-    /// What the settings say of such a link.
+    /// Returns the value of the `link_mbps` setting for such a link.
     #[allow(dead_code, reason = "not every test that has links asks for it")]
     pub fn mbps(&self) -> f64 {
         f64::from(self.limits.bytes_per_s) * 8.0 / 1e6
     }
 
-    /// Sends a message; gives when its last byte has left, or none if it is lost.
+    /// Sends a message. Returns when its last byte has left; `None` if it is lost.
     pub fn send(&mut self, from: usize, message: &PeerMessage, now: Instant) -> Option<Instant> {
         let bytes = postcard::to_stdvec(message).expect("it can be written").len() + HEAD_BYTES;
         let begins_at = self.idle_at[from].map_or(now, |at| at.max(now));
--- a/crates/valvestage-policy/tests/steering/peers.rs
+++ b/crates/valvestage-policy/tests/steering/peers.rs
@@ -1,4 +1,4 @@
-//! Which other balancers are known, and knowledge in datagrams.
+//! The table of known balancers, and the encoding of knowledge in datagrams.
 
 use valvestage_policy::steering::peers::backend_parts::backends_messages;
 use valvestage_policy::steering::peers::part_assembly::PartAssembly;
@@ -127,7 +127,7 @@
     assert!(matches!(&messages[..], [PeerMessage::RoutesIndex(index)] if index.version == 3));
 }
 
-/// What a configuration consists of, where that fits into one datagram.
+/// Returns the index of a configuration if it fits into one datagram.
 fn index_of(catalogue: &RouteCatalogue) -> RoutesIndex {
     match &catalogue.index_messages()[..] {
         [PeerMessage::RoutesIndex(index)] => index.clone(),
@@ -175,7 +175,7 @@
     };
     assert_eq!(told(&directory, at(7)), 2);
 
-    // One of revision 8 is forgotten, so changes after 7 are not all known any more.
+    // An entry of revision 8 is forgotten, so not all changes after 7 are known any more.
     directory.mark_gone(8, at(10), now);
     directory.forget_gone(now + millis(1));
     assert_eq!(told(&directory, at(7)), 8);
--- a/crates/valvestage-policy/tests/steering/slow_store.rs
+++ b/crates/valvestage-policy/tests/steering/slow_store.rs
@@ -1,7 +1,10 @@
-//! Pattern: the configuration is nearly as large as the store takes, and links are slow, so that reading it takes longer than one try of
-//! a balancer whose calls failed before. Ninety tried in turn and none stayed: for ten seconds one availability zone had no
-//! follower, all of the others followed in its place, and each of their answers was told on by everyone, five times as many messages
-//! as usual. After an outage two followers called the store 53 times in 5 s.
+//! Guards against balancers that all give up reading a large configuration over slow links.
+//!
+//! Reading a configuration near the store's size limit takes longer than one attempt of a balancer
+//! whose earlier calls failed. Ninety balancers tried in turn and none kept following: one
+//! availability zone had no follower for 10 s, all balancers of the others followed in its place,
+//! and each of their answers was forwarded by every balancer, five times the usual number of
+//! messages. After an outage two followers called the store 53 times in 5 s.
 
 use std::time::Duration;
 
@@ -10,16 +13,18 @@
 use crate::deployment::Deployment;
 use crate::fixtures::{HOME, backend, millis, routes};
 
-/// A configuration of 5,500 addresses, some 1 MB, over 10 Mbit/s.
+/// Time to read a configuration of 5,500 addresses, some 1 MB, over 10 Mbit/s.
 const READING: Duration = Duration::from_millis(800);
 
 /// A configuration has to be in force within this time.
 const IN_FORCE: Duration = Duration::from_secs(3);
 
-/// Calls of two followers in five seconds, with a watch of at least 0.75 s for each of two kinds, and one that comes or goes.
+/// Calls of two followers in 5 s, with a watch of at least 0.75 s for each of two kinds of objects,
+/// and the calls of one balancer that begins or stops.
 const MAX_CALLS: usize = 32;
 
-/// Messages of one balancer in five seconds: four heartbeats each 400 ms, twice as many for those that answer.
+/// Messages of one balancer in 5 s: four heartbeats every 400 ms, and twice as many for those that
+/// the store answers.
 const MAX_MESSAGES_EACH: usize = 110;
 
 fn settled(count: usize) -> Deployment {
@@ -33,7 +38,8 @@
     deployment
 }
 
-/// The store is away for so long that all have tried in vain.
+/// Returns a deployment after an outage of the store that lasted until all balancers had tried in
+/// vain.
 fn after_an_outage(count: usize) -> Deployment {
     let mut deployment = settled(count);
 
@@ -79,7 +85,7 @@
     assert!(calls <= 220, "{calls} calls in 10 s");
 }
 
-/// All balancers have just started, and their lists fall silent on the way.
+/// All balancers have just started, and the connections of their list calls fall silent.
 #[test]
 fn those_that_know_nothing_do_not_rest_all_at_once() {
     let mut deployment = settled(5);
@@ -89,7 +95,7 @@
     deployment.run(millis(300));
     deployment.silence_connections();
 
-    // Calls that are silent end within 1.8 s, and reading takes 0.8 s.
+    // Calls on silent connections end within 1.8 s, and reading takes 0.8 s.
     let took = deployment.run_until(|now| now.nodes.iter().flatten().all(EntryPolicy::is_ready));
     assert!(took <= millis(2_600) + IN_FORCE / 4, "{took:?}");
 }
--- a/crates/valvestage-policy/tests/steering/watch_role.rs
+++ b/crates/valvestage-policy/tests/steering/watch_role.rs
@@ -1,4 +1,4 @@
-//! Which balancers follow the store.
+//! The choice of the balancers that follow the store.
 
 use std::time::Instant;
 
@@ -44,12 +44,12 @@
     role
 }
 
-/// One that has just started.
+/// Creates the role of a balancer that has just started.
 fn starting(last: u8, draw: f64, now: Instant) -> WatchRole {
     WatchRole::new(address(last, 7_000), zone_of(last).to_owned(), false, draw, now)
 }
 
-/// A balancer that has stopped following because of two others.
+/// Creates the role of a balancer that has stopped following the store because two others do.
 fn off_duty(now: Instant) -> WatchRole {
     let mut role = watching(9, now);
 
@@ -99,7 +99,7 @@
     let now = start();
     let mut role = off_duty(now);
 
-    // Both followers fall silent at once; the steps are heartbeats.
+    // Both followers fail at once. The steps are heartbeats.
     let mut at = now;
     while !role.is_watching() {
         at += millis(100);
@@ -155,7 +155,7 @@
     role.step(unknowing, now);
     assert!(!role.is_watching());
 
-    // Nobody speaks.
+    // No peer reports anything.
     role.step(unknowing, now + millis(15));
     assert!(role.is_watching());
 }
@@ -185,7 +185,7 @@
 
     role.step(state(true, 0.5), now + millis(50));
     assert!(role.is_watching());
-    // Of the three, the second one of the same zone is the one to stop.
+    // Of the three, the second one of the same zone has to stop.
     let mut second = watching(3, now);
     second.on_sighting(&sighting(1, 0), now);
     second.on_sighting(&sighting(8, 0), now);
@@ -244,7 +244,7 @@
     role.step(state(false, 0.0), now + millis(100));
     assert!(!role.is_watching());
 
-    // They have let go.
+    // The sightings of the others have expired.
     let later = now + millis(2_000);
     role.step(state(false, 0.0), later);
     assert!(role.is_watching());
@@ -274,7 +274,7 @@
     let now = start();
     let mut role = off_duty(now);
 
-    // Many of one zone have lower addresses than the first of the other one.
+    // Many balancers of one zone have lower addresses than the first one of the other zone.
     for other in [1, 3, 5, 7, 11, 13, 24] {
         role.on_sighting(&sighting(other, 0), now + millis(1));
     }
@@ -290,18 +290,20 @@
     assert!(told.contains(&address(24, 7_000)), "{told:?}");
 }
 
-/// A reader of a long list, whose last page took so long.
+/// Returns the sighting of a balancer that reads a long list, and whose last page took `page_ms`.
 fn reader(last: u8, page_ms: u16) -> WatcherSighting {
     WatcherSighting { page_ms: Some(page_ms), ..sighting(last, 0) }
 }
 
-/// A balancer that knows nothing yet, and reads a long list itself if a time of its last page is given.
+/// Returns the state of a balancer that knows nothing yet, and that reads a long list if the time
+/// of its last page is given.
 fn unknowing(page_ms: Option<u64>) -> RoleState {
     RoleState { is_complete: false, page_time: page_ms.map(millis), ..state(true, 0.0) }
 }
 
-/// Pattern: all balancers of a large fleet start at once, and the list of backend servers takes longer than the pause before each begins
-/// to read it. All of them shared the store's link, and the first one was done seconds later.
+/// Guards against all balancers of a large fleet reading the list of backend servers together: when
+/// they start at once, the list takes longer than the pause before each of them begins to read it.
+/// They then share the store's link, and the first one completes seconds later.
 #[test]
 fn a_long_list_is_left_to_four_that_read_it_faster() {
     let now = Instant::now();
@@ -347,7 +349,8 @@
     assert!(role.is_watching());
 }
 
-/// Where somebody knows everything there is nothing to wait for: either it answers, or the store is read.
+/// Where a peer has complete knowledge there is no reason to wait for readers: either the peer
+/// answers, or this balancer reads the store.
 #[test]
 fn nobody_waits_for_readers_where_one_that_knows_everything_is_heard() {
     let now = Instant::now();
