--- a/crates/valvestage-policy/src/steering/peers/answer_queue.rs
+++ b/crates/valvestage-policy/src/steering/peers/answer_queue.rs
@@ -24,7 +24,7 @@
 
 /// A pull that has waited longer than this is dropped: the balancer that sent it asks again after
 /// 150 ms.
-const WAIT_FOR: Duration = Duration::from_millis(120);
+const QUESTION_TTL: Duration = Duration::from_millis(120);
 
 /// Maximum number of waiting pulls.
 const MAX_WAITING: usize = 64;
@@ -52,7 +52,7 @@
 
     /// Reports whether both ask for the same kind of knowledge: of two such pulls of one balancer
     /// only the later one is answered.
-    fn is_like(&self, other: &Self) -> bool {
+    fn is_same_kind(&self, other: &Self) -> bool {
         matches!(self, Self::Backends(_)) == matches!(other, Self::Backends(_))
     }
 }
@@ -100,11 +100,11 @@
         question: PeerQuestion,
         now: Instant,
     ) {
-        let until = now + WAIT_FOR;
+        let until = now + QUESTION_TTL;
         let same = self
             .waiting
             .iter_mut()
-            .find(|waiting| waiting.peer == peer && waiting.question.is_like(&question));
+            .find(|waiting| waiting.peer == peer && waiting.question.is_same_kind(&question));
 
         if let Some(waiting) = same {
             waiting.question = question;
@@ -130,17 +130,17 @@
 
         self.under_way.retain(|_, until| *until >= now);
         let is_idle = self.busy_until.is_none_or(|until| until <= now);
-        let goes_on = self.waiting.iter().position(|waiting| self.goes_on(waiting));
-        let place = goes_on.or(is_idle.then_some(0))?;
-        let WaitingQuestion { peer, question, .. } = self.waiting.remove(place)?;
+        let continuation = self.waiting.iter().position(|waiting| self.is_continuation(waiting));
+        let index = continuation.or(is_idle.then_some(0))?;
+        let WaitingQuestion { peer, question, .. } = self.waiting.remove(index)?;
         if question.is_large() {
-            self.under_way.insert(peer, now + WAIT_FOR);
+            self.under_way.insert(peer, now + QUESTION_TTL);
         }
         Some((peer, question))
     }
 
     /// Records that an answer of `bytes` bytes is sent.
-    pub(in crate::steering) fn spend(&mut self, bytes: usize, now: Instant) {
+    pub(in crate::steering) fn record_sent(&mut self, bytes: usize, now: Instant) {
         let begins_at = self.busy_until.map_or(now, |until| until.max(now));
         let bytes = u32::try_from(bytes).unwrap_or(u32::MAX);
 
@@ -151,7 +151,7 @@
     pub(in crate::steering) fn next_due(&self) -> Option<Instant> {
         let burst_time = self.burst_time();
         let busy_until = self.busy_until.filter(|_| !self.waiting.is_empty())?;
-        if !self.waiting.iter().any(|waiting| self.goes_on(waiting)) {
+        if !self.waiting.iter().any(|waiting| self.is_continuation(waiting)) {
             return Some(busy_until);
         }
 
@@ -160,7 +160,7 @@
 
     /// Reports whether a pull is small, or continues an answer that its balancer has begun to
     /// fetch. Other pulls wait until the link is idle.
-    fn goes_on(&self, waiting: &WaitingQuestion) -> bool {
+    fn is_continuation(&self, waiting: &WaitingQuestion) -> bool {
         !waiting.question.is_large() || self.under_way.contains_key(&waiting.peer)
     }
 
--- a/crates/valvestage-policy/src/steering/peers/awaited_answer.rs
+++ b/crates/valvestage-policy/src/steering/peers/awaited_answer.rs
@@ -13,7 +13,7 @@
 /// A balancer that has not answered so many pulls in a row is not asked again by a retry: it may be
 /// gone, or have too much to answer. The next heartbeat that announces more knowledge determines
 /// whom to ask.
-const FRUITLESS_TRIES: u32 = 3;
+const MAX_UNANSWERED_PULLS: u32 = 3;
 
 /// A pull that was sent to one balancer, and what has arrived of the answer.
 #[derive(Debug, Clone)]
@@ -21,10 +21,10 @@
     peer: SocketAddrV4,
     /// Number of expected datagrams; 0 if it is not known before the first one arrives.
     expected: usize,
-    came: usize,
-    began: Instant,
+    received: usize,
+    began_at: Instant,
     waits_until: Instant,
-    fruitless: u32,
+    unanswered_pulls: u32,
 }
 
 impl AwaitedAnswer {
@@ -36,10 +36,17 @@
         former: Option<&Self>,
         now: Instant,
     ) -> Self {
-        let same = former.filter(|former| former.peer == peer && former.came == 0);
-        let fruitless = same.map_or(0, |former| former.fruitless + 1);
+        let same = former.filter(|former| former.peer == peer && former.received == 0);
+        let unanswered_pulls = same.map_or(0, |former| former.unanswered_pulls + 1);
 
-        Self { peer, expected, came: 0, began: now, waits_until: now + ANSWER_TIMEOUT, fruitless }
+        Self {
+            peer,
+            expected,
+            received: 0,
+            began_at: now,
+            waits_until: now + ANSWER_TIMEOUT,
+            unanswered_pulls,
+        }
     }
 
     /// Returns the balancer that was asked.
@@ -52,30 +59,30 @@
     /// balancer that receives nothing were asked again at each of its heartbeats, a configuration
     /// would arrive 3 s late.
     pub(in crate::steering) fn is_pending(&self, other: SocketAddrV4, now: Instant) -> bool {
-        let gives_way = self.fruitless > 0 && self.peer != other;
+        let gives_way = self.unanswered_pulls > 0 && self.peer != other;
 
-        !self.is_over(now) && !gives_way
+        !self.is_timed_out(now) && !gives_way
     }
 
     /// Reports whether the answer has timed out.
-    pub(in crate::steering) fn is_over(&self, now: Instant) -> bool {
+    pub(in crate::steering) fn is_timed_out(&self, now: Instant) -> bool {
         self.waits_until <= now
     }
 
     /// Reports whether a further pull to the same balancer is worthwhile.
-    pub(in crate::steering) fn may_ask_again(&self) -> bool {
-        self.came > 0 || self.fruitless < FRUITLESS_TRIES
+    pub(in crate::steering) fn can_retry(&self) -> bool {
+        self.received > 0 || self.unanswered_pulls < MAX_UNANSWERED_PULLS
     }
 
     /// Records the arrival of a datagram that brought something new.
     pub(in crate::steering) fn on_part(&mut self, now: Instant) {
-        self.came += 1;
+        self.received += 1;
         self.waits_until = now + ANSWER_TIMEOUT;
     }
 
     /// Reports whether everything that was asked for has arrived.
-    pub(in crate::steering) fn is_whole(&self) -> bool {
-        self.expected > 0 && self.came >= self.expected
+    pub(in crate::steering) fn is_complete(&self) -> bool {
+        self.expected > 0 && self.received >= self.expected
     }
 
     /// Returns what has arrived so far, for the log.
@@ -89,9 +96,9 @@
             peer: self.peer,
             kind,
             state,
-            came: self.came,
+            came: self.received,
             expected: self.expected,
-            waited: now.saturating_duration_since(self.began),
+            waited: now.saturating_duration_since(self.began_at),
         }
     }
 }
--- a/crates/valvestage-policy/src/steering/peers/backend_parts.rs
+++ b/crates/valvestage-policy/src/steering/peers/backend_parts.rs
@@ -5,7 +5,7 @@
 use valvestage_core::StorePosition;
 use valvestage_core::ids::ShortToken;
 
-use super::name_list::place_of;
+use super::name_list::index_of_name;
 use super::peer_message::{
     ANSWER_WINDOW, BackendChange, BackendRecord, BackendStanding, BackendsPart, BackendsPull,
     MAX_MESSAGE_BYTES, MessagePart, PeerMessage, WalkScope,
@@ -19,10 +19,10 @@
 const CHANGE_BYTES: usize = 45;
 
 /// Number of changes in one datagram. The names of a part fit into the rest of it.
-const CHANGES_EACH: usize = (MAX_MESSAGE_BYTES - 40) / CHANGE_BYTES;
+const CHANGES_PER_DATAGRAM: usize = (MAX_MESSAGE_BYTES - 40) / CHANGE_BYTES;
 
 /// Number of changes in one answer.
-const CHANGES_AT_ONCE: usize = CHANGES_EACH * ANSWER_WINDOW;
+const CHANGES_PER_ANSWER: usize = CHANGES_PER_DATAGRAM * ANSWER_WINDOW;
 
 /// Returns the next changes that another balancer does not know, in the order of their positions.
 /// If not all changes after its position are remembered, returns the first of all backend servers
@@ -39,7 +39,7 @@
         if is_forgotten { (StorePosition::START, WalkScope::Everything) } else { (after, scope) };
 
     let (changes, next_position) = next_changes(directory, after);
-    let mut parts: Vec<_> = changes.chunks(CHANGES_EACH).collect();
+    let mut parts: Vec<_> = changes.chunks(CHANGES_PER_DATAGRAM).collect();
     if parts.is_empty() {
         parts.push(&[]);
     }
@@ -78,7 +78,7 @@
     let known = tokens.iter().filter_map(|token| directory.by_token(*token));
     let mut names = Vec::new();
     let changes: Vec<_> =
-        known.take(CHANGES_EACH).map(|entry| change_of(entry, &mut names, now)).collect();
+        known.take(CHANGES_PER_DATAGRAM).map(|entry| change_of(entry, &mut names, now)).collect();
 
     (!changes.is_empty()).then(|| {
         PeerMessage::Backends(BackendsPart {
@@ -100,12 +100,12 @@
     after: StorePosition,
 ) -> (Vec<&BackendEntry>, Option<StorePosition>) {
     let contested = directory.contested().filter(|entry| entry.position > after);
-    let first = directory.after(after).take(CHANGES_AT_ONCE + 1);
+    let first = directory.after(after).take(CHANGES_PER_ANSWER + 1);
     let mut entries: Vec<_> = first.chain(contested).collect();
 
     entries.sort_unstable_by_key(|entry| (entry.position, entry.instance));
-    let next_position = entries.get(CHANGES_AT_ONCE).map(|entry| entry.position);
-    entries.truncate(CHANGES_AT_ONCE);
+    let next_position = entries.get(CHANGES_PER_ANSWER).map(|entry| entry.position);
+    entries.truncate(CHANGES_PER_ANSWER);
     (entries, next_position)
 }
 
@@ -126,8 +126,8 @@
         birth: entry.name.birth_of(entry.instance),
         position: entry.position,
         record: BackendRecord {
-            service: place_of(names, &entry.service),
-            zone: place_of(names, &entry.zone),
+            service: index_of_name(names, &entry.service),
+            zone: index_of_name(names, &entry.zone),
             address: entry.address,
             slots: entry.slots,
             cold_for_ms: millis_since(now, cold_until),
--- a/crates/valvestage-policy/src/steering/peers/backend_walk.rs
+++ b/crates/valvestage-policy/src/steering/peers/backend_walk.rs
@@ -22,11 +22,11 @@
 /// A walk that has taken longer than this is restarted: backend servers that were reported at its
 /// beginning may have gone meanwhile, and peers forget those 60 s later. The longest walk that was
 /// observed took less than 1 s.
-const WALK_LIFE: Duration = Duration::from_secs(10);
+const WALK_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A walk that has advanced within this time counts as progressing. An answer that does not arrive
 /// is asked for twice meanwhile.
-const PROGRESS_LIFE: Duration = Duration::from_millis(400);
+const PROGRESS_TTL: Duration = Duration::from_millis(400);
 
 /// Time between two comparisons with peers that have a different set of living backend servers,
 /// since each comparison transfers all backend servers.
@@ -34,7 +34,7 @@
 
 /// What a part of an answer brought.
 #[derive(Debug, Default)]
-pub(in crate::steering) struct WalkNews {
+pub(in crate::steering) struct WalkUpdate {
     /// Backend servers whose known state has changed.
     pub changed: Vec<InstanceId>,
     /// The balancer to pull the next window from, and the pull.
@@ -50,12 +50,12 @@
     told_until: Option<StorePosition>,
     /// Its sender knows every change up to this position.
     complete_until: StorePosition,
-    told: ToldBackends,
+    reported: ReportedBackends,
 }
 
 /// The backend servers that a peer reported.
 #[derive(Debug, Default)]
-struct ToldBackends {
+struct ReportedBackends {
     /// Those that it counts as living.
     living: HashSet<InstanceId>,
     /// Those whose entries are gone. The peer may report such an end at the position that the entry
@@ -63,15 +63,15 @@
     gone: HashSet<InstanceId>,
 }
 
-impl ToldBackends {
+impl ReportedBackends {
     fn of(entries: &[BackendEntry]) -> Self {
-        let mut told = Self::default();
+        let mut reported = Self::default();
 
         for entry in entries {
-            let set = if entry.is_gone() { &mut told.gone } else { &mut told.living };
+            let set = if entry.is_gone() { &mut reported.gone } else { &mut reported.living };
             set.insert(entry.instance);
         }
-        told
+        reported
     }
 
     fn extend(&mut self, other: Self) {
@@ -92,7 +92,7 @@
     /// When a walk last advanced.
     advanced_at: Option<Instant>,
     /// Earliest time to ask for everything again, to compare.
-    compares_from: Option<Instant>,
+    next_compare_at: Option<Instant>,
 }
 
 /// One walk.
@@ -108,11 +108,11 @@
     /// The cursor as far as the peer knows every change, which is valid for other peers too.
     certain_until: StorePosition,
     /// The backend servers that were reported.
-    told: ToldBackends,
+    reported: ReportedBackends,
     /// Parts that arrived before their predecessors, by the position after which they begin.
-    early: BTreeMap<StorePosition, PartSpan>,
+    out_of_order: BTreeMap<StorePosition, PartSpan>,
     /// When the walk expires.
-    lasts_until: Instant,
+    expires_at: Instant,
 }
 
 impl Walk {
@@ -123,32 +123,32 @@
             cursor: after,
             asked_from: after,
             certain_until: after,
-            told: ToldBackends::default(),
-            early: BTreeMap::new(),
-            lasts_until: now + WALK_LIFE,
+            reported: ReportedBackends::default(),
+            out_of_order: BTreeMap::new(),
+            expires_at: now + WALK_TIMEOUT,
         }
     }
 
     /// Continues with a balancer, which may be another one and then may not know what the former
     /// one knew beyond the position up to which it knew everything.
-    fn move_to(&mut self, peer: SocketAddrV4) {
+    fn continue_with(&mut self, peer: SocketAddrV4) {
         if self.peer != peer {
             self.peer = peer;
             self.cursor = self.cursor.min(self.certain_until);
-            self.early.clear();
+            self.out_of_order.clear();
         }
     }
 
     /// Adds a part. Returns the position up to which everything is known if all parts have arrived.
-    fn take(&mut self, after: StorePosition, span: PartSpan) -> Option<StorePosition> {
-        self.early.insert(after, span);
+    fn apply_part(&mut self, after: StorePosition, span: PartSpan) -> Option<StorePosition> {
+        self.out_of_order.insert(after, span);
 
-        while let Some(first) = self.early.first_entry() {
+        while let Some(first) = self.out_of_order.first_entry() {
             if *first.key() > self.cursor {
                 return None;
             }
             let span = first.remove();
-            self.told.extend(span.told);
+            self.reported.extend(span.reported);
             let Some(until) = span.told_until else { return Some(span.complete_until) };
             self.cursor = self.cursor.max(until);
             self.certain_until = self.certain_until.max(self.cursor.min(span.complete_until));
@@ -165,7 +165,7 @@
 
     /// Reports whether a walk is in progress and has advanced recently.
     pub(in crate::steering) fn is_progressing(&self, now: Instant) -> bool {
-        let is_recent = |at: Instant| now.saturating_duration_since(at) < PROGRESS_LIFE;
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < PROGRESS_TTL;
 
         self.walk.is_some() && self.advanced_at.is_some_and(is_recent)
     }
@@ -182,29 +182,29 @@
         }
 
         let known_until = knowledge.directory.complete_until();
-        let asks_all = !self.has_history || self.asks_for_overdue(knowledge, now);
+        let asks_all = !self.has_history || self.should_pull_overdue(knowledge, now);
         let begin = if asks_all { StorePosition::START } else { known_until };
         let scope =
             if begin > StorePosition::START { WalkScope::Changes } else { WalkScope::Everything };
-        self.walk = self.walk.take().filter(|walk| walk.lasts_until > now);
+        self.walk = self.walk.take().filter(|walk| walk.expires_at > now);
         let walk = self.walk.get_or_insert_with(|| Walk::new(peer, scope, begin, now));
-        walk.move_to(peer);
+        walk.continue_with(peer);
         if walk.scope == WalkScope::Changes {
             walk.cursor = walk.cursor.max(known_until);
         }
-        Some(self.ask(peer, now))
+        Some(self.next_pull(peer, now))
     }
 
     /// Reports whether to ask for everything because an entry is missing whose time to return is
     /// over. Changes after the position up to which everything is known do not show that it went
     /// before, and it keeps this balancer's knowledge from being complete.
-    fn asks_for_overdue(&mut self, knowledge: &Knowledge, now: Instant) -> bool {
-        let is_due = self.compares_from.is_none_or(|from| from <= now);
+    fn should_pull_overdue(&mut self, knowledge: &Knowledge, now: Instant) -> bool {
+        let is_due = self.next_compare_at.is_none_or(|from| from <= now);
         if !is_due || !knowledge.directory.has_overdue(now) {
             return false;
         }
 
-        self.compares_from = Some(now + COMPARE_INTERVAL);
+        self.next_compare_at = Some(now + COMPARE_INTERVAL);
         true
     }
 
@@ -216,13 +216,13 @@
         now: Instant,
     ) -> Option<PeerMessage> {
         let is_asking = self.awaited.is_some() || self.walk.is_some();
-        if is_asking || self.compares_from.is_some_and(|from| from > now) {
+        if is_asking || self.next_compare_at.is_some_and(|from| from > now) {
             return None;
         }
 
-        self.compares_from = Some(now + COMPARE_INTERVAL);
+        self.next_compare_at = Some(now + COMPARE_INTERVAL);
         self.walk = Some(Walk::new(peer, WalkScope::Everything, StorePosition::START, now));
-        Some(self.ask(peer, now))
+        Some(self.next_pull(peer, now))
     }
 
     /// Gives up an answer that has timed out. Returns what arrived of it, for the log, and the pull
@@ -232,16 +232,16 @@
         knowledge: &Knowledge,
         now: Instant,
     ) -> Option<(IncompleteAnswer, Option<(SocketAddrV4, PeerMessage)>)> {
-        let awaited = self.awaited.as_ref().filter(|awaited| awaited.is_over(now))?;
-        let (peer, may_ask) = (awaited.peer(), awaited.may_ask_again());
+        let awaited = self.awaited.as_ref().filter(|awaited| awaited.is_timed_out(now))?;
+        let (peer, may_ask) = (awaited.peer(), awaited.can_retry());
         let cursor = self.walk.as_ref().map_or(0, |walk| walk.cursor.revision);
         let incomplete = awaited.incomplete(StoreKind::Backends, cursor, now);
 
-        let ask = may_ask.then(|| self.pull(knowledge, peer, now)).flatten();
-        if ask.is_none() {
+        let next_message = may_ask.then(|| self.pull(knowledge, peer, now)).flatten();
+        if next_message.is_none() {
             self.awaited = None;
         }
-        Some((incomplete, ask.map(|message| (peer, message))))
+        Some((incomplete, next_message.map(|message| (peer, message))))
     }
 
     /// Processes a part. At the end of a walk of everything, backend servers that the peer does not
@@ -253,12 +253,12 @@
         part: BackendsPart,
         missing_until: Option<Instant>,
         now: Instant,
-    ) -> WalkNews {
-        let mut news = WalkNews::default();
+    ) -> WalkUpdate {
+        let mut update = WalkUpdate::default();
         let BackendsPart { scope, after, told_until, complete_until, .. } = part;
         let number = part.part;
         let entries = entries_of(part, now);
-        let told = ToldBackends::of(&entries);
+        let reported = ReportedBackends::of(&entries);
         for entry in entries {
             let directory = &mut knowledge.directory;
             let changed = if directory.is_obsolete(&entry, now) {
@@ -266,12 +266,12 @@
             } else {
                 directory.admit_told(entry, now)
             };
-            news.changed.extend(changed);
+            update.changed.extend(changed);
         }
 
-        let Some(walk) = self.walk_of(sender, scope, after, now) else { return news };
+        let Some(walk) = self.walk_of(sender, scope, after, now) else { return update };
         let cursor = walk.cursor;
-        let ends_at = walk.take(after, PartSpan { told_until, complete_until, told });
+        let ends_at = walk.apply_part(after, PartSpan { told_until, complete_until, reported });
         let has_more = number.index + 1 >= number.count && walk.cursor > walk.asked_from;
         if walk.cursor > cursor {
             self.advanced_at = Some(now);
@@ -281,13 +281,13 @@
         }
         match ends_at {
             Some(until) => {
-                news.changed.extend(self.end(knowledge, until, missing_until, now));
-                news.is_end = true;
+                update.changed.extend(self.finish_walk(knowledge, until, missing_until, now));
+                update.is_end = true;
             }
-            None if has_more => news.ask = Some((sender, self.ask(sender, now))),
+            None if has_more => update.ask = Some((sender, self.next_pull(sender, now))),
             None => {}
         }
-        news
+        update
     }
 
     /// Returns the walk that a part belongs to, if any.
@@ -307,7 +307,7 @@
         Some(walk).filter(|walk| walk.scope == scope)
     }
 
-    fn ask(&mut self, peer: SocketAddrV4, now: Instant) -> PeerMessage {
+    fn next_pull(&mut self, peer: SocketAddrV4, now: Instant) -> PeerMessage {
         let former = self.awaited.take();
         self.awaited = Some(AwaitedAnswer::new(peer, 0, former.as_ref(), now));
         let (after, scope) = match &mut self.walk {
@@ -323,7 +323,7 @@
 
     /// Completes the walk: all is known up to a position. Returns the backend servers that are
     /// shown to be gone.
-    fn end(
+    fn finish_walk(
         &mut self,
         knowledge: &mut Knowledge,
         until: StorePosition,
@@ -337,7 +337,7 @@
 
         if walk.scope == WalkScope::Everything {
             self.has_history = true;
-            let ToldBackends { living, gone } = &walk.told;
+            let ReportedBackends { living, gone } = &walk.reported;
             changed = match until.cmp(&directory.complete_until()) {
                 Ordering::Greater => directory.retain_listed(living, until, missing_until, now),
                 Ordering::Equal => directory.end_told(gone, until, missing_until, now),
--- a/crates/valvestage-policy/src/steering/peers/peer_exchange.rs
+++ b/crates/valvestage-policy/src/steering/peers/peer_exchange.rs
@@ -8,7 +8,7 @@
 
 use super::answer_queue::{AnswerQueue, PeerQuestion};
 use super::backend_parts::backends_messages;
-use super::backend_walk::{BackendWalk, WalkNews};
+use super::backend_walk::{BackendWalk, WalkUpdate};
 use super::peer_message::{
     ANSWER_WINDOW, BackendsPart, BackendsPull, ChunksPull, PeerHeartbeat, PeerMessage, RoutesIndex,
     RoutesPull, WalkScope,
@@ -163,7 +163,7 @@
         self.renew_catalogue(knowledge);
         let step = self.routes.on_index(&self.catalogue, sender, index, now);
 
-        self.take_step(step)
+        self.apply_step(step)
     }
 
     /// Processes a chunk of a configuration.
@@ -177,17 +177,17 @@
         self.renew_catalogue(knowledge);
         let step = self.routes.on_chunk(&self.catalogue, sender, chunk, now);
 
-        self.take_step(step)
+        self.apply_step(step)
     }
 
-    fn take_step(&mut self, step: TransferStep) -> ExchangeStep {
+    fn apply_step(&mut self, step: TransferStep) -> ExchangeStep {
         match step {
             TransferStep::Wait => ExchangeStep::default(),
-            TransferStep::Ask(peer, message) => {
+            TransferStep::Pull(peer, message) => {
                 ExchangeStep { ask: Some((peer, message)), has_routes: false }
             }
-            TransferStep::Whole(catalogue) => {
-                self.routes.end(catalogue.version());
+            TransferStep::Complete(catalogue) => {
+                self.routes.forget_until(catalogue.version());
                 self.catalogue = catalogue;
                 ExchangeStep { ask: None, has_routes: true }
             }
@@ -202,7 +202,7 @@
         part: BackendsPart,
         missing_until: Option<Instant>,
         now: Instant,
-    ) -> WalkNews {
+    ) -> WalkUpdate {
         self.backends.on_part(knowledge, sender, part, missing_until, now)
     }
 
@@ -230,7 +230,7 @@
             PeerQuestion::Chunks(pull) => self.answer_chunks(knowledge, &pull),
             PeerQuestion::Backends(pull) => answer_backends(knowledge, pull, now),
         };
-        self.queue.spend(messages.iter().map(PeerMessage::bytes).sum(), now);
+        self.queue.record_sent(messages.iter().map(PeerMessage::bytes).sum(), now);
         Some((peer, messages))
     }
 
@@ -264,7 +264,7 @@
 
         if self.catalogue.version() != routes.version {
             self.catalogue = RouteCatalogue::new(routes);
-            self.routes.end(routes.version);
+            self.routes.forget_until(routes.version);
         }
     }
 }
--- a/crates/valvestage-policy/src/steering/peers/peer_message.rs
+++ b/crates/valvestage-policy/src/steering/peers/peer_message.rs
@@ -141,7 +141,7 @@
     /// Creates a report of an average number of requests in flight.
     #[must_use]
     pub fn new(service: ServiceDigest, busy: f64) -> Self {
-        Self { service, busy_hundredths: parts(busy, 100.0) }
+        Self { service, busy_hundredths: fixed_point(busy, 100.0) }
     }
 
     /// Returns the reported number of requests in flight.
@@ -221,11 +221,11 @@
 
 /// Returns a count in tenths, saturated at the largest value of the type.
 fn tenths(count: f64) -> u16 {
-    u16::try_from(parts(count, 10.0)).unwrap_or(u16::MAX)
+    u16::try_from(fixed_point(count, 10.0)).unwrap_or(u16::MAX)
 }
 
 /// Returns a number in units of one divided by `parts_of_one`, saturated at the bounds of the type.
-fn parts(number: f64, parts_of_one: f64) -> u32 {
+fn fixed_point(number: f64, parts_of_one: f64) -> u32 {
     let parts = (number * parts_of_one).round().clamp(0.0, f64::from(u32::MAX));
 
     // The value was clamped to the range of the type.
--- a/crates/valvestage-policy/src/steering/peers/peer_table.rs
+++ b/crates/valvestage-policy/src/steering/peers/peer_table.rs
@@ -34,12 +34,12 @@
     /// Addresses named by the settings, which are never forgotten.
     seeds: Vec<SocketAddrV4>,
     /// The balancers that were heard or reported.
-    heard: BTreeMap<SocketAddrV4, PeerSighting>,
+    sightings: BTreeMap<SocketAddrV4, PeerSighting>,
     /// Balancers that have not had their turn in the present round, the next one last.
     ///
     /// Each balancer draws its own order. If all of them went through the same order at the same
     /// pace, whole stretches of it would be left out by all of them for a while.
-    turns: Vec<SocketAddrV4>,
+    round_order: Vec<SocketAddrV4>,
     /// Number of rounds that have begun.
     rounds: u64,
     /// Set until this balancer and the others count as knowing each other.
@@ -60,15 +60,15 @@
 /// When a balancer was last heard, and last heard or reported by others.
 #[derive(Debug, Clone)]
 struct PeerSighting {
-    heard_itself: Option<Instant>,
-    heard_of: Instant,
+    directly_heard_at: Option<Instant>,
+    reported_at: Instant,
     /// Its availability zone, once it has reported it.
     zone: Option<ZoneName>,
 }
 
 impl PeerSighting {
     fn is_recent(&self, now: Instant) -> bool {
-        self.heard_itself.is_some_and(|at| now.saturating_duration_since(at) < TELL_WITHIN)
+        self.directly_heard_at.is_some_and(|at| now.saturating_duration_since(at) < TELL_WITHIN)
     }
 }
 
@@ -79,8 +79,8 @@
         let mut table = Self {
             own,
             seeds: Vec::new(),
-            heard: BTreeMap::new(),
-            turns: Vec::new(),
+            sightings: BTreeMap::new(),
+            round_order: Vec::new(),
             rounds: 0,
             unsettled: None,
             heard_at: None,
@@ -99,18 +99,18 @@
     /// Returns the number of balancers that were heard or reported.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.heard.len()
+        self.sightings.len()
     }
 
     /// Reports whether no balancer was heard or reported.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.heard.is_empty()
+        self.sightings.is_empty()
     }
 
     /// Records that a message of a balancer has arrived. Returns whether the balancer was unknown.
     pub fn on_heard(&mut self, peer: SocketAddrV4, now: Instant) -> bool {
-        if peer == self.own || self.heard.len() >= MAX_PEERS {
+        if peer == self.own || self.sightings.len() >= MAX_PEERS {
             return false;
         }
 
@@ -120,28 +120,28 @@
             self.unsettle(now);
         }
         self.heard_at = Some(now);
-        let is_new = !self.heard.contains_key(&peer);
+        let is_new = !self.sightings.contains_key(&peer);
         let sighting = self.sighting(peer, now);
-        sighting.heard_itself = Some(now);
-        sighting.heard_of = now;
+        sighting.directly_heard_at = Some(now);
+        sighting.reported_at = now;
         is_new
     }
 
     /// Records the availability zone of a known balancer.
     pub fn on_zone(&mut self, peer: SocketAddrV4, zone: &ZoneName) {
-        if let Some(sighting) = self.heard.get_mut(&peer) {
+        if let Some(sighting) = self.sightings.get_mut(&peer) {
             sighting.zone = Some(zone.clone());
         }
     }
 
     /// Returns the entry of a balancer, which is added if it is new.
     fn sighting(&mut self, peer: SocketAddrV4, now: Instant) -> &mut PeerSighting {
-        if !self.heard.contains_key(&peer) && self.unsettled.is_some() {
+        if !self.sightings.contains_key(&peer) && self.unsettled.is_some() {
             self.unsettle(now);
         }
 
-        let fresh = PeerSighting { heard_itself: None, heard_of: now, zone: None };
-        self.heard.entry(peer).or_insert(fresh)
+        let fresh = PeerSighting { directly_heard_at: None, reported_at: now, zone: None };
+        self.sightings.entry(peer).or_insert(fresh)
     }
 
     /// Records that others may not know this balancer, or it may not know them, until enough rounds
@@ -162,7 +162,7 @@
     pub fn zone_members(&self, zone: &ZoneName, now: Instant) -> ZoneMembers {
         let may_be_member =
             |sighting: &PeerSighting| sighting.zone.as_ref().is_none_or(|known| known == zone);
-        let members = self.heard.iter().filter(|(_, sighting)| may_be_member(sighting));
+        let members = self.sightings.iter().filter(|(_, sighting)| may_be_member(sighting));
         ZoneMembers {
             own: self.own,
             others: members.map(|(peer, _)| *peer).collect(),
@@ -173,18 +173,18 @@
     /// Returns the number of balancers that were heard recently.
     #[must_use]
     pub fn recent_count(&self, now: Instant) -> u32 {
-        let recent = self.heard.values().filter(|sighting| sighting.is_recent(now));
+        let recent = self.sightings.values().filter(|sighting| sighting.is_recent(now));
 
         u32::try_from(recent.count()).unwrap_or(u32::MAX)
     }
 
     /// Records that another balancer has reported one.
     pub fn on_told(&mut self, peer: SocketAddrV4, now: Instant) {
-        if peer == self.own || self.heard.len() >= MAX_PEERS {
+        if peer == self.own || self.sightings.len() >= MAX_PEERS {
             return;
         }
 
-        self.sighting(peer, now).heard_of = now;
+        self.sighting(peer, now).reported_at = now;
     }
 
     /// Ends the unsettled state once its rounds and its time are over.
@@ -201,13 +201,13 @@
     pub fn forget_silent(&mut self, now: Instant) -> Vec<SocketAddrV4> {
         self.settle(now);
         let is_silent = |sighting: &PeerSighting| {
-            now.saturating_duration_since(sighting.heard_of) >= FORGET_AFTER
+            now.saturating_duration_since(sighting.reported_at) >= FORGET_AFTER
         };
-        let silent = self.heard.iter().filter(|(_, sighting)| is_silent(sighting));
+        let silent = self.sightings.iter().filter(|(_, sighting)| is_silent(sighting));
         let silent: Vec<SocketAddrV4> = silent.map(|(peer, _)| *peer).collect();
 
         for peer in &silent {
-            self.heard.remove(peer);
+            self.sightings.remove(peer);
         }
         silent
     }
@@ -217,11 +217,11 @@
         let mut chosen = Vec::with_capacity(count);
 
         while chosen.len() < count {
-            if self.turns.is_empty() {
-                self.turns = self.shuffled(&chosen, draw);
-                self.rounds += u64::from(!self.turns.is_empty());
+            if self.round_order.is_empty() {
+                self.round_order = self.shuffled(&chosen, draw);
+                self.rounds += u64::from(!self.round_order.is_empty());
             }
-            match self.turns.pop() {
+            match self.round_order.pop() {
                 Some(peer) => chosen.push(peer),
                 None => break,
             }
@@ -231,8 +231,8 @@
 
     /// Returns all balancers but `except` in a random order.
     fn shuffled(&self, except: &[SocketAddrV4], draw: &mut SeededDraw) -> Vec<SocketAddrV4> {
-        let missing = self.seeds.iter().filter(|seed| !self.heard.contains_key(seed));
-        let all = self.heard.keys().chain(missing).copied();
+        let missing = self.seeds.iter().filter(|seed| !self.sightings.contains_key(seed));
+        let all = self.sightings.keys().chain(missing).copied();
         let mut order: Vec<SocketAddrV4> = all.filter(|peer| !except.contains(peer)).collect();
 
         for last in (1..order.len()).rev() {
@@ -243,7 +243,7 @@
 
     /// Returns some balancers that were heard recently, starting at an offset given by `draw`.
     pub fn sample(&self, count: usize, draw: usize, now: Instant) -> Vec<SocketAddrV4> {
-        let recent = self.heard.iter().filter(|(_, sighting)| sighting.is_recent(now));
+        let recent = self.sightings.iter().filter(|(_, sighting)| sighting.is_recent(now));
         let recent: Vec<SocketAddrV4> = recent.map(|(peer, _)| *peer).collect();
 
         let count = count.min(recent.len());
--- a/crates/valvestage-policy/src/steering/peers/route_catalogue.rs
+++ b/crates/valvestage-policy/src/steering/peers/route_catalogue.rs
@@ -10,7 +10,7 @@
 use crate::steering::knowledge::route_map::RouteMap;
 
 /// Number of digests in one datagram. The rest of a datagram is for the fields before them.
-const DIGESTS_EACH: usize = (MAX_MESSAGE_BYTES - 40) / size_of::<ChunkDigest>();
+const DIGESTS_PER_DATAGRAM: usize = (MAX_MESSAGE_BYTES - 40) / size_of::<ChunkDigest>();
 
 /// A configuration that is split into chunks.
 #[derive(Debug, Clone, Default)]
@@ -86,7 +86,7 @@
     /// takes, has some 130 chunks, whose digests fit into one datagram.
     #[must_use]
     pub fn index_messages(&self) -> Vec<PeerMessage> {
-        let mut parts: Vec<_> = self.order.chunks(DIGESTS_EACH).collect();
+        let mut parts: Vec<_> = self.order.chunks(DIGESTS_PER_DATAGRAM).collect();
         if parts.is_empty() {
             parts.push(&[]);
         }
@@ -126,10 +126,10 @@
 #[must_use]
 pub fn join_index(parts: Vec<RoutesIndex>) -> Option<RoutesIndex> {
     let mut parts = parts.into_iter();
-    let mut whole = parts.next()?;
+    let mut joined = parts.next()?;
 
-    whole.digests.extend(parts.flat_map(|part| part.digests));
+    joined.digests.extend(parts.flat_map(|part| part.digests));
     let mut seen = HashSet::new();
-    whole.digests.retain(|digest| seen.insert(*digest));
-    Some(whole)
+    joined.digests.retain(|digest| seen.insert(*digest));
+    Some(joined)
 }
--- a/crates/valvestage-policy/src/steering/peers/route_chunk.rs
+++ b/crates/valvestage-policy/src/steering/peers/route_chunk.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher24;
 
-use super::name_list::{NamePlace, place_of};
+use super::name_list::{NameIndex, index_of_name};
 use super::peer_message::MAX_MESSAGE_BYTES;
 use crate::steering::knowledge::cold_rate::ColdRate;
 use crate::steering::knowledge::route_map::{RouteMap, RouteTarget};
@@ -32,7 +32,7 @@
 
 /// One address in so many begins a new chunk if the chunk before it is large. Nearly all boundaries
 /// then depend on addresses rather than on sizes, and a route that is added moves few of them.
-const EAGER_BOUNDARY_EVERY: u64 = 8;
+const LARGE_CHUNK_BOUNDARY_EVERY: u64 = 8;
 
 /// Maximum number of targets in one entry of a chunk, which fit into a datagram. An address with
 /// more targets has several entries.
@@ -52,7 +52,7 @@
     pub names: Vec<String>,
     /// Limits of the load of backend servers during their slow start, for those of these services
     /// that have such a limit.
-    pub cold_rates: Vec<(NamePlace, ColdRate)>,
+    pub cold_rates: Vec<(NameIndex, ColdRate)>,
     /// Addresses in ascending order, each with some or all of its targets.
     pub entries: Vec<ChunkEntry>,
 }
@@ -63,9 +63,9 @@
     /// The address that callers send to.
     pub address: SocketAddrV4,
     /// Indexes of services in the chunk's names, with their weights.
-    pub targets: Vec<(NamePlace, u32)>,
+    pub targets: Vec<(NameIndex, u32)>,
     /// Indexes of the regions to which new flows may go; `None` if there is no such limit.
-    pub regions: Option<Vec<NamePlace>>,
+    pub regions: Option<Vec<NameIndex>>,
 }
 
 impl RouteChunk {
@@ -79,20 +79,20 @@
             hasher.write(name.as_bytes());
             hasher.write_u8(0);
         }
-        for (place, rate) in &self.cold_rates {
-            hasher.write(&place.to_le_bytes());
+        for (index, rate) in &self.cold_rates {
+            hasher.write(&index.to_le_bytes());
             hasher.write(&rate.to_bytes());
         }
         for ChunkEntry { address, targets, regions } in &self.entries {
             hasher.write(&address_bytes(*address));
-            for place in regions.iter().flatten() {
+            for index in regions.iter().flatten() {
                 hasher.write_u8(1);
-                hasher.write(&place.to_le_bytes());
+                hasher.write(&index.to_le_bytes());
             }
             hasher.write_u8(u8::from(regions.is_some()));
             hasher.write_usize(targets.len());
-            for (place, weight) in targets {
-                hasher.write(&place.to_le_bytes());
+            for (index, weight) in targets {
+                hasher.write(&index.to_le_bytes());
                 hasher.write(&weight.to_le_bytes());
             }
         }
@@ -106,19 +106,19 @@
         /// regions.
         const ENTRY_BYTES: usize = 10;
         /// The index of a name takes two bytes at most in a list that fits into a datagram.
-        const PLACE_BYTES: usize = 2;
-        const RATE_BYTES: usize = PLACE_BYTES + 5;
+        const INDEX_BYTES: usize = 2;
+        const RATE_BYTES: usize = INDEX_BYTES + 5;
         let target_bytes = |entry: &ChunkEntry| {
             entry
                 .targets
                 .iter()
-                .map(|(_, weight)| PLACE_BYTES + varint_bytes(*weight))
+                .map(|(_, weight)| INDEX_BYTES + varint_bytes(*weight))
                 .sum::<usize>()
         };
         let region_bytes =
-            |entry: &ChunkEntry| PLACE_BYTES * entry.regions.iter().flatten().count();
+            |entry: &ChunkEntry| INDEX_BYTES * entry.regions.iter().flatten().count();
         let entries = self.entries.iter();
-        let names = self.names.iter().map(|name| PLACE_BYTES + name.len());
+        let names = self.names.iter().map(|name| INDEX_BYTES + name.len());
 
         names.sum::<usize>()
             + RATE_BYTES * self.cold_rates.len()
@@ -129,59 +129,63 @@
 
     /// Adds the routes of the chunk to a configuration. Items whose names are missing are left out.
     pub fn add_to(&self, map: &mut RouteMap) {
-        for (place, rate) in &self.cold_rates {
-            if let Some(service) = self.name(*place) {
+        for (index, rate) in &self.cold_rates {
+            if let Some(service) = self.name(*index) {
                 map.cold_rates.insert(service, *rate);
             }
         }
         for ChunkEntry { address, targets, regions } in &self.entries {
-            let targets = targets.iter().filter_map(|(place, weight)| {
-                Some(RouteTarget { service: self.name(*place)?, weight: *weight })
+            let targets = targets.iter().filter_map(|(index, weight)| {
+                Some(RouteTarget { service: self.name(*index)?, weight: *weight })
             });
             map.routes.entry(*address).or_default().extend(targets);
             if let Some(regions) = regions {
-                let regions = regions.iter().filter_map(|place| self.name(*place));
+                let regions = regions.iter().filter_map(|index| self.name(*index));
                 map.allowed_regions.insert(*address, regions.collect());
             }
         }
     }
 
-    fn name(&self, place: NamePlace) -> Option<String> {
-        self.names.get(usize::from(place)).cloned()
+    fn name(&self, index: NameIndex) -> Option<String> {
+        self.names.get(usize::from(index)).cloned()
     }
 
     /// Adds an entry with an address, some of its targets, and the settings of the configuration
     /// that apply to them.
     fn push(&mut self, map: &RouteMap, address: SocketAddrV4, targets: &[RouteTarget]) {
-        let mut places = Vec::with_capacity(targets.len());
+        let mut indexes = Vec::with_capacity(targets.len());
         for target in targets {
-            let place = place_of(&mut self.names, &target.service);
-            places.push((place, target.weight));
-            let is_known = self.cold_rates.iter().any(|(known, _)| *known == place);
+            let index = index_of_name(&mut self.names, &target.service);
+            indexes.push((index, target.weight));
+            let is_known = self.cold_rates.iter().any(|(known, _)| *known == index);
             let rate = map.cold_rates.get(&target.service).filter(|_| !is_known);
-            self.cold_rates.extend(rate.map(|rate| (place, *rate)));
+            self.cold_rates.extend(rate.map(|rate| (index, *rate)));
         }
         let names = &mut self.names;
         let regions = map.allowed_regions.get(&address);
         let regions = regions.map(|regions| {
-            regions.iter().take(MAX_ENTRY_REGIONS).map(|region| place_of(names, region)).collect()
+            regions
+                .iter()
+                .take(MAX_ENTRY_REGIONS)
+                .map(|region| index_of_name(names, region))
+                .collect()
         });
 
-        self.entries.push(ChunkEntry { address, targets: places, regions });
+        self.entries.push(ChunkEntry { address, targets: indexes, regions });
     }
 
     /// Returns the maximum number of bytes that an entry adds in the codec's encoding.
     fn added_bytes(&self, map: &RouteMap, address: SocketAddrV4, targets: &[RouteTarget]) -> usize {
         // The index of a name takes two bytes at most in a list that fits into a datagram.
-        const PLACE_BYTES: usize = 2;
+        const INDEX_BYTES: usize = 2;
         const IP_BYTES: usize = 4;
         let port_bytes = varint_bytes(u16::MAX.into());
         // A rate is sent along with the name of its service.
-        let rate_bytes = PLACE_BYTES + varint_bytes(u32::MAX);
-        let target_bytes = targets.iter().map(|target| PLACE_BYTES + varint_bytes(target.weight));
+        let rate_bytes = INDEX_BYTES + varint_bytes(u32::MAX);
+        let target_bytes = targets.iter().map(|target| INDEX_BYTES + varint_bytes(target.weight));
         let regions = map.allowed_regions.get(&address).into_iter().flatten();
         let regions: Vec<_> = regions.take(MAX_ENTRY_REGIONS).collect();
-        let region_bytes = 1 + PLACE_BYTES * (1 + regions.len());
+        let region_bytes = 1 + INDEX_BYTES * (1 + regions.len());
         let services = targets.iter().map(|target| &target.service);
         let is_new = |name: &&String| !self.names.contains(*name);
         let name_bytes = services
@@ -191,7 +195,7 @@
 
         IP_BYTES
             + port_bytes
-            + PLACE_BYTES
+            + INDEX_BYTES
             + region_bytes
             + target_bytes.chain(name_bytes).sum::<usize>()
     }
@@ -214,7 +218,7 @@
     let mut used = 0;
 
     for (address, targets) in routes {
-        for targets in parts_of(targets) {
+        for targets in target_groups(targets) {
             let added = chunk.added_bytes(map, *address, targets);
             let is_full = used + added > MAX_CHUNK_BYTES;
             if !chunk.entries.is_empty() && (is_full || begins_chunk(*address, used)) {
@@ -232,7 +236,7 @@
 }
 
 /// Returns the targets of one address in groups that each fit into a datagram.
-fn parts_of(targets: &[RouteTarget]) -> Vec<&[RouteTarget]> {
+fn target_groups(targets: &[RouteTarget]) -> Vec<&[RouteTarget]> {
     if targets.is_empty() {
         return vec![targets];
     }
@@ -247,7 +251,7 @@
         return false;
     }
 
-    let every = if used < LARGE_CHUNK_BYTES { BOUNDARY_EVERY } else { EAGER_BOUNDARY_EVERY };
+    let every = if used < LARGE_CHUNK_BYTES { BOUNDARY_EVERY } else { LARGE_CHUNK_BOUNDARY_EVERY };
     let mut hasher = SipHasher24::new();
     hasher.write(&address_bytes(address));
     hasher.finish().is_multiple_of(every)
--- a/crates/valvestage-policy/src/steering/peers/route_transfer.rs
+++ b/crates/valvestage-policy/src/steering/peers/route_transfer.rs
@@ -26,9 +26,9 @@
     /// Wait for further datagrams.
     Wait,
     /// Send a pull to a balancer.
-    Ask(SocketAddrV4, PeerMessage),
+    Pull(SocketAddrV4, PeerMessage),
     /// The configuration is complete.
-    Whole(RouteCatalogue),
+    Complete(RouteCatalogue),
 }
 
 /// Fetches one configuration at a time, the newest one that was announced.
@@ -67,8 +67,8 @@
         let index = self.index.as_ref().filter(|index| index.version == told_version);
         let missing = index.map(|index| self.missing(own, index));
         Some(match missing {
-            Some(digests) if !digests.is_empty() => self.ask_for(peer, digests, now),
-            _ => self.ask_for_index(own, peer, now),
+            Some(digests) if !digests.is_empty() => self.pull_chunks(peer, digests, now),
+            _ => self.pull_index(own, peer, now),
         })
     }
 
@@ -79,16 +79,16 @@
         own: &RouteCatalogue,
         now: Instant,
     ) -> Option<(IncompleteAnswer, Option<(SocketAddrV4, PeerMessage)>)> {
-        let awaited = self.awaited.as_ref().filter(|awaited| awaited.is_over(now))?;
-        let (peer, may_ask) = (awaited.peer(), awaited.may_ask_again());
+        let awaited = self.awaited.as_ref().filter(|awaited| awaited.is_timed_out(now))?;
+        let (peer, may_ask) = (awaited.peer(), awaited.can_retry());
         let version = self.index.as_ref().map_or(own.version(), |index| index.version);
         let incomplete = awaited.incomplete(StoreKind::Configuration, version, now);
 
-        let ask = may_ask.then(|| self.pull(own, peer, version, now)).flatten();
-        if ask.is_none() {
+        let next_message = may_ask.then(|| self.pull(own, peer, version, now)).flatten();
+        if next_message.is_none() {
             self.awaited = None;
         }
-        Some((incomplete, ask.map(|message| (peer, message))))
+        Some((incomplete, next_message.map(|message| (peer, message))))
     }
 
     /// Processes a part of the index of a newer configuration.
@@ -111,7 +111,7 @@
         self.chunks.retain(|digest, _| wanted.contains(digest));
         self.index = Some(index);
         self.awaited = None;
-        self.go_on(own, sender, now)
+        self.continue_fetch(own, sender, now)
     }
 
     /// Processes a chunk.
@@ -129,34 +129,39 @@
         }
 
         self.chunks.insert(digest, Arc::new(chunk));
-        let Some(awaited) = &mut self.awaited else { return self.go_on(own, sender, now) };
+        let Some(awaited) = &mut self.awaited else { return self.continue_fetch(own, sender, now) };
         awaited.on_part(now);
         let is_last = self.last_asked == Some(digest);
-        if is_last || awaited.is_whole() {
-            self.go_on(own, sender, now)
+        if is_last || awaited.is_complete() {
+            self.continue_fetch(own, sender, now)
         } else {
             TransferStep::Wait
         }
     }
 
     /// Forgets a configuration that is not newer than `version`, which is in force.
-    pub(in crate::steering) fn end(&mut self, version: ConfigurationVersion) {
+    pub(in crate::steering) fn forget_until(&mut self, version: ConfigurationVersion) {
         if self.index.as_ref().is_some_and(|index| index.version <= version) {
             *self = Self::default();
         }
     }
 
     /// Assembles the configuration, or asks for the next chunks.
-    fn go_on(&mut self, own: &RouteCatalogue, peer: SocketAddrV4, now: Instant) -> TransferStep {
+    fn continue_fetch(
+        &mut self,
+        own: &RouteCatalogue,
+        peer: SocketAddrV4,
+        now: Instant,
+    ) -> TransferStep {
         let Some(index) = &self.index else { return TransferStep::Wait };
         let digests = self.missing(own, index);
         if !digests.is_empty() {
-            return TransferStep::Ask(peer, self.ask_for(peer, digests, now));
+            return TransferStep::Pull(peer, self.pull_chunks(peer, digests, now));
         }
 
         let find = |digest: &ChunkDigest| self.chunks.get(digest).cloned().or(own.get(digest));
-        let whole = RouteCatalogue::assemble(index, find);
-        whole.map_or(TransferStep::Wait, TransferStep::Whole)
+        let complete = RouteCatalogue::assemble(index, find);
+        complete.map_or(TransferStep::Wait, TransferStep::Complete)
     }
 
     /// Returns the first missing chunks, as many as may be in flight at once.
@@ -167,7 +172,7 @@
         index.digests.iter().filter(is_missing).take(ANSWER_WINDOW).copied().collect()
     }
 
-    fn ask_for(
+    fn pull_chunks(
         &mut self,
         peer: SocketAddrV4,
         digests: Vec<ChunkDigest>,
@@ -180,7 +185,7 @@
         PeerMessage::ChunksPull(ChunksPull { digests })
     }
 
-    fn ask_for_index(
+    fn pull_index(
         &mut self,
         own: &RouteCatalogue,
         peer: SocketAddrV4,
--- a/crates/valvestage-policy/src/steering/store/evacuation_follower.rs
+++ b/crates/valvestage-policy/src/steering/store/evacuation_follower.rs
@@ -7,7 +7,7 @@
 use valvestage_core::ids::ZoneName;
 
 use super::store_follower::{
-    Completeness, FollowerNews, StoreCall, StoreFollower, StoreKind, StoreReply,
+    Completeness, FollowerUpdate, StoreCall, StoreFollower, StoreKind, StoreReply,
 };
 use crate::steering::decision::Decision;
 use crate::steering::knowledge::evacuated_zones::{EvacuatedZones, EvacuationReport};
@@ -62,7 +62,7 @@
     /// not need a list of its own.
     pub fn next_call(&mut self, known: &EvacuatedZones, now: Instant) -> Option<StoreCall> {
         if known.is_known() {
-            self.follower.go_on_from(known.as_of());
+            self.follower.resume_from(known.as_of());
         }
 
         self.follower.next_call(known.as_of(), now)
@@ -76,51 +76,51 @@
         reply: StoreReply<EvacuationNews>,
         now: Instant,
     ) -> Option<EvacuationReport> {
-        let FollowerNews { mut objects, completes } = self.follower.on_reply(reply, now);
-        objects.retain(|news| self.zones.contains(&news.zone));
+        let FollowerUpdate { mut objects, completes } = self.follower.on_reply(reply, now);
+        objects.retain(|change| self.zones.contains(&change.zone));
 
         match completes {
-            Completeness::Until(until) => changed(known, &objects, until),
+            Completeness::Until(until) => apply_changes(known, &objects, until),
             Completeness::ListBegins => {
                 self.listed.clear();
-                self.list(objects);
+                self.add_listed(objects);
                 None
             }
             Completeness::ListEnds { position, single_page, .. } => {
                 if single_page {
                     self.listed.clear();
                 }
-                self.list(objects);
+                self.add_listed(objects);
                 let zones = std::mem::take(&mut self.listed).into_iter().collect();
                 Some(EvacuationReport { as_of: position, zones })
             }
             Completeness::Unchanged => {
-                self.list(objects);
+                self.add_listed(objects);
                 None
             }
         }
     }
 
-    fn list(&mut self, objects: Vec<EvacuationNews>) {
-        let asked = objects.into_iter().filter(|news| news.is_asked);
+    fn add_listed(&mut self, objects: Vec<EvacuationNews>) {
+        let asked = objects.into_iter().filter(|change| change.is_asked);
 
-        self.listed.extend(asked.map(|news| news.zone));
+        self.listed.extend(asked.map(|change| change.zone));
     }
 }
 
 /// Applies changes to the known evacuations. Changes at or before the known position are skipped,
 /// since they are already included.
-fn changed(
+fn apply_changes(
     known: &EvacuatedZones,
     changes: &[EvacuationNews],
     until: StorePosition,
 ) -> Option<EvacuationReport> {
     let mut zones = known.zones().clone();
-    for news in changes.iter().filter(|news| news.position > known.as_of()) {
-        if news.is_asked {
-            zones.insert(news.zone.clone());
+    for change in changes.iter().filter(|change| change.position > known.as_of()) {
+        if change.is_asked {
+            zones.insert(change.zone.clone());
         } else {
-            zones.remove(&news.zone);
+            zones.remove(&change.zone);
         }
     }
 
--- a/crates/valvestage-policy/src/steering/store/store_follower.rs
+++ b/crates/valvestage-policy/src/steering/store/store_follower.rs
@@ -17,14 +17,14 @@
 pub const WATCH_WAIT: Duration = Duration::from_millis(1_500);
 
 /// Shortest wait of a watch that is cut short by [`StoreFollower::end_watches_at`].
-const SHORTEST_WATCH: Duration = Duration::from_millis(100);
+const MIN_WATCH_WAIT: Duration = Duration::from_millis(100);
 
 /// Pause after the first failure; doubled with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Longest pause after a failure, and so the longest time until a store that is reachable again is
 /// noticed.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
 /// Pause after a change written by the operator, so that changes that directly follow it are read
 /// by the same call.
@@ -102,7 +102,7 @@
 
 /// What a reply of the store brought.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct FollowerNews<T> {
+pub struct FollowerUpdate<T> {
     /// The objects that were listed or changed, in order.
     pub objects: Vec<T>,
     /// What is completely known with these objects.
@@ -148,13 +148,13 @@
     kind: StoreKind,
     phase: Phase,
     /// Whether a call is in flight; there is at most one.
-    calling: bool,
+    has_call_in_flight: bool,
     /// Pause after a reply with changes.
-    pause: Duration,
+    change_pause: Duration,
     not_before: Option<Instant>,
     failures: u32,
     /// Whether calls have failed, or the store's era has changed, since the last complete list.
-    was_away: bool,
+    had_outage: bool,
     /// Whether only a list can bring the current state, because the history after the known
     /// position is gone or belongs to another era.
     needs_list: bool,
@@ -198,11 +198,11 @@
         Self {
             kind,
             phase: Phase::Listing { after: None, position: None },
-            calling: false,
-            pause,
+            has_call_in_flight: false,
+            change_pause: pause,
             not_before: None,
             failures: 0,
-            was_away: false,
+            had_outage: false,
             needs_list: false,
             freshness: ListFreshness::Current,
             last_answer: None,
@@ -250,11 +250,11 @@
     /// `known_until` may lie beyond what this follower has read, since peers also report changes:
     /// the watch then continues from there.
     pub fn next_call(&mut self, known_until: StorePosition, now: Instant) -> Option<StoreCall> {
-        if self.calling || self.not_before.is_some_and(|time| time > now) {
+        if self.has_call_in_flight || self.not_before.is_some_and(|time| time > now) {
             return None;
         }
 
-        self.calling = true;
+        self.has_call_in_flight = true;
         self.called_at = Some(now);
         self.era = self.era.max((!known_until.is_start()).then_some(known_until.era));
         // Other balancers count this one as a follower only while its last answer is recent, so a
@@ -262,7 +262,7 @@
         let age = self.last_answer.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         let wait = WATCH_WAIT.saturating_sub(age).max(WATCH_WAIT / 2);
         let until_due = self.watch_due.map(|due| due.saturating_duration_since(now));
-        let wait = until_due.map_or(wait, |time| wait.min(time.max(SHORTEST_WATCH)));
+        let wait = until_due.map_or(wait, |time| wait.min(time.max(MIN_WATCH_WAIT)));
         Some(match &mut self.phase {
             Phase::Listing { after, .. } => {
                 StoreCall::List { after: after.clone(), freshness: self.freshness }
@@ -278,16 +278,16 @@
     ///
     /// Use it only for objects that are removed by their owners alone: entries that lapse while the
     /// store is unreachable can be found missing only by a list.
-    pub fn go_on_from(&mut self, position: StorePosition) {
+    pub fn resume_from(&mut self, position: StorePosition) {
         let is_to_list = matches!(self.phase, Phase::Listing { after: None, position: None });
 
-        if is_to_list && !self.calling && !self.needs_list {
+        if is_to_list && !self.has_call_in_flight && !self.needs_list {
             self.phase = Phase::Watching { position };
         }
     }
 
     /// Delays watches until a time. Lists are not delayed.
-    pub fn hold_watch(&mut self, until: Instant) {
+    pub fn delay_watch(&mut self, until: Instant) {
         if matches!(self.phase, Phase::Watching { .. }) {
             self.not_before = self.not_before.max(Some(until));
         }
@@ -298,7 +298,7 @@
         self.watch_due = due;
     }
 
-    /// Ends the delay that was set by [`Self::hold_watch`] with the same time.
+    /// Ends the delay that was set by [`Self::delay_watch`] with the same time.
     pub fn release_watch(&mut self, until: Instant) {
         if self.not_before == Some(until) {
             self.not_before = None;
@@ -306,8 +306,8 @@
     }
 
     /// Restarts with a list unless a watch is in flight. A list that has begun is continued.
-    pub fn list_again(&mut self) {
-        if !self.calling && matches!(self.phase, Phase::Watching { .. }) {
+    pub fn relist(&mut self) {
+        if !self.has_call_in_flight && matches!(self.phase, Phase::Watching { .. }) {
             self.restart_list();
         }
     }
@@ -315,25 +315,25 @@
     /// Restarts with a list as after failures: nobody has followed the store for a while, so
     /// entries may have lapsed unnoticed. Has no effect while a call is in flight.
     pub fn assume_outage(&mut self) {
-        if !self.calling {
-            self.was_away = true;
+        if !self.has_call_in_flight {
+            self.had_outage = true;
             self.restart_list();
         }
     }
 
     /// Processes the reply to the call in flight. Returns the objects that it brought.
-    pub fn on_reply<T>(&mut self, reply: StoreReply<T>, now: Instant) -> FollowerNews<T> {
-        self.calling = false;
+    pub fn on_reply<T>(&mut self, reply: StoreReply<T>, now: Instant) -> FollowerUpdate<T> {
+        self.has_call_in_flight = false;
         let (objects, completes) = match reply {
             StoreReply::Page { position, .. } | StoreReply::Changes { position, .. }
-                if self.is_of_former_era(position) =>
+                if self.is_from_earlier_era(position) =>
             {
                 self.on_failure(now);
                 (Vec::new(), Completeness::Unchanged)
             }
             StoreReply::Page { objects, next_after, position } => {
                 self.on_success(now);
-                let goes_on = self.goes_on_in(position);
+                let goes_on = self.is_continued_by(position);
                 self.enter_era(position);
                 let called_at = self.called_at.filter(|_| next_after.is_some());
                 self.page_time = called_at.map(|at| now.saturating_duration_since(at));
@@ -346,10 +346,10 @@
             }
             StoreReply::Changes { objects, position } => {
                 self.on_success(now);
-                let goes_on = self.goes_on_in(position);
+                let goes_on = self.is_continued_by(position);
                 self.enter_era(position);
                 if goes_on {
-                    self.not_before = (!objects.is_empty()).then_some(now + self.pause);
+                    self.not_before = (!objects.is_empty()).then_some(now + self.change_pause);
                     (objects, self.on_changes(position))
                 } else {
                     self.restart_list();
@@ -370,18 +370,18 @@
             }
         };
 
-        FollowerNews { objects, completes }
+        FollowerUpdate { objects, completes }
     }
 
     /// Reports whether an answer predates a restore of the store that is already known.
-    fn is_of_former_era(&self, position: StorePosition) -> bool {
+    fn is_from_earlier_era(&self, position: StorePosition) -> bool {
         self.era.is_some_and(|era| position.era < era)
     }
 
     /// Reports whether an answer continues what was read before. Revisions of different eras are
     /// not comparable, so a watch that ends in a new era does not report what came before its
     /// revision there.
-    fn goes_on_in(&self, position: StorePosition) -> bool {
+    fn is_continued_by(&self, position: StorePosition) -> bool {
         match &self.phase {
             Phase::Listing { position: None, .. } => {
                 self.freshness == ListFreshness::Current
@@ -399,7 +399,7 @@
 
         if let Some(former) = former.filter(|former| *former < position.era) {
             self.decisions.push(Decision::StoreEra { kind: self.kind, former, position });
-            self.was_away = true;
+            self.had_outage = true;
             self.needs_list = true;
             self.freshness = ListFreshness::Current;
         }
@@ -412,12 +412,12 @@
     }
 
     fn on_failure(&mut self, now: Instant) {
-        let pause = FIRST_PAUSE.saturating_mul(1 << self.failures.min(3));
+        let pause = INITIAL_BACKOFF.saturating_mul(1 << self.failures.min(3));
 
         self.failures += 1;
-        self.was_away = true;
+        self.had_outage = true;
         self.page_time = None;
-        self.not_before = Some(now + pause.min(LONGEST_PAUSE));
+        self.not_before = Some(now + pause.min(MAX_BACKOFF));
         self.restart_list();
     }
 
@@ -447,7 +447,7 @@
         self.needs_list = false;
         Completeness::ListEnds {
             position: first,
-            after_outage: std::mem::take(&mut self.was_away),
+            after_outage: std::mem::take(&mut self.had_outage),
             single_page: is_first,
         }
     }
--- a/crates/valvestage-policy/src/steering/store/store_link.rs
+++ b/crates/valvestage-policy/src/steering/store/store_link.rs
@@ -8,7 +8,7 @@
 
 use super::evacuation_follower::{EvacuationFollower, EvacuationNews};
 use super::store_follower::{
-    Completeness, FollowerNews, StoreCall, StoreFollower, StoreKind, StoreReply,
+    Completeness, FollowerUpdate, StoreCall, StoreFollower, StoreKind, StoreReply,
 };
 use crate::steering::decision::Decision;
 use crate::steering::knowledge::Knowledge;
@@ -23,15 +23,15 @@
 
 /// The store counts as answering for so long after its last answer: one watch, and time for a slow
 /// answer.
-const ANSWER_LIFE: Duration = Duration::from_millis(2_500);
+const ANSWER_TTL: Duration = Duration::from_millis(2_500);
 
 /// Delay after the end of a contest at which watches that have to confirm it end. Waits are sent in
 /// whole milliseconds, so a watch that ends exactly at that time could end too early.
-const CONFIRMED_AFTER: Duration = Duration::from_millis(20);
+const CONTEST_END_DELAY: Duration = Duration::from_millis(20);
 
 /// Period after the start in which a balancer leaves watches to others: two rounds of heartbeats to
 /// learn which balancers follow the store, and a margin.
-const FRESH_FOR: Duration = Duration::from_millis(1_200);
+const STARTUP_PERIOD: Duration = Duration::from_millis(1_200);
 
 /// A change of the entry of one backend server, as reported by the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -65,7 +65,7 @@
     /// The backend servers in the pages read so far of the current list.
     listed: HashSet<InstanceId>,
     /// When that list was begun.
-    list_began: Option<Instant>,
+    list_began_at: Option<Instant>,
     /// The latest known era of the store; `None` before the first one is known.
     era: Option<StoreEra>,
     /// When the store last failed to answer this balancer or another one, or was restored.
@@ -86,7 +86,7 @@
             backends: StoreFollower::new(StoreKind::Backends),
             evacuations: evacuable.map(EvacuationFollower::new),
             listed: HashSet::new(),
-            list_began: None,
+            list_began_at: None,
             era: None,
             last_failure: None,
             has_failed_since_begin: false,
@@ -129,7 +129,7 @@
     /// not.
     #[must_use]
     pub fn answering_since(&self, now: Instant) -> Option<Instant> {
-        let is_recent = |at: &Instant| now.saturating_duration_since(*at) <= ANSWER_LIFE;
+        let is_recent = |at: &Instant| now.saturating_duration_since(*at) <= ANSWER_TTL;
 
         self.answered_at().filter(is_recent).filter(|_| !self.is_failing())
     }
@@ -213,22 +213,22 @@
         let known_until = knowledge.directory.complete_until();
         // A watch may report a returned entry late; a list shows it at once.
         if knowledge.directory.has_overdue(now) {
-            self.backends.list_again();
+            self.backends.relist();
         }
-        let held_until = self.started_at + FRESH_FOR;
+        let held_until = self.started_at + STARTUP_PERIOD;
         if is_staying && packets_wait {
             self.backends.release_watch(held_until);
-        } else if self.is_fresh(now) {
-            self.routes.hold_watch(held_until);
-            self.backends.hold_watch(held_until);
+        } else if self.is_starting_up(now) {
+            self.routes.delay_watch(held_until);
+            self.backends.delay_watch(held_until);
         }
-        let contests_end = knowledge.directory.contests_end_at().map(|at| at + CONFIRMED_AFTER);
+        let contests_end = knowledge.directory.contests_end_at().map(|at| at + CONTEST_END_DELAY);
         self.routes.end_watches_at(contests_end);
         self.backends.end_watches_at(contests_end);
         let routes = self.routes.next_call(StorePosition::START, now);
         let backends = self.backends.next_call(known_until, now);
         if matches!(backends, Some(StoreCall::List { after: None, .. })) {
-            self.list_began = Some(now);
+            self.list_began_at = Some(now);
         }
 
         let evacuations = self.next_evacuations(knowledge, is_staying, now);
@@ -251,7 +251,7 @@
             // Skips the evacuation call while other calls to the store fail.
             false
         } else if knowledge.evacuated.is_known() {
-            is_staying && !self.is_fresh(now)
+            is_staying && !self.is_starting_up(now)
         } else {
             // Also while there is no configuration: otherwise all balancers would keep trying to
             // read the evacuations.
@@ -266,8 +266,8 @@
     /// leaves watches to others: when many balancers start at once, nearly all begin to follow the
     /// store, and most have stopped by the end of this period. The first watch reports at once what
     /// has changed meanwhile.
-    fn is_fresh(&self, now: Instant) -> bool {
-        self.started_at + FRESH_FOR > now
+    fn is_starting_up(&self, now: Instant) -> bool {
+        self.started_at + STARTUP_PERIOD > now
     }
 
     /// Reports whether the last call for a kind of object failed.
@@ -313,7 +313,7 @@
         if let StoreReply::Page { position, .. } = &reply {
             knowledge.directory.note_listed(*position, now);
         }
-        let FollowerNews { objects, completes } = self.backends.on_reply(reply, now);
+        let FollowerUpdate { objects, completes } = self.backends.on_reply(reply, now);
         let begins = matches!(
             completes,
             Completeness::ListBegins | Completeness::ListEnds { single_page: true, .. }
@@ -323,21 +323,26 @@
         }
 
         let mut changed = Vec::new();
-        for news in objects {
-            let name = news.name;
-            changed.extend(self.take(knowledge, news, now));
+        for update in objects {
+            let name = update.name;
+            changed.extend(self.apply_backend_update(knowledge, update, now));
             self.listed.extend(knowledge.directory.living(name));
             self.listed.extend(knowledge.directory.contested_births(name));
         }
-        changed.extend(self.complete(knowledge, completes, now));
+        changed.extend(self.apply_completeness(knowledge, completes, now));
         changed
     }
 
     /// Applies the change of one backend server's entry. Returns the backend servers whose known
     /// state has changed.
-    fn take(&self, knowledge: &mut Knowledge, news: BackendNews, now: Instant) -> Vec<InstanceId> {
+    fn apply_backend_update(
+        &self,
+        knowledge: &mut Knowledge,
+        update: BackendNews,
+        now: Instant,
+    ) -> Vec<InstanceId> {
         let directory = &mut knowledge.directory;
-        let BackendNews { name, position, change } = news;
+        let BackendNews { name, position, change } = update;
         let mut living = directory.living(name);
         let contested = match &change {
             EntryChange::Deleted => {
@@ -372,7 +377,7 @@
 
     /// Applies what is completely known after a reply. Returns the backend servers that it shows to
     /// be absent.
-    fn complete(
+    fn apply_completeness(
         &self,
         knowledge: &mut Knowledge,
         completes: Completeness,
@@ -392,7 +397,7 @@
                 let mut absent =
                     directory.retain_listed(&self.listed, position, missing_until, now);
                 directory.complete(position);
-                if let Some(began) = self.list_began {
+                if let Some(began) = self.list_began_at {
                     absent.extend(directory.expire_missing(began));
                 }
                 absent
--- a/crates/valvestage-policy/src/steering/store/watch_role.rs
+++ b/crates/valvestage-policy/src/steering/store/watch_role.rs
@@ -24,32 +24,32 @@
 
 /// A balancer counts as a follower for so long after the store last answered it: one watch of 1.5
 /// s, and time for the report of its end to spread.
-const SIGHTING_LIFE: Duration = Duration::from_millis(2_200);
+const SIGHTING_TTL: Duration = Duration::from_millis(2_200);
 
 /// A sighting that is newer by at least this much is forwarded at once, so that the report of a
 /// watch's end arrives before the former sighting expires.
-const NEWS_STEP: Duration = Duration::from_millis(600);
+const MIN_SIGHTING_ADVANCE: Duration = Duration::from_millis(600);
 
 /// Number of followers named in one heartbeat, those that stay first. Any further ones are about to
 /// stop.
-const MAX_TOLD: usize = 4;
+const MAX_ANNOUNCED: usize = 4;
 
 /// How long an attempt counts of a peer that the store does not answer.
 const ATTEMPT_TTL: Duration = Duration::from_millis(800);
 
 /// Number of balancers that may try at once while the known state is complete and in force.
-const WANTED_TRIERS: usize = 3;
+const MAX_CONCURRENT_ATTEMPTS: usize = 3;
 
 /// Number of balancers that may try at once while they know nothing yet: callers wait at each of
 /// them.
-const WANTED_BEGINNERS: usize = 4;
+const MAX_CONCURRENT_READERS: usize = 4;
 
 /// A balancer that gets no answer lets others try after this time.
-const TRY_FOR: Duration = Duration::from_millis(1_600);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1_600);
 
 /// A balancer whose calls have failed lets others try after this time, which allows each call one
 /// retry.
-const TRY_FOR_AFTER_FAILURE: Duration = Duration::from_millis(400);
+const ATTEMPT_TIMEOUT_AFTER_FAILURE: Duration = Duration::from_millis(400);
 
 /// Shortest backoff after an unanswered attempt. The backoff lasts about as long as all other
 /// balancers need to try in turn, but not less than this.
@@ -131,7 +131,7 @@
 
 impl Sighting {
     fn is_alive(&self, now: Instant) -> bool {
-        let life = if self.is_answered { SIGHTING_LIFE } else { ATTEMPT_TTL };
+        let life = if self.is_answered { SIGHTING_TTL } else { ATTEMPT_TTL };
 
         now.saturating_duration_since(self.seen_at) <= life
     }
@@ -146,11 +146,11 @@
     /// The other balancers that follow the store or try to.
     sightings: BTreeMap<SocketAddrV4, Sighting>,
     /// Time of the store's answer that was last announced to peers.
-    told: Option<Instant>,
+    announced_at: Option<Instant>,
     /// When to begin to follow the store, while too few others do.
     begin_at: Option<Instant>,
     /// Until when to keep trying, while the store does not answer.
-    try_until: Option<Instant>,
+    attempt_until: Option<Instant>,
     /// Until when not to try.
     backoff_until: Option<Instant>,
 }
@@ -173,9 +173,9 @@
             watching: false,
             zone,
             sightings: BTreeMap::new(),
-            told: None,
+            announced_at: None,
             begin_at: Some(now + START_DELAY + jitter.mul_f64(draw)),
-            try_until: None,
+            attempt_until: None,
             backoff_until: None,
         }
     }
@@ -214,44 +214,46 @@
 
     /// Records the report that a balancer follows the store. Returns whether peers should be
     /// notified at once.
-    pub fn on_sighting(&mut self, told: &WatcherSighting, now: Instant) -> bool {
-        let Some(seen_at) = time_of_age(told.age_ms, now) else { return false };
+    pub fn on_sighting(&mut self, reported: &WatcherSighting, now: Instant) -> bool {
+        let Some(seen_at) = time_of_age(reported.age_ms, now) else { return false };
         let sighting = Sighting {
             seen_at,
-            is_answered: told.is_answered,
-            page_ms: told.page_ms,
-            zone: told.zone.clone(),
+            is_answered: reported.is_answered,
+            page_ms: reported.page_ms,
+            zone: reported.zone.clone(),
         };
-        if told.peer == self.own || !sighting.is_alive(now) {
+        if reported.peer == self.own || !sighting.is_alive(now) {
             return false;
         }
 
-        let known = self.sightings.get(&told.peer);
+        let known = self.sightings.get(&reported.peer);
         if known.is_some_and(|known| seen_at <= known.seen_at) {
             return false;
         }
-        let is_news = match known {
+        let is_update = match known {
             Some(known) => {
-                seen_at - known.seen_at >= NEWS_STEP
-                    || known.is_answered != told.is_answered
-                    || known.page_ms.is_none() && told.page_ms.is_some()
+                seen_at - known.seen_at >= MIN_SIGHTING_ADVANCE
+                    || known.is_answered != reported.is_answered
+                    || known.page_ms.is_none() && reported.page_ms.is_some()
             }
             // When many balancers start at once, many of them follow for a moment; it is enough to
             // announce some of them.
-            None => self.sightings.len() < MAX_TOLD,
+            None => self.sightings.len() < MAX_ANNOUNCED,
         };
-        self.sightings.insert(told.peer, sighting);
-        is_news
+        self.sightings.insert(reported.peer, sighting);
+        is_update
     }
 
     /// Records that the store has answered this balancer. Returns whether peers should be notified
     /// at once.
     pub fn on_answer(&mut self, answered_at: Instant) -> bool {
-        if !self.watching || self.told.is_some_and(|told| answered_at < told + NEWS_STEP) {
+        if !self.watching
+            || self.announced_at.is_some_and(|at| answered_at < at + MIN_SIGHTING_ADVANCE)
+        {
             return false;
         }
 
-        self.told = Some(answered_at);
+        self.announced_at = Some(answered_at);
         true
     }
 
@@ -280,16 +282,17 @@
         });
         let own = self.watching.then_some(own);
 
-        let mut told: Vec<_> = own.into_iter().chain(staying_first(others.collect())).collect();
-        told.truncate(MAX_TOLD);
-        told
+        let mut announced: Vec<_> =
+            own.into_iter().chain(sort_for_heartbeat(others.collect())).collect();
+        announced.truncate(MAX_ANNOUNCED);
+        announced
     }
 
     /// Updates the decision whether this balancer follows the store.
     pub fn step(&mut self, state: RoleState, now: Instant) {
         self.sightings.retain(|_, sighting| sighting.is_alive(now));
         if state.is_answering {
-            self.try_until = None;
+            self.attempt_until = None;
         }
 
         if state.is_complete && self.has_enough(state) {
@@ -300,7 +303,7 @@
         } else if self.watching {
             self.retry_or_yield(state, now);
         } else {
-            self.consider(state, now);
+            self.consider_following(state, now);
         }
     }
 
@@ -315,20 +318,22 @@
             return;
         }
 
-        let longest = now + if state.is_failing { TRY_FOR_AFTER_FAILURE } else { TRY_FOR };
-        let try_until = self.try_until.map_or(longest, |until| until.min(longest));
-        self.try_until = Some(try_until);
+        let longest =
+            now + if state.is_failing { ATTEMPT_TIMEOUT_AFTER_FAILURE } else { ATTEMPT_TIMEOUT };
+        let try_until = self.attempt_until.map_or(longest, |until| until.min(longest));
+        self.attempt_until = Some(try_until);
         if try_until <= now {
             self.watching = false;
-            self.try_until = None;
+            self.attempt_until = None;
             self.backoff_until = Some(now + backoff_for(state.recent_peers));
         }
     }
 
     /// Begins to follow the store after the pause, unless enough others are trying or this balancer
     /// backs off.
-    fn consider(&mut self, state: RoleState, now: Instant) {
-        let wanted = if state.is_complete { WANTED_TRIERS } else { WANTED_BEGINNERS };
+    fn consider_following(&mut self, state: RoleState, now: Instant) {
+        let wanted =
+            if state.is_complete { MAX_CONCURRENT_ATTEMPTS } else { MAX_CONCURRENT_READERS };
         let trying = self.sightings.values().filter(|sighting| !sighting.is_answered).count();
         // Without any state in the cluster, backing off would only delay the first read.
         let has_alternative = state.is_complete || trying > 0;
@@ -357,7 +362,7 @@
         };
         let before = self.sightings.iter().filter(is_before).count();
 
-        !state.hears_complete && before >= WANTED_BEGINNERS
+        !state.hears_complete && before >= MAX_CONCURRENT_READERS
     }
 
     /// Reports whether the store answers enough other balancers: two, in different availability
@@ -395,7 +400,7 @@
 /// Sorts followers so that the two that stay come first. A balancer that hears of followers in one
 /// zone only keeps following, and when many start at once, a single zone may have more followers
 /// than a heartbeat names. While long lists are read, the readers with the best rank come first.
-fn staying_first(mut sightings: Vec<WatcherSighting>) -> Vec<WatcherSighting> {
+fn sort_for_heartbeat(mut sightings: Vec<WatcherSighting>) -> Vec<WatcherSighting> {
     if sightings.iter().any(|sighting| sighting.page_ms.is_some()) {
         sightings.sort_by_key(|sighting| reader_rank(sighting.page_ms, sighting.peer));
         return sightings;
@@ -406,8 +411,8 @@
         let is_second = |other: &WatcherSighting| other.is_answered && other.zone != first.zone;
         sightings.iter().position(is_second)
     });
-    if let Some(place) = elsewhere {
-        sightings[1..=place].rotate_right(1);
+    if let Some(index) = elsewhere {
+        sightings[1..=index].rotate_right(1);
     }
     sightings
 }
@@ -423,12 +428,12 @@
 
 /// Added to the ages in a message for its transit time. If it were less than the real transit time,
 /// information that is forwarded at once would never age.
-const HOP_AGE: Duration = Duration::from_millis(10);
+const HOP_DELAY: Duration = Duration::from_millis(10);
 
 /// Returns the time of an event whose age another balancer reported; `None` if it is too far in the
 /// past.
 pub(in crate::steering) fn time_of_age(age_ms: u32, now: Instant) -> Option<Instant> {
-    now.checked_sub(Duration::from_millis(age_ms.into()) + HOP_AGE)
+    now.checked_sub(Duration::from_millis(age_ms.into()) + HOP_DELAY)
 }
 
 fn whole_millis(time: Duration) -> u16 {
--- a/crates/valvestage-policy/tests/steering/follower.rs
+++ b/crates/valvestage-policy/tests/steering/follower.rs
@@ -3,7 +3,9 @@
 use std::time::Instant;
 
 use valvestage_core::StorePosition;
-use valvestage_policy::steering::store::store_follower::{Completeness, FollowerNews, WATCH_WAIT};
+use valvestage_policy::steering::store::store_follower::{
+    Completeness, FollowerUpdate, WATCH_WAIT,
+};
 use valvestage_policy::steering::{
     Decision, ListFreshness, StoreCall, StoreFollower, StoreKind, StoreReply,
 };
@@ -35,16 +37,16 @@
         follower.next_call(at(0), now),
         Some(StoreCall::List { after: None, freshness: ListFreshness::Current })
     );
-    let news = follower.on_reply(page(&[1, 2], Some("b"), 10), now);
-    assert_eq!(news.completes, Completeness::ListBegins);
+    let update = follower.on_reply(page(&[1, 2], Some("b"), 10), now);
+    assert_eq!(update.completes, Completeness::ListBegins);
     let second =
         Some(StoreCall::List { after: Some("b".to_owned()), freshness: ListFreshness::Current });
     assert_eq!(follower.next_call(at(0), now), second);
 
     // Something has changed between the two pages: the watch replays it.
-    let news = follower.on_reply(page(&[3], None, 15), now);
+    let update = follower.on_reply(page(&[3], None, 15), now);
     let ends = Completeness::ListEnds { position: at(10), after_outage: false, single_page: false };
-    assert_eq!(news, FollowerNews { objects: vec![3], completes: ends });
+    assert_eq!(update, FollowerUpdate { objects: vec![3], completes: ends });
     assert_eq!(watched_revision(follower.next_call(at(0), now)), Some(10));
 }
 
@@ -63,8 +65,8 @@
     follower.on_reply(page(&[], None, 10), now);
     follower.next_call(at(0), now);
 
-    let news = follower.on_reply(changes(&[4], 12), now);
-    assert_eq!(news.completes, Completeness::Until(at(12)));
+    let update = follower.on_reply(changes(&[4], 12), now);
+    assert_eq!(update.completes, Completeness::Until(at(12)));
     let later = now + millis(500);
     assert_eq!(watched_revision(follower.next_call(at(20), later)), Some(20));
 }
@@ -92,9 +94,9 @@
         follower.next_call(at(0), now),
         Some(StoreCall::List { after: None, freshness: ListFreshness::Current })
     );
-    let news = follower.on_reply(page(&[1], None, 30), now);
+    let update = follower.on_reply(page(&[1], None, 30), now);
     let ends = Completeness::ListEnds { position: at(30), after_outage: false, single_page: true };
-    assert_eq!(news.completes, ends);
+    assert_eq!(update.completes, ends);
 }
 
 #[test]
@@ -125,9 +127,9 @@
 
     let later = now + millis(1_000);
     follower.next_call(at(0), later);
-    let news = follower.on_reply(page(&[1], None, 10), later);
+    let update = follower.on_reply(page(&[1], None, 10), later);
     let ends = Completeness::ListEnds { position: at(10), after_outage: true, single_page: true };
-    assert_eq!(news.completes, ends);
+    assert_eq!(update.completes, ends);
 }
 
 #[test]
@@ -136,24 +138,24 @@
     follower.next_call(at(0), now);
     follower.on_reply(page(&[1], None, 10), now);
     follower.next_call(at(0), now);
-    follower.list_again();
+    follower.relist();
     assert!(follower.next_call(at(0), now).is_none(), "the watch goes on");
     follower.on_reply(changes(&[], 10), now);
 
-    follower.list_again();
+    follower.relist();
     assert_eq!(
         follower.next_call(at(0), now),
         Some(StoreCall::List { after: None, freshness: ListFreshness::Current })
     );
     follower.on_reply(page(&[1], Some("b"), 11), now);
-    follower.list_again();
+    follower.relist();
     let second =
         Some(StoreCall::List { after: Some("b".to_owned()), freshness: ListFreshness::Current });
     assert_eq!(follower.next_call(at(0), now), second);
 }
 
 /// Creates a follower that has just received a change.
-fn told_of_a_change(kind: StoreKind, now: Instant) -> StoreFollower {
+fn follower_after_change(kind: StoreKind, now: Instant) -> StoreFollower {
     let mut follower = StoreFollower::new(kind);
     follower.next_call(at(0), now);
     follower.on_reply(page(&[], None, 10), now);
@@ -165,7 +167,7 @@
 #[test]
 fn changes_of_backend_servers_that_come_together_cost_one_call() {
     let now = start();
-    let mut follower = told_of_a_change(StoreKind::Backends, now);
+    let mut follower = follower_after_change(StoreKind::Backends, now);
 
     assert!(follower.next_call(at(0), now + millis(390)).is_none());
     let call = follower.next_call(at(0), now + millis(410));
@@ -175,15 +177,15 @@
 }
 
 #[test]
-fn a_configuration_that_follows_another_is_heard_of_soon() {
+fn consecutive_configurations_are_read_after_a_short_pause() {
     let now = start();
-    let mut follower = told_of_a_change(StoreKind::Configuration, now);
+    let mut follower = follower_after_change(StoreKind::Configuration, now);
 
     assert!(follower.next_call(at(0), now + millis(110)).is_some());
 }
 
 #[test]
-fn another_era_of_the_store_and_a_history_that_is_gone_are_told() {
+fn a_new_era_and_a_lost_history_are_logged() {
     let (mut follower, now) = (StoreFollower::new(StoreKind::Backends), start());
     follower.next_call(at(0), now);
     follower.on_reply(page(&[], None, 26), now);
--- a/crates/valvestage-policy/tests/steering/large_answers.rs
+++ b/crates/valvestage-policy/tests/steering/large_answers.rs
@@ -41,7 +41,7 @@
 }
 
 /// Returns one of many backend servers, each with an address of its own.
-fn one_of_many(instance: u64) -> BackendEntry {
+fn numbered_backend(instance: u64) -> BackendEntry {
     let [.., high, low] = instance.to_be_bytes();
     let address = SocketAddrV4::new(Ipv4Addr::new(10, 1, high, low), 8_080);
 
@@ -87,20 +87,20 @@
 /// Time left to spread a configuration, in milliseconds. Balancers whose connections fell silent
 /// are held to bounds again after 4 s. Of these, up to 2.2 s pass until others notice that the
 /// store answers nobody, and 0.85 s until one of them has read the configuration over a slow link.
-const LEFT_TO_TELL_MS: u64 = 950;
+const SPREAD_BOUND_MS: u64 = 950;
 
 /// Guards against balancers that answer all pulls in equal turns. A few have the configuration at
 /// first, and all others ask them at once. A balancer that has received some of it is served first,
 /// so that others soon have all of it and can answer too. With equal turns, all would complete at
 /// the same late moment.
 #[test]
-fn ninety_are_told_of_a_large_configuration_before_their_time_is_over() {
+fn ninety_receive_a_large_configuration_before_their_time_is_over() {
     let mut deployment = settled(90, SLOW_LINK);
 
     deployment.store.put_routes(large_routes(8, 5_500));
     deployment.run_until(|now| now.versions().contains(&8));
     let took = deployment.run_until(|now| all_have(now, 8));
-    assert!(took <= millis(LEFT_TO_TELL_MS), "{took:?}");
+    assert!(took <= millis(SPREAD_BOUND_MS), "{took:?}");
 }
 
 #[test]
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn lost_datagrams_cost_themselves_and_not_the_whole_answer() {
+fn only_lost_datagrams_are_sent_again() {
     let lossy = LinkLimits { loss: 0.05, ..SLOW_LINK };
     let mut deployment = settled(24, lossy);
 
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn large_configurations_in_quick_succession_hold_each_other_up_no_longer_than_one() {
+fn large_configurations_in_quick_succession_are_everywhere_in_time() {
     let mut deployment = settled(24, SLOW_LINK);
 
     for version in 8..20 {
@@ -177,7 +177,7 @@
     // As many backend servers as the system is designed for, and as many again that were there
     // before them.
     for instance in 5..=5_400 {
-        deployment.store.put_backend(one_of_many(instance));
+        deployment.store.put_backend(numbered_backend(instance));
     }
     deployment.run(millis(10_000));
 
@@ -193,12 +193,12 @@
 /// servers at once: all would complete at the same late moment, and none could answer others
 /// before.
 #[test]
-fn a_herd_that_asks_few_for_many_backend_servers_is_ready_soon() {
+fn many_balancers_that_pull_backend_servers_from_few_are_ready_soon() {
     const BALANCERS: usize = 40;
     let mut deployment = Deployment::over_links(BALANCERS, 3, Some(SLOW_LINK));
     deployment.store.put_routes(routes(3, &[(443, SERVICE)]));
     for instance in 1..=3_000 {
-        deployment.store.put_backend(one_of_many(instance));
+        deployment.store.put_backend(numbered_backend(instance));
     }
     deployment.run(millis(6_000));
     assert!(deployment.nodes.iter().flatten().all(EntryPolicy::is_ready));
--- a/crates/valvestage-policy/tests/steering/late_messages.rs
+++ b/crates/valvestage-policy/tests/steering/late_messages.rs
@@ -14,7 +14,7 @@
 use crate::fixtures::{AWAY, HOME, address, at, millis, start};
 
 /// How long the balancer is paused.
-const STANDSTILL: Duration = Duration::from_millis(1_500);
+const PAUSE: Duration = Duration::from_millis(1_500);
 
 /// Age of the sighting when it was sent, in milliseconds.
 const SENT_AGE_MS: u32 = 150;
@@ -63,7 +63,7 @@
 
 /// Delivers the message, and returns the ages of the follower in the heartbeats that the balancer
 /// sends in the next 300 ms.
-fn told_ages(policy: &mut EntryPolicy, now: Instant) -> Vec<u32> {
+fn reported_ages(policy: &mut EntryPolicy, now: Instant) -> Vec<u32> {
     let message = PeerMessage::Heartbeat(heartbeat());
     let mut actions = policy.on_message(address(2, 7_400), message, now);
     for turn in 0..=3 {
@@ -74,35 +74,36 @@
         KeeperAction::Tell(_, PeerMessage::Heartbeat(heartbeat)) => Some(heartbeat.watchers),
         _ => None,
     });
-    let told: Vec<_> = watchers.flatten().filter(|told| told.peer == address(3, 7_400)).collect();
+    let reported: Vec<_> =
+        watchers.flatten().filter(|sighting| sighting.peer == address(3, 7_400)).collect();
 
-    told.iter().map(|told| told.age_ms).collect()
+    reported.iter().map(|sighting| sighting.age_ms).collect()
 }
 
 #[test]
-fn what_is_read_after_a_standstill_is_told_on_as_old() {
+fn messages_read_after_a_pause_are_forwarded_as_old() {
     for ticks_first in [false, true] {
         let began = start();
         let mut policy = balancer(began);
         policy.on_tick(began);
 
-        let now = began + STANDSTILL;
+        let now = began + PAUSE;
         if ticks_first {
             policy.on_tick(now);
         }
-        let ages = told_ages(&mut policy, now);
+        let ages = reported_ages(&mut policy, now);
         assert!(!ages.is_empty());
         assert!(ages.iter().all(|age| *age >= 1_500 + SENT_AGE_MS), "{ticks_first}: {ages:?}");
     }
 }
 
 #[test]
-fn what_is_read_in_time_is_as_old_as_it_says() {
+fn ages_in_messages_read_in_time_are_kept() {
     let began = start();
     let mut policy = balancer(began);
     policy.on_tick(began);
 
     let now = began + millis(100);
-    let ages = told_ages(&mut policy, now);
+    let ages = reported_ages(&mut policy, now);
     assert!(ages.iter().any(|age| *age < 400), "{ages:?}");
 }
--- a/crates/valvestage-policy/tests/steering/links.rs
+++ b/crates/valvestage-policy/tests/steering/links.rs
@@ -6,7 +6,7 @@
 use valvestage_policy::steering::seeded_draw::SeededDraw;
 
 /// Bytes of the headers of a datagram on an Ethernet link: UDP, IP and the frame.
-const HEAD_BYTES: usize = 46;
+const HEADER_BYTES: usize = 46;
 
 /// Limits of one link.
 #[derive(Debug, Clone, Copy)]
@@ -45,7 +45,8 @@
 
     /// Sends a message. Returns when its last byte has left; `None` if it is lost.
     pub fn send(&mut self, from: usize, message: &PeerMessage, now: Instant) -> Option<Instant> {
-        let bytes = postcard::to_stdvec(message).expect("it can be written").len() + HEAD_BYTES;
+        let bytes = postcard::to_stdvec(message).expect("the message can be serialized").len()
+            + HEADER_BYTES;
         let begins_at = self.idle_at[from].map_or(now, |at| at.max(now));
         let queued = (begins_at - now).as_secs_f64() * f64::from(self.limits.bytes_per_s);
         if queued > f64::from(self.limits.queue_bytes) {
--- a/crates/valvestage-policy/tests/steering/peers.rs
+++ b/crates/valvestage-policy/tests/steering/peers.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn only_balancers_heard_lately_are_told_on() {
+fn only_recently_heard_balancers_are_named_to_others() {
     let now = start();
     let mut table = PeerTable::new(address(1, 7), &[], start());
     table.on_heard(address(3, 7), now);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_route_less_changes_few_chunks() {
+fn removing_a_route_changes_few_chunks() {
     let routes = (0..4_000).map(|number| (front(10_000 + number), vec![target("streams", 1)]));
     let map = RouteMap {
         version: 3,
@@ -100,10 +100,10 @@
         after.iter().filter(|digest| !before.contains(digest)).count()
     };
 
-    let news: Vec<_> = (0..100).map(new_ones).collect();
+    let counts: Vec<_> = (0..100).map(new_ones).collect();
     assert!(before.len() >= 50);
-    assert!(news.iter().sum::<usize>() <= 200, "{news:?}");
-    assert!(news.iter().all(|new| *new <= 6), "{news:?}");
+    assert!(counts.iter().sum::<usize>() <= 200, "{counts:?}");
+    assert!(counts.iter().all(|new| *new <= 6), "{counts:?}");
 }
 
 #[test]
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn part_numbers_that_make_no_sense_are_taken_without_harm() {
+fn invalid_part_numbers_are_ignored() {
     let mut assembly = None;
 
     for part in [MessagePart { index: 5, count: 2 }, MessagePart { index: 0, count: 0 }] {
@@ -157,14 +157,14 @@
 }
 
 #[test]
-fn only_changes_are_told_while_they_are_remembered() {
+fn only_changes_are_reported_while_they_are_remembered() {
     let (mut directory, now) = (BackendDirectory::default(), start());
     directory.complete(at(1));
     for instance in 1..=9 {
         directory.put(backend(instance, "core", HOME));
     }
     directory.complete(at(9));
-    let told = |directory: &BackendDirectory, after| {
+    let reported_count = |directory: &BackendDirectory, after| {
         let pull = BackendsPull { after, scope: WalkScope::Changes };
         let messages = backends_messages(directory, pull, now);
         let parts = messages.into_iter().map(|message| match message {
@@ -173,10 +173,10 @@
         });
         parts.sum::<usize>()
     };
-    assert_eq!(told(&directory, at(7)), 2);
+    assert_eq!(reported_count(&directory, at(7)), 2);
 
     // An entry of revision 8 is forgotten, so not all changes after 7 are known any more.
     directory.mark_gone(8, at(10), now);
     directory.forget_gone(now + millis(1));
-    assert_eq!(told(&directory, at(7)), 8);
+    assert_eq!(reported_count(&directory, at(7)), 8);
 }
--- a/crates/valvestage-policy/tests/steering/slow_store.rs
+++ b/crates/valvestage-policy/tests/steering/slow_store.rs
@@ -14,7 +14,7 @@
 use crate::fixtures::{HOME, backend, millis, routes};
 
 /// Time to read a configuration of 5,500 addresses, some 1 MB, over 10 Mbit/s.
-const READING: Duration = Duration::from_millis(800);
+const READ_TIME: Duration = Duration::from_millis(800);
 
 /// A configuration has to be in force within this time.
 const IN_FORCE: Duration = Duration::from_secs(3);
@@ -29,7 +29,7 @@
 
 fn settled(count: usize) -> Deployment {
     let mut deployment = Deployment::across_zones(count, 3);
-    deployment.configuration_time = READING;
+    deployment.configuration_time = READ_TIME;
     deployment.store.put_routes(routes(3, &[(443, "core")]));
     deployment.store.put_backend(backend(1, "core", HOME));
 
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_store_that_refuses_is_still_left_to_others_at_once() {
+fn few_calls_are_made_while_the_store_refuses() {
     let mut deployment = settled(30);
     deployment.store_down = true;
     deployment.run(millis(5_000));
@@ -87,7 +87,7 @@
 
 /// All balancers have just started, and the connections of their list calls fall silent.
 #[test]
-fn those_that_know_nothing_do_not_rest_all_at_once() {
+fn balancers_without_knowledge_do_not_all_back_off_at_once() {
     let mut deployment = settled(5);
     for node in 0..5 {
         deployment.start(node);
--- a/crates/valvestage-policy/tests/steering/watch_role.rs
+++ b/crates/valvestage-policy/tests/steering/watch_role.rs
@@ -50,7 +50,7 @@
 }
 
 /// Creates the role of a balancer that has stopped following the store because two others do.
-fn off_duty(now: Instant) -> WatchRole {
+fn stopped(now: Instant) -> WatchRole {
     let mut role = watching(9, now);
 
     role.on_sighting(&sighting(1, 0), now);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn one_whom_the_store_does_not_answer_makes_room() {
+fn a_follower_that_the_store_does_not_answer_stops() {
     let now = start();
     let mut role = watching(1, now);
     role.on_sighting(&sighting(2, 0), now);
@@ -97,7 +97,7 @@
 #[test]
 fn another_takes_over_within_the_time_that_a_configuration_may_take() {
     let now = start();
-    let mut role = off_duty(now);
+    let mut role = stopped(now);
 
     // Both followers fail at once. The steps are heartbeats.
     let mut at = now;
@@ -109,10 +109,10 @@
 }
 
 #[test]
-fn the_pause_is_drawn_so_that_not_all_take_over_at_once() {
+fn the_pause_is_random_so_that_not_all_take_over_at_once() {
     let now = start();
     let begins = |draw: f64| {
-        let (mut role, mut at) = (off_duty(now), now);
+        let (mut role, mut at) = (stopped(now), now);
         while !role.is_watching() {
             at += millis(10);
             role.step(state(false, draw), at);
@@ -126,7 +126,7 @@
 #[test]
 fn one_that_hears_of_a_successor_in_its_pause_does_not_begin() {
     let now = start();
-    let mut role = off_duty(now);
+    let mut role = stopped(now);
     let late = now + millis(2_700);
     role.step(state(false, 0.9), late);
 
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_balancer_that_starts_lets_its_peers_speak_first() {
+fn a_balancer_that_starts_waits_for_its_peers() {
     let now = start();
     let unknowing = RoleState { is_complete: false, ..state(false, 0.5) };
     let mut role = starting(9, 0.0, now);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_peer_that_was_asked_gets_time_to_tell() {
+fn a_peer_that_was_asked_gets_time_to_answer() {
     let now = start();
     let unknowing = RoleState { is_complete: false, ..state(false, 0.5) };
     let mut role = starting(9, 0.0, now);
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn the_end_of_a_watch_is_passed_on_at_once() {
+fn the_end_of_a_watch_is_forwarded_at_once() {
     let now = start();
     let mut role = watching(9, now);
 
@@ -254,7 +254,7 @@
     role.step(state(false, 0.0), later + millis(1_800));
     assert!(!role.is_watching());
     role.step(state(false, 0.0), later + millis(6_000));
-    assert!(role.is_watching(), "nobody else does");
+    assert!(role.is_watching(), "nobody else tries");
 }
 
 #[test]
@@ -270,9 +270,9 @@
 }
 
 #[test]
-fn those_that_stay_are_told_of_before_all_others() {
+fn followers_that_stay_are_announced_first() {
     let now = start();
-    let mut role = off_duty(now);
+    let mut role = stopped(now);
 
     // Many balancers of one zone have lower addresses than the first one of the other zone.
     for other in [1, 3, 5, 7, 11, 13, 24] {
@@ -285,9 +285,10 @@
         role.on_sighting(&sighting(other, 0), later);
     }
     role.step(state(true, 0.5), later);
-    let told: Vec<_> = role.sightings(None, None, later).iter().map(|told| told.peer).collect();
-    assert!(told.contains(&address(1, 7_000)), "{told:?}");
-    assert!(told.contains(&address(24, 7_000)), "{told:?}");
+    let announced: Vec<_> =
+        role.sightings(None, None, later).iter().map(|follower| follower.peer).collect();
+    assert!(announced.contains(&address(1, 7_000)), "{announced:?}");
+    assert!(announced.contains(&address(24, 7_000)), "{announced:?}");
 }
 
 /// Returns the sighting of a balancer that reads a long list, and whose last page took `page_ms`.
@@ -297,7 +298,7 @@
 
 /// Returns the state of a balancer that knows nothing yet, and that reads a long list if the time
 /// of its last page is given.
-fn unknowing(page_ms: Option<u64>) -> RoleState {
+fn without_knowledge(page_ms: Option<u64>) -> RoleState {
     RoleState { is_complete: false, page_time: page_ms.map(millis), ..state(true, 0.0) }
 }
 
@@ -312,12 +313,12 @@
     for last in 2..=4 {
         role.on_sighting(&reader(last, 6), now);
     }
-    role.step(unknowing(Some(60)), now);
+    role.step(without_knowledge(Some(60)), now);
     assert!(role.is_watching());
     role.on_sighting(&reader(5, 6), now);
-    role.step(unknowing(Some(60)), now);
+    role.step(without_knowledge(Some(60)), now);
     assert!(!role.is_watching());
-    role.step(unknowing(None), now + millis(700));
+    role.step(without_knowledge(None), now + millis(700));
     assert!(!role.is_watching());
 }
 
@@ -329,7 +330,7 @@
     for last in 2..=9 {
         role.on_sighting(&reader(last, 60), now);
     }
-    role.step(unknowing(Some(6)), now);
+    role.step(without_knowledge(Some(6)), now);
     assert!(role.is_watching());
 }
 
@@ -340,27 +341,27 @@
     for last in 2..=5 {
         role.on_sighting(&reader(last, 6), now);
     }
-    role.step(unknowing(Some(60)), now);
+    role.step(without_knowledge(Some(60)), now);
     assert!(!role.is_watching());
 
     let later = now + millis(2_300);
-    role.step(unknowing(None), later);
-    role.step(unknowing(None), later + millis(600));
+    role.step(without_knowledge(None), later);
+    role.step(without_knowledge(None), later + millis(600));
     assert!(role.is_watching());
 }
 
 /// Where a peer has complete knowledge there is no reason to wait for readers: either the peer
 /// answers, or this balancer reads the store.
 #[test]
-fn nobody_waits_for_readers_where_one_that_knows_everything_is_heard() {
+fn readers_are_not_waited_for_if_a_peer_has_complete_knowledge() {
     let now = Instant::now();
     let mut role = watching(100, now);
     for last in 2..=9 {
         role.on_sighting(&reader(last, 6), now);
     }
 
-    role.step(RoleState { hears_complete: true, ..unknowing(Some(60)) }, now);
+    role.step(RoleState { hears_complete: true, ..without_knowledge(Some(60)) }, now);
     assert!(role.is_watching());
-    role.step(RoleState { is_being_told: true, ..unknowing(Some(60)) }, now);
+    role.step(RoleState { is_being_told: true, ..without_knowledge(Some(60)) }, now);
     assert!(!role.is_watching());
 }
