--- a/crates/valvestage-policy/src/steering/peers/answer_queue.rs
+++ b/crates/valvestage-policy/src/steering/peers/answer_queue.rs
@@ -24,7 +24,7 @@
 
 /// A pull that has waited longer than this is dropped: the balancer that sent it asks again after
 /// 150 ms.
-const QUESTION_TTL: Duration = Duration::from_millis(120);
+const PULL_TTL: Duration = Duration::from_millis(120);
 
 /// Maximum number of waiting pulls.
 const MAX_WAITING: usize = 64;
@@ -59,9 +59,9 @@
 
 /// A pull that waits for its turn.
 #[derive(Debug)]
-struct WaitingQuestion {
+struct WaitingPull {
     peer: SocketAddrV4,
-    question: PeerQuestion,
+    pull: PeerQuestion,
     until: Instant,
 }
 
@@ -71,7 +71,7 @@
     /// Time for one full datagram at the share of the link that answers may use.
     datagram_time: Duration,
     /// Waiting pulls in the order of their arrival, at most one per peer and kind of knowledge.
-    waiting: VecDeque<WaitingQuestion>,
+    waiting: VecDeque<WaitingPull>,
     /// Balancers that were recently sent a whole window, and until when they are likely to ask for
     /// the next one.
     under_way: HashMap<SocketAddrV4, Instant>,
@@ -97,20 +97,20 @@
     pub(in crate::steering) fn push(
         &mut self,
         peer: SocketAddrV4,
-        question: PeerQuestion,
+        pull: PeerQuestion,
         now: Instant,
     ) {
-        let until = now + QUESTION_TTL;
+        let until = now + PULL_TTL;
         let same = self
             .waiting
             .iter_mut()
-            .find(|waiting| waiting.peer == peer && waiting.question.is_same_kind(&question));
+            .find(|waiting| waiting.peer == peer && waiting.pull.is_same_kind(&pull));
 
         if let Some(waiting) = same {
-            waiting.question = question;
+            waiting.pull = pull;
             waiting.until = until;
         } else if self.waiting.len() < MAX_WAITING {
-            self.waiting.push_back(WaitingQuestion { peer, question, until });
+            self.waiting.push_back(WaitingPull { peer, pull, until });
         }
     }
 
@@ -132,11 +132,11 @@
         let is_idle = self.busy_until.is_none_or(|until| until <= now);
         let continuation = self.waiting.iter().position(|waiting| self.is_continuation(waiting));
         let index = continuation.or(is_idle.then_some(0))?;
-        let WaitingQuestion { peer, question, .. } = self.waiting.remove(index)?;
-        if question.is_large() {
-            self.under_way.insert(peer, now + QUESTION_TTL);
+        let WaitingPull { peer, pull, .. } = self.waiting.remove(index)?;
+        if pull.is_large() {
+            self.under_way.insert(peer, now + PULL_TTL);
         }
-        Some((peer, question))
+        Some((peer, pull))
     }
 
     /// Records that an answer of `bytes` bytes is sent.
@@ -160,8 +160,8 @@
 
     /// Reports whether a pull is small, or continues an answer that its balancer has begun to
     /// fetch. Other pulls wait until the link is idle.
-    fn is_continuation(&self, waiting: &WaitingQuestion) -> bool {
-        !waiting.question.is_large() || self.under_way.contains_key(&waiting.peer)
+    fn is_continuation(&self, waiting: &WaitingPull) -> bool {
+        !waiting.pull.is_large() || self.under_way.contains_key(&waiting.peer)
     }
 
     fn burst_time(&self) -> Duration {
--- a/crates/valvestage-policy/src/steering/peers/awaited_answer.rs
+++ b/crates/valvestage-policy/src/steering/peers/awaited_answer.rs
@@ -54,10 +54,10 @@
         self.peer
     }
 
-    /// Reports whether the answer is still to be awaited, rather than `other` asked. A balancer
-    /// that has left one pull unanswered gives way to the next one that knows as much: if a
-    /// balancer that receives nothing were asked again at each of its heartbeats, a configuration
-    /// would arrive 3 s late.
+    /// Reports whether to keep waiting for the answer instead of asking `other`. A balancer that
+    /// has left one pull unanswered gives way to the next one that knows as much: if a balancer
+    /// that receives nothing were asked again at each of its heartbeats, a configuration would
+    /// arrive 3 s late.
     pub(in crate::steering) fn is_pending(&self, other: SocketAddrV4, now: Instant) -> bool {
         let gives_way = self.unanswered_pulls > 0 && self.peer != other;
 
--- a/crates/valvestage-policy/src/steering/peers/peer_exchange.rs
+++ b/crates/valvestage-policy/src/steering/peers/peer_exchange.rs
@@ -112,8 +112,8 @@
     ///
     /// When balancers conclude by themselves that a backend server is gone, its end gets the
     /// revision that was read last, so two balancers may conclude different ends at one revision. A
-    /// balancer that has read up to that revision would pull neither and would keep the gone
-    /// backend servers for good.
+    /// balancer that has read up to that revision pulls neither of them otherwise, and would count
+    /// the gone backend servers as living for good.
     pub fn compare(
         &mut self,
         knowledge: &Knowledge,
--- a/crates/valvestage-policy/src/steering/store/store_follower.rs
+++ b/crates/valvestage-policy/src/steering/store/store_follower.rs
@@ -30,9 +30,9 @@
 /// by the same call.
 const OPERATOR_PAUSE: Duration = Duration::from_millis(100);
 
-/// Pause after changes of backend servers. During a replacement there is a change every 100 to 200
-/// ms, and a backend server that leaves has to get no new flows after 3 s. Two followers whose
-/// pauses are not aligned read a change within about half of this pause.
+/// Pause after changes of backend servers. Replacements cause a change every 100 to 200 ms, and a
+/// backend server that leaves has to get no new flows after 3 s. Two followers whose pauses are not
+/// aligned read a change within about half of this pause.
 const BACKENDS_PAUSE: Duration = Duration::from_millis(400);
 
 /// Kind of object that a balancer follows in the store.
--- a/crates/valvestage-policy/src/steering/store/store_link.rs
+++ b/crates/valvestage-policy/src/steering/store/store_link.rs
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Reports whether the last call failed for any kind of object.
+    /// Reports whether the last call for at least one kind of object failed.
     #[must_use]
     pub fn is_failing(&self) -> bool {
         let evacuations = self.evacuations.as_ref();
@@ -148,7 +148,7 @@
         self.last_failure
     }
 
-    /// Records the time of a store failure that a peer has reported.
+    /// Records the time of a store failure that a peer has reported; `None` has no effect.
     pub fn merge_peer_failure(&mut self, at: Option<Instant>) {
         self.last_failure = self.last_failure.max(at);
     }
--- a/crates/valvestage-policy/src/steering/store/watch_role.rs
+++ b/crates/valvestage-policy/src/steering/store/watch_role.rs
@@ -22,8 +22,8 @@
 /// Number of balancers that follow the store, so that one may fail or be cut off without a gap.
 const WANTED_WATCHERS: usize = 2;
 
-/// A balancer counts as a follower for so long after the store last answered it: one watch of 1.5
-/// s, and time for the report of its end to spread.
+/// A balancer counts as a follower for so long after the store last answered it: one watch of
+/// 1.5 s, plus the time for the report of its end to spread.
 const SIGHTING_TTL: Duration = Duration::from_millis(2_200);
 
 /// A sighting that is newer by at least this much is forwarded at once, so that the report of a
@@ -180,7 +180,8 @@
         }
     }
 
-    /// Records that a peer was asked for missing knowledge, which postpones the begin of following.
+    /// Records that a peer was asked for missing knowledge, which postpones a pending start of
+    /// following the store.
     pub fn on_pull_sent(&mut self, now: Instant) {
         if let Some(begin_at) = &mut self.begin_at {
             *begin_at = now + PULL_GRACE;
