--- a/crates/valvestage-policy/src/steering/peers/backend_parts.rs
+++ b/crates/valvestage-policy/src/steering/peers/backend_parts.rs
@@ -1,11 +1,11 @@
-//! Backend servers in datagrams, and back.
+//! Encoding of backend servers in datagrams.
 
 use std::time::{Duration, Instant};
 
 use valvestage_core::StorePosition;
 use valvestage_core::ids::ShortToken;
 
-use super::name_list::place_of;
+use super::name_list::index_of_name;
 use super::peer_message::{
     ANSWER_WINDOW, BackendChange, BackendRecord, BackendStanding, BackendsPart, BackendsPull,
     MAX_MESSAGE_BYTES, MessagePart, PeerMessage, WalkScope,
@@ -14,18 +14,19 @@
 use crate::steering::knowledge::backend_entry::{BackendEnd, BackendEntry, BackendPhase};
 use crate::steering::store::watch_role::millis_since;
 
-/// Bytes of one change of a backend server, as the codec writes it: a name of up to 5 and 9 bytes, a birth of 4, a position of 11, an
-/// address of 7, and some small ones.
+/// Bytes of one change of a backend server in the codec's encoding: a name of up to 5 and 9 bytes,
+/// a birth of 4, a position of 11, an address of 7, and some small fields.
 const CHANGE_BYTES: usize = 45;
 
-/// Changes in one datagram. The names of a part have room in what is left of it.
-const CHANGES_EACH: usize = (MAX_MESSAGE_BYTES - 40) / CHANGE_BYTES;
+/// Number of changes in one datagram. The names of a part fit into the rest of it.
+const CHANGES_PER_DATAGRAM: usize = (MAX_MESSAGE_BYTES - 40) / CHANGE_BYTES;
 
-/// Changes in one answer.
-const CHANGES_AT_ONCE: usize = CHANGES_EACH * ANSWER_WINDOW;
+/// Number of changes in one answer.
+const CHANGES_PER_ANSWER: usize = CHANGES_PER_DATAGRAM * ANSWER_WINDOW;
 
-/// Returns the next changes that another balancer does not know, in the order of their
-/// revisions; or the first of all that there is, where not all changes after its revision are remembered.
+/// Returns the next changes that another balancer does not know, in the order of their positions.
+/// If not all changes after its position are remembered, returns the first of all backend servers
+/// instead.
 #[must_use]
 pub fn backends_messages(
     directory: &BackendDirectory,
@@ -38,12 +39,13 @@
         if is_forgotten { (StorePosition::START, WalkScope::Everything) } else { (after, scope) };
 
     let (changes, next_position) = next_changes(directory, after);
-    let mut parts: Vec<_> = changes.chunks(CHANGES_EACH).collect();
+    let mut parts: Vec<_> = changes.chunks(CHANGES_PER_DATAGRAM).collect();
     if parts.is_empty() {
         parts.push(&[]);
     }
     let count = u16::try_from(parts.len()).unwrap_or(u16::MAX);
-    // Each part goes up to the next one. Several entries may have the same revision.
+    // Each part ends before the first position of the next one, since several entries may have the
+    // same position.
     let ends = parts.iter().skip(1).map(|part| part.first().map(|entry| entry.position.before()));
     let ends: Vec<_> = ends.chain([next_position.map(StorePosition::before)]).collect();
 
@@ -66,7 +68,7 @@
     messages
 }
 
-/// Returns the backend servers of some tokens, the gone ones among them; none if no token is known.
+/// Returns the backend servers of some tokens, including gone ones; `None` if no token is known.
 #[must_use]
 pub fn wanted_message(
     directory: &BackendDirectory,
@@ -76,7 +78,7 @@
     let known = tokens.iter().filter_map(|token| directory.by_token(*token));
     let mut names = Vec::new();
     let changes: Vec<_> =
-        known.take(CHANGES_EACH).map(|entry| change_of(entry, &mut names, now)).collect();
+        known.take(CHANGES_PER_DATAGRAM).map(|entry| change_of(entry, &mut names, now)).collect();
 
     (!changes.is_empty()).then(|| {
         PeerMessage::Backends(BackendsPart {
@@ -91,18 +93,19 @@
     })
 }
 
-/// The entries after a revision, as many as go into one answer, and the revision of the one that follows them.
+/// Returns the entries after a position, as many as go into one answer, and the position of the
+/// entry that follows them.
 fn next_changes(
     directory: &BackendDirectory,
     after: StorePosition,
 ) -> (Vec<&BackendEntry>, Option<StorePosition>) {
     let contested = directory.contested().filter(|entry| entry.position > after);
-    let first = directory.after(after).take(CHANGES_AT_ONCE + 1);
+    let first = directory.after(after).take(CHANGES_PER_ANSWER + 1);
     let mut entries: Vec<_> = first.chain(contested).collect();
 
     entries.sort_unstable_by_key(|entry| (entry.position, entry.instance));
-    let next_position = entries.get(CHANGES_AT_ONCE).map(|entry| entry.position);
-    entries.truncate(CHANGES_AT_ONCE);
+    let next_position = entries.get(CHANGES_PER_ANSWER).map(|entry| entry.position);
+    entries.truncate(CHANGES_PER_ANSWER);
     (entries, next_position)
 }
 
@@ -123,8 +126,8 @@
         birth: entry.name.birth_of(entry.instance),
         position: entry.position,
         record: BackendRecord {
-            service: place_of(names, &entry.service),
-            zone: place_of(names, &entry.zone),
+            service: index_of_name(names, &entry.service),
+            zone: index_of_name(names, &entry.zone),
             address: entry.address,
             slots: entry.slots,
             cold_for_ms: millis_since(now, cold_until),
@@ -133,7 +136,7 @@
     }
 }
 
-/// Returns the entries that a peer told of; those whose names are missing are left out.
+/// Returns the entries that a peer reported, without those whose names are missing.
 #[must_use]
 pub fn entries_of(part: BackendsPart, now: Instant) -> Vec<BackendEntry> {
     let BackendsPart { names, changes, .. } = part;
--- a/crates/valvestage-policy/src/steering/peers/route_chunk.rs
+++ b/crates/valvestage-policy/src/steering/peers/route_chunk.rs
@@ -1,9 +1,10 @@
-//! Some of the routes of a configuration, as many as one datagram takes.
+//! Some of the routes of a configuration, as many as fit into one datagram.
 //!
-//! All balancers cut the same configuration in the same way, and where a route is added or removed only the
-//! chunks around it change. So a chunk is known by a digest of what it holds: it may come from any
-//! balancer, and one that the former configuration had need not come at all. Of a configuration of 4,245 addresses
-//! in 63 chunks, a change of one route mostly takes two or three datagrams.
+//! All balancers split the same configuration in the same way, and when a route is added or removed
+//! only the chunks around it change. A chunk is identified by a digest of its contents, so any
+//! balancer can send it, and one that the former configuration had need not be sent at all. Of a
+//! configuration of 4,245 addresses in 63 chunks, a change of one route mostly takes two or three
+//! datagrams.
 
 use std::hash::Hasher;
 use std::net::SocketAddrV4;
@@ -11,60 +12,64 @@
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher24;
 
-use super::name_list::{NamePlace, place_of};
+use super::name_list::{NameIndex, index_of_name};
 use super::peer_message::MAX_MESSAGE_BYTES;
 use crate::steering::knowledge::cold_rate::ColdRate;
 use crate::steering::knowledge::route_map::{RouteMap, RouteTarget};
 
-/// Bytes that a chunk may have as the codec writes it. The rest of a datagram is for what stands before it.
+/// Maximum size of a chunk in the codec's encoding, in bytes. The rest of a datagram is for the
+/// fields before it.
 const MAX_CHUNK_BYTES: usize = MAX_MESSAGE_BYTES - 40;
 
-/// A chunk of fewer bytes goes on in any case.
+/// A chunk of fewer bytes ends before an address only if the address does not fit into it.
 const SMALL_CHUNK_BYTES: usize = MAX_CHUNK_BYTES / 3;
 
-/// A chunk of more bytes ends soon.
+/// In a chunk of more bytes, the denser boundaries apply, so that it ends soon.
 const LARGE_CHUNK_BYTES: usize = MAX_CHUNK_BYTES * 2 / 3;
 
-/// One address in so many begins a chunk where the one before it is neither small nor large.
+/// One address in so many begins a new chunk if the chunk before it is neither small nor large.
 const BOUNDARY_EVERY: u64 = 64;
 
-/// One address in so many begins a chunk where the one before it is large. So nearly all ends depend on addresses, not on
-/// bytes, and a route that is added moves few of them.
-const EAGER_BOUNDARY_EVERY: u64 = 8;
+/// One address in so many begins a new chunk if the chunk before it is large. Nearly all boundaries
+/// then depend on addresses rather than on sizes, and a route that is added moves few of them.
+const LARGE_CHUNK_BOUNDARY_EVERY: u64 = 8;
 
-/// Targets in one entry of a chunk; an address with more has several. All have room in a datagram.
+/// Maximum number of targets in one entry of a chunk, which fit into a datagram. An address with
+/// more targets has several entries.
 const MAX_ENTRY_TARGETS: usize = 40;
 
-/// Regions in one entry at most, the first by name: a route that allows more flows nowhere else.
+/// Maximum number of regions in one entry. Of more regions only the first by name are kept: a route
+/// that allows more of them gets no flows in the others.
 const MAX_ENTRY_REGIONS: usize = 16;
 
-/// `ChunkDigest` names a chunk by what it holds: SipHash-2-4 of it, little-endian.
+/// Identifies a chunk by its contents: their SipHash-2-4, little-endian.
 pub type ChunkDigest = [u8; 8];
 
-/// `RouteChunk` is some of the routes of a configuration.
+/// Some of the routes of a configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteChunk {
-    /// Names of services and regions, which are meant by their places in this list.
+    /// Names of services and regions, which are referred to by index.
     pub names: Vec<String>,
-    /// What backend servers bear while they are cold, of those of these services that have such a limit.
-    pub cold_rates: Vec<(NamePlace, ColdRate)>,
+    /// Limits of the load of backend servers during their slow start, for those of these services
+    /// that have such a limit.
+    pub cold_rates: Vec<(NameIndex, ColdRate)>,
     /// Addresses in ascending order, each with some or all of its targets.
     pub entries: Vec<ChunkEntry>,
 }
 
-/// `ChunkEntry` is an address with targets.
+/// An address with some or all of its targets.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkEntry {
-    /// Where callers send to.
+    /// The address that callers send to.
     pub address: SocketAddrV4,
-    /// Places of services in the chunk's names, and their shares.
-    pub targets: Vec<(NamePlace, u32)>,
-    /// Places of the regions in which new flows may go; none: no such limit.
-    pub regions: Option<Vec<NamePlace>>,
+    /// Indexes of services in the chunk's names, with their weights.
+    pub targets: Vec<(NameIndex, u32)>,
+    /// Indexes of the regions to which new flows may go; `None` if there is no such limit.
+    pub regions: Option<Vec<NameIndex>>,
 }
 
 impl RouteChunk {
-    /// `digest` gives the name of this chunk, the same at every balancer.
+    /// Returns the digest of this chunk, which is the same at every balancer.
     #[must_use]
     pub fn digest(&self) -> ChunkDigest {
         let mut hasher = SipHasher24::new();
@@ -74,45 +79,46 @@
             hasher.write(name.as_bytes());
             hasher.write_u8(0);
         }
-        for (place, rate) in &self.cold_rates {
-            hasher.write(&place.to_le_bytes());
+        for (index, rate) in &self.cold_rates {
+            hasher.write(&index.to_le_bytes());
             hasher.write(&rate.to_bytes());
         }
         for ChunkEntry { address, targets, regions } in &self.entries {
             hasher.write(&address_bytes(*address));
-            for place in regions.iter().flatten() {
+            for index in regions.iter().flatten() {
                 hasher.write_u8(1);
-                hasher.write(&place.to_le_bytes());
+                hasher.write(&index.to_le_bytes());
             }
             hasher.write_u8(u8::from(regions.is_some()));
             hasher.write_usize(targets.len());
-            for (place, weight) in targets {
-                hasher.write(&place.to_le_bytes());
+            for (index, weight) in targets {
+                hasher.write(&index.to_le_bytes());
                 hasher.write(&weight.to_le_bytes());
             }
         }
         hasher.finish().to_le_bytes()
     }
 
-    /// `bytes` gives how many bytes it has as the codec writes it, at most.
+    /// Returns the maximum size of the chunk in the codec's encoding, in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
-        /// An address with its port, the tag of its family, and the counts of its targets and regions.
+        /// An address with its port, the tag of its family, and the numbers of its targets and
+        /// regions.
         const ENTRY_BYTES: usize = 10;
-        /// The place of a name, which has two bytes at most in a list that fits into a datagram.
-        const PLACE_BYTES: usize = 2;
-        const RATE_BYTES: usize = PLACE_BYTES + 5;
+        /// The index of a name takes two bytes at most in a list that fits into a datagram.
+        const INDEX_BYTES: usize = 2;
+        const RATE_BYTES: usize = INDEX_BYTES + 5;
         let target_bytes = |entry: &ChunkEntry| {
             entry
                 .targets
                 .iter()
-                .map(|(_, weight)| PLACE_BYTES + varint_bytes(*weight))
+                .map(|(_, weight)| INDEX_BYTES + varint_bytes(*weight))
                 .sum::<usize>()
         };
         let region_bytes =
-            |entry: &ChunkEntry| PLACE_BYTES * entry.regions.iter().flatten().count();
+            |entry: &ChunkEntry| INDEX_BYTES * entry.regions.iter().flatten().count();
         let entries = self.entries.iter();
-        let names = self.names.iter().map(|name| PLACE_BYTES + name.len());
+        let names = self.names.iter().map(|name| INDEX_BYTES + name.len());
 
         names.sum::<usize>()
             + RATE_BYTES * self.cold_rates.len()
@@ -121,60 +127,65 @@
                 .sum::<usize>()
     }
 
-    /// `add_to` puts what it holds into a configuration. What has a name that is missing is left out.
+    /// Adds the routes of the chunk to a configuration. Items whose names are missing are left out.
     pub fn add_to(&self, map: &mut RouteMap) {
-        for (place, rate) in &self.cold_rates {
-            if let Some(service) = self.name(*place) {
+        for (index, rate) in &self.cold_rates {
+            if let Some(service) = self.name(*index) {
                 map.cold_rates.insert(service, *rate);
             }
         }
         for ChunkEntry { address, targets, regions } in &self.entries {
-            let targets = targets.iter().filter_map(|(place, weight)| {
-                Some(RouteTarget { service: self.name(*place)?, weight: *weight })
+            let targets = targets.iter().filter_map(|(index, weight)| {
+                Some(RouteTarget { service: self.name(*index)?, weight: *weight })
             });
             map.routes.entry(*address).or_default().extend(targets);
             if let Some(regions) = regions {
-                let regions = regions.iter().filter_map(|place| self.name(*place));
+                let regions = regions.iter().filter_map(|index| self.name(*index));
                 map.allowed_regions.insert(*address, regions.collect());
             }
         }
     }
 
-    fn name(&self, place: NamePlace) -> Option<String> {
-        self.names.get(usize::from(place)).cloned()
+    fn name(&self, index: NameIndex) -> Option<String> {
+        self.names.get(usize::from(index)).cloned()
     }
 
-    /// Adds an address with some of its targets, and what the configuration says besides of these.
+    /// Adds an entry with an address, some of its targets, and the settings of the configuration
+    /// that apply to them.
     fn push(&mut self, map: &RouteMap, address: SocketAddrV4, targets: &[RouteTarget]) {
-        let mut places = Vec::with_capacity(targets.len());
+        let mut indexes = Vec::with_capacity(targets.len());
         for target in targets {
-            let place = place_of(&mut self.names, &target.service);
-            places.push((place, target.weight));
-            let is_known = self.cold_rates.iter().any(|(known, _)| *known == place);
+            let index = index_of_name(&mut self.names, &target.service);
+            indexes.push((index, target.weight));
+            let is_known = self.cold_rates.iter().any(|(known, _)| *known == index);
             let rate = map.cold_rates.get(&target.service).filter(|_| !is_known);
-            self.cold_rates.extend(rate.map(|rate| (place, *rate)));
+            self.cold_rates.extend(rate.map(|rate| (index, *rate)));
         }
         let names = &mut self.names;
         let regions = map.allowed_regions.get(&address);
         let regions = regions.map(|regions| {
-            regions.iter().take(MAX_ENTRY_REGIONS).map(|region| place_of(names, region)).collect()
+            regions
+                .iter()
+                .take(MAX_ENTRY_REGIONS)
+                .map(|region| index_of_name(names, region))
+                .collect()
         });
 
-        self.entries.push(ChunkEntry { address, targets: places, regions });
+        self.entries.push(ChunkEntry { address, targets: indexes, regions });
     }
 
-    /// Bytes that an entry adds at most, as the codec writes it.
+    /// Returns the maximum number of bytes that an entry adds in the codec's encoding.
     fn added_bytes(&self, map: &RouteMap, address: SocketAddrV4, targets: &[RouteTarget]) -> usize {
-        // A place of a name has 2 bytes at most in a list that fits into a datagram.
-        const PLACE_BYTES: usize = 2;
+        // The index of a name takes two bytes at most in a list that fits into a datagram.
+        const INDEX_BYTES: usize = 2;
         const IP_BYTES: usize = 4;
         let port_bytes = varint_bytes(u16::MAX.into());
-        // A rate goes with the name of its service.
-        let rate_bytes = PLACE_BYTES + varint_bytes(u32::MAX);
-        let target_bytes = targets.iter().map(|target| PLACE_BYTES + varint_bytes(target.weight));
+        // A rate is sent along with the name of its service.
+        let rate_bytes = INDEX_BYTES + varint_bytes(u32::MAX);
+        let target_bytes = targets.iter().map(|target| INDEX_BYTES + varint_bytes(target.weight));
         let regions = map.allowed_regions.get(&address).into_iter().flatten();
         let regions: Vec<_> = regions.take(MAX_ENTRY_REGIONS).collect();
-        let region_bytes = 1 + PLACE_BYTES * (1 + regions.len());
+        let region_bytes = 1 + INDEX_BYTES * (1 + regions.len());
         let services = targets.iter().map(|target| &target.service);
         let is_new = |name: &&String| !self.names.contains(*name);
         let name_bytes = services
@@ -184,20 +195,20 @@
 
         IP_BYTES
             + port_bytes
-            + PLACE_BYTES
+            + INDEX_BYTES
             + region_bytes
             + target_bytes.chain(name_bytes).sum::<usize>()
     }
 }
 
-/// Bytes of a number as the codec writes it: seven bits in each.
+/// Returns the size of a number in the codec's encoding, which stores seven bits per byte.
 fn varint_bytes(number: u32) -> usize {
     let bits = usize::try_from(u32::BITS - number.leading_zeros()).unwrap_or(0);
 
     bits.div_ceil(7).max(1)
 }
 
-/// `chunks_of` cuts a configuration.
+/// Splits a configuration into chunks.
 #[must_use]
 pub fn chunks_of(map: &RouteMap) -> Vec<RouteChunk> {
     let mut routes: Vec<_> = map.routes.iter().collect();
@@ -207,7 +218,7 @@
     let mut used = 0;
 
     for (address, targets) in routes {
-        for targets in parts_of(targets) {
+        for targets in target_groups(targets) {
             let added = chunk.added_bytes(map, *address, targets);
             let is_full = used + added > MAX_CHUNK_BYTES;
             if !chunk.entries.is_empty() && (is_full || begins_chunk(*address, used)) {
@@ -224,8 +235,8 @@
     chunks
 }
 
-/// The targets of one address in parts of which each has room in a datagram.
-fn parts_of(targets: &[RouteTarget]) -> Vec<&[RouteTarget]> {
+/// Returns the targets of one address in groups that each fit into a datagram.
+fn target_groups(targets: &[RouteTarget]) -> Vec<&[RouteTarget]> {
     if targets.is_empty() {
         return vec![targets];
     }
@@ -233,13 +244,14 @@
     targets.chunks(MAX_ENTRY_TARGETS).collect()
 }
 
-/// Whether an address begins a chunk after one of so many bytes, the same in every configuration.
+/// Reports whether an address begins a new chunk after a chunk of `used` bytes, the same in every
+/// configuration.
 fn begins_chunk(address: SocketAddrV4, used: usize) -> bool {
     if used < SMALL_CHUNK_BYTES {
         return false;
     }
 
-    let every = if used < LARGE_CHUNK_BYTES { BOUNDARY_EVERY } else { EAGER_BOUNDARY_EVERY };
+    let every = if used < LARGE_CHUNK_BYTES { BOUNDARY_EVERY } else { LARGE_CHUNK_BOUNDARY_EVERY };
     let mut hasher = SipHasher24::new();
     hasher.write(&address_bytes(address));
     hasher.finish().is_multiple_of(every)
--- a/crates/valvestage-policy/src/steering/store/evacuation_follower.rs
+++ b/crates/valvestage-policy/src/steering/store/evacuation_follower.rs
@@ -1,4 +1,4 @@
-//! What the store says of evacuated zones, put together.
+//! Following the evacuated availability zones in the store.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -7,35 +7,37 @@
 use valvestage_core::ids::ZoneName;
 
 use super::store_follower::{
-    Completeness, FollowerNews, StoreCall, StoreFollower, StoreKind, StoreReply,
+    Completeness, FollowerUpdate, StoreCall, StoreFollower, StoreKind, StoreReply,
 };
 use crate::steering::decision::Decision;
 use crate::steering::knowledge::evacuated_zones::{EvacuatedZones, EvacuationReport};
 
-/// `EvacuationNews` is what the store says of the evacuation of one zone.
+/// A change of the evacuation of one availability zone, as reported by the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EvacuationNews {
-    /// The zone.
+    /// The availability zone.
     pub zone: ZoneName,
     /// The store's position at the change.
     pub position: StorePosition,
-    /// Whether it is asked for; else it was taken back.
+    /// Whether the evacuation is requested; `false` if the operator has withdrawn it.
     pub is_asked: bool,
 }
 
-/// `EvacuationFollower` follows the operator's evacuations.
+/// Follows the operator's evacuations and assembles the set of evacuated availability zones.
 #[derive(Debug)]
 pub struct EvacuationFollower {
     follower: StoreFollower,
-    /// Zones that there are. An evacuation of another one was written by somebody who does not know the deployment.
+    /// The availability zones of the deployment. Evacuations of other zones are ignored, since
+    /// whoever wrote them does not know the deployment.
     zones: BTreeSet<ZoneName>,
-    /// What the list that is being read has so far.
+    /// The evacuated zones in the pages read so far of the current list.
     listed: BTreeSet<ZoneName>,
 }
 
 impl EvacuationFollower {
-    /// Creates a follower that begins with a list, which may be cached: a balancer that has just started is told of changes since by others, or
-    /// watches for them by itself, before an evacuation has to be in force.
+    /// Creates a follower that begins with a list, which may come from the store's cache: a
+    /// balancer that has just started learns of later changes from its peers or by its own watch
+    /// before an evacuation has to be in force.
     #[must_use]
     pub fn new(zones: BTreeSet<ZoneName>) -> Self {
         let mut follower = StoreFollower::new(StoreKind::Evacuations);
@@ -44,78 +46,81 @@
         Self { follower, zones, listed: BTreeSet::new() }
     }
 
-    /// Returns whether the last call failed.
+    /// Reports whether the last call failed.
     #[must_use]
     pub fn is_failing(&self) -> bool {
         self.follower.is_failing()
     }
 
-    /// Returns what was noticed of the store since the last call.
+    /// Returns the decisions to log, collected since this was last called.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         self.follower.take_decisions()
     }
 
-    /// Returns the call to make now; none while one is under way or a pause lasts. What others have told is gone
-    /// on from, which saves the list of each one that begins to follow.
+    /// Returns the call to make now; `None` while a call is in flight or a pause lasts. Watching
+    /// continues from what peers have reported, so a balancer that begins to follow the store does
+    /// not need a list of its own.
     pub fn next_call(&mut self, known: &EvacuatedZones, now: Instant) -> Option<StoreCall> {
         if known.is_known() {
-            self.follower.go_on_from(known.as_of());
+            self.follower.resume_from(known.as_of());
         }
 
         self.follower.next_call(known.as_of(), now)
     }
 
-    /// Processes an answer. Returns what is the case by now; none if that is not known.
+    /// Processes a reply. Returns the set of evacuated zones; `None` if it is not completely known
+    /// or has not advanced.
     pub fn on_reply(
         &mut self,
         known: &EvacuatedZones,
         reply: StoreReply<EvacuationNews>,
         now: Instant,
     ) -> Option<EvacuationReport> {
-        let FollowerNews { mut objects, completes } = self.follower.on_reply(reply, now);
-        objects.retain(|news| self.zones.contains(&news.zone));
+        let FollowerUpdate { mut objects, completes } = self.follower.on_reply(reply, now);
+        objects.retain(|change| self.zones.contains(&change.zone));
 
         match completes {
-            Completeness::Until(until) => changed(known, &objects, until),
+            Completeness::Until(until) => apply_changes(known, &objects, until),
             Completeness::ListBegins => {
                 self.listed.clear();
-                self.list(objects);
+                self.add_listed(objects);
                 None
             }
             Completeness::ListEnds { position, single_page, .. } => {
                 if single_page {
                     self.listed.clear();
                 }
-                self.list(objects);
+                self.add_listed(objects);
                 let zones = std::mem::take(&mut self.listed).into_iter().collect();
                 Some(EvacuationReport { as_of: position, zones })
             }
             Completeness::Unchanged => {
-                self.list(objects);
+                self.add_listed(objects);
                 None
             }
         }
     }
 
-    fn list(&mut self, objects: Vec<EvacuationNews>) {
-        let asked = objects.into_iter().filter(|news| news.is_asked);
+    fn add_listed(&mut self, objects: Vec<EvacuationNews>) {
+        let asked = objects.into_iter().filter(|change| change.is_asked);
 
-        self.listed.extend(asked.map(|news| news.zone));
+        self.listed.extend(asked.map(|change| change.zone));
     }
 }
 
-/// What is known with changes up to a revision, of which those up to what is known count for nothing.
-fn changed(
+/// Applies changes to the known evacuations. Changes at or before the known position are skipped,
+/// since they are already included.
+fn apply_changes(
     known: &EvacuatedZones,
     changes: &[EvacuationNews],
     until: StorePosition,
 ) -> Option<EvacuationReport> {
     let mut zones = known.zones().clone();
-    for news in changes.iter().filter(|news| news.position > known.as_of()) {
-        if news.is_asked {
-            zones.insert(news.zone.clone());
+    for change in changes.iter().filter(|change| change.position > known.as_of()) {
+        if change.is_asked {
+            zones.insert(change.zone.clone());
         } else {
-            zones.remove(&news.zone);
+            zones.remove(&change.zone);
         }
     }
 
--- a/crates/valvestage-policy/tests/steering/late_messages.rs
+++ b/crates/valvestage-policy/tests/steering/late_messages.rs
@@ -1,6 +1,8 @@
-//! Pattern: a balancer stands still for some seconds, and messages wait to be read. Each tells how old its news is; read late, that
-//! is wrong by the time of the standstill. Told on as fresh, it kept 75 balancers from noticing for 2 s that the store answered nobody
-//! any more, and a configuration came into force 0.3 s too late.
+//! Guards against stale information that is forwarded as fresh.
+//!
+//! While a balancer is paused, received messages wait to be read, and the ages in them are then too
+//! low by the length of the pause. Forwarded as fresh, they kept 75 balancers from noticing for 2 s
+//! that the store answered nobody any more, and a configuration came into force 0.3 s too late.
 
 use std::time::{Duration, Instant};
 
@@ -11,10 +13,10 @@
 
 use crate::fixtures::{AWAY, HOME, address, at, millis, start};
 
-/// How long it stands still.
-const STANDSTILL: Duration = Duration::from_millis(1_500);
+/// How long the balancer is paused.
+const PAUSE: Duration = Duration::from_millis(1_500);
 
-/// How old the news was when it was sent, in milliseconds.
+/// Age of the sighting when it was sent, in milliseconds.
 const SENT_AGE_MS: u32 = 150;
 
 fn heartbeat() -> PeerHeartbeat {
@@ -59,8 +61,9 @@
     EntryPolicy::new(options, now)
 }
 
-/// Reads the message, and gives the ages of the follower in what the balancer tells others then and in the next 300 ms.
-fn told_ages(policy: &mut EntryPolicy, now: Instant) -> Vec<u32> {
+/// Delivers the message, and returns the ages of the follower in the heartbeats that the balancer
+/// sends in the next 300 ms.
+fn reported_ages(policy: &mut EntryPolicy, now: Instant) -> Vec<u32> {
     let message = PeerMessage::Heartbeat(heartbeat());
     let mut actions = policy.on_message(address(2, 7_400), message, now);
     for turn in 0..=3 {
@@ -71,35 +74,36 @@
         KeeperAction::Tell(_, PeerMessage::Heartbeat(heartbeat)) => Some(heartbeat.watchers),
         _ => None,
     });
-    let told: Vec<_> = watchers.flatten().filter(|told| told.peer == address(3, 7_400)).collect();
+    let reported: Vec<_> =
+        watchers.flatten().filter(|sighting| sighting.peer == address(3, 7_400)).collect();
 
-    told.iter().map(|told| told.age_ms).collect()
+    reported.iter().map(|sighting| sighting.age_ms).collect()
 }
 
 #[test]
-fn what_is_read_after_a_standstill_is_told_on_as_old() {
+fn messages_read_after_a_pause_are_forwarded_as_old() {
     for ticks_first in [false, true] {
         let began = start();
         let mut policy = balancer(began);
         policy.on_tick(began);
 
-        let now = began + STANDSTILL;
+        let now = began + PAUSE;
         if ticks_first {
             policy.on_tick(now);
         }
-        let ages = told_ages(&mut policy, now);
+        let ages = reported_ages(&mut policy, now);
         assert!(!ages.is_empty());
         assert!(ages.iter().all(|age| *age >= 1_500 + SENT_AGE_MS), "{ticks_first}: {ages:?}");
     }
 }
 
 #[test]
-fn what_is_read_in_time_is_as_old_as_it_says() {
+fn ages_in_messages_read_in_time_are_kept() {
     let began = start();
     let mut policy = balancer(began);
     policy.on_tick(began);
 
     let now = began + millis(100);
-    let ages = told_ages(&mut policy, now);
+    let ages = reported_ages(&mut policy, now);
     assert!(ages.iter().any(|age| *age < 400), "{ages:?}");
 }
