--- a/crates/valvestage-policy/src/steering/keeper.rs
+++ b/crates/valvestage-policy/src/steering/keeper.rs
@@ -2,10 +2,10 @@
 //!
 //! | module | contents |
 //! |---|---|
-//! | [`knowledge_keeper`] | when to ask the store, and what to tell other balancers |
-//! | [`keeper_action`] | what the driver is to do for it |
-//! | `keeper_exchange` | what is asked of other balancers and told to them |
-//! | `keeper_news` | what was learned, for the log and for others |
+//! | [`knowledge_keeper`] | when to call the store, and what to send to other balancers |
+//! | [`keeper_action`] | actions that the driver carries out |
+//! | `keeper_exchange` | requests to other balancers, and answers to theirs |
+//! | `keeper_news` | what was learned, for the log and for other balancers |
 
 pub mod keeper_action;
 pub(in crate::steering) mod keeper_exchange;
--- a/crates/valvestage-policy/src/steering/keeper/keeper_exchange.rs
+++ b/crates/valvestage-policy/src/steering/keeper/keeper_exchange.rs
@@ -1,4 +1,4 @@
-//! What is asked of other balancers and told to them, with what that is worth a line in the log.
+//! Requests to other balancers, and answers to theirs, with the log events of both.
 
 use std::net::SocketAddrV4;
 use std::time::Instant;
@@ -15,31 +15,31 @@
     BackendsPart, BackendsPull, PeerHeartbeat, PeerMessage, RoutesPull, WalkScope,
 };
 
-/// `KeeperExchange` asks other balancers, answers them, and notes what was learned.
+/// Sends requests to other balancers, answers theirs, and records what was learned.
 #[derive(Debug)]
 pub(in crate::steering) struct KeeperExchange {
     exchange: PeerExchange,
-    /// Whether other balancers have told of changes in a walk that has not ended yet.
+    /// Whether other balancers have reported changes in a walk that has not ended yet.
     has_untold: bool,
 }
 
 impl KeeperExchange {
-    /// `new` answers over a link of so many megabits a second.
+    /// Creates an exchange that answers over a link of so many megabits per second.
     pub(in crate::steering) fn new(link_mbps: f64) -> Self {
         Self { exchange: PeerExchange::new(link_mbps), has_untold: false }
     }
 
-    /// `next_due` gives when there is something to answer; none if nobody waits.
+    /// Returns when the next answer is due. None if no balancer waits for one.
     pub(in crate::steering) fn next_due(&self) -> Option<Instant> {
         self.exchange.next_due()
     }
 
-    /// Returns whether another balancer has told some of what it knows a moment ago.
+    /// Reports whether parts of an answer about backend servers arrived a moment ago.
     pub(in crate::steering) fn is_being_told(&self, now: Instant) -> bool {
         self.exchange.is_being_told(now)
     }
 
-    /// `on_tick` asks again for what did not come, and answers those whose turn it is.
+    /// Repeats requests that were not answered, and answers the balancers whose turn it is.
     pub(in crate::steering) fn on_tick(
         &mut self,
         knowledge: &Knowledge,
@@ -56,7 +56,7 @@
         actions
     }
 
-    /// `knows_more` tells whether the sender of a heartbeat knows something that is not known here.
+    /// Reports whether the sender of a heartbeat knows something that is not known here.
     pub(in crate::steering) fn knows_more(
         &self,
         knowledge: &Knowledge,
@@ -66,7 +66,7 @@
             || self.exchange.knows_more_backends(knowledge, heartbeat)
     }
 
-    /// `pulls` asks the sender of a heartbeat, where nothing is awaited.
+    /// Requests what the sender of a heartbeat knows more, unless an answer is already awaited.
     pub(in crate::steering) fn pulls(
         &mut self,
         knowledge: &Knowledge,
@@ -82,7 +82,8 @@
         pulls.into_iter().map(|pull| tell((sender, pull))).collect()
     }
 
-    /// `compare` asks the sender of a heartbeat for everything, if it believes in other backend servers though both know all changes.
+    /// Requests everything from the sender of a heartbeat if it considers other backend servers
+    /// live although both balancers know all changes.
     pub(in crate::steering) fn compare(
         &mut self,
         knowledge: &Knowledge,
@@ -92,7 +93,8 @@
         self.exchange.compare(knowledge, sender, heartbeat, now)
     }
 
-    /// `on_message` takes a question or an answer in. Entries that go with it may return until the time given.
+    /// Handles a request or an answer. Entries that the answer reports as gone may return until the
+    /// given time.
     pub(in crate::steering) fn on_message(
         &mut self,
         knowledge: &mut Knowledge,
@@ -123,7 +125,7 @@
         self.answers(knowledge, news, now)
     }
 
-    /// Answers those whose turn it is.
+    /// Answers the balancers whose turn it is.
     fn answers(
         &mut self,
         knowledge: &Knowledge,
@@ -142,7 +144,7 @@
         actions
     }
 
-    /// Takes in what a part of a configuration leads to.
+    /// Applies the result of a part of a configuration.
     fn take_step(
         &mut self,
         knowledge: &mut Knowledge,
@@ -171,8 +173,9 @@
         let step = self.exchange.on_backends_part(knowledge, sender, part, missing_until, now);
         let is_new_era = knowledge.directory.changed_at().era > era;
 
-        // What came before the end is of no use to others yet: 60 that started before 1,500 backend servers sent each
-        // other 309 messages each where each part was told of, and 107 with this.
+        // Other balancers cannot use what came before the end of a walk. If each part is announced,
+        // 60 balancers that start before 1,500 backend servers send each other 309 messages each;
+        // announced only at the end, it is 107.
         self.has_untold |= is_new_era || !step.changed.is_empty();
         if step.is_end {
             knowledge.note_caught_up();
@@ -189,7 +192,7 @@
     KeeperAction::Tell(peer, message)
 }
 
-/// Changes of backend servers come several times a second; their pulls are not worth a line.
+/// Changes of backend servers come several times a second, so requests for them are not logged.
 fn note_pull(knowledge: &Knowledge, news: &mut KeeperNews, peer: SocketAddrV4, pull: &PeerMessage) {
     let version = knowledge.routes.version;
     let known_until = knowledge.directory.complete_until();
--- a/crates/valvestage-policy/src/steering/keeper/keeper_news.rs
+++ b/crates/valvestage-policy/src/steering/keeper/keeper_news.rs
@@ -9,52 +9,52 @@
 use crate::steering::knowledge::evacuated_zones::EvacuationReport;
 use crate::steering::knowledge::route_map::RouteMap;
 
-/// `KeeperNews` collects what was learned.
+/// Collects what was learned, and decides when to notify other balancers at once.
 #[derive(Debug, Default)]
 pub(in crate::steering) struct KeeperNews {
-    /// Whether something is new that others may not know.
+    /// Whether something is new that other balancers may not know.
     is_to_tell: bool,
-    /// The backend servers that others were told to seem dead.
+    /// The suspected backend servers that other balancers were notified of.
     told_suspects: Vec<InstanceId>,
-    /// What was learned since it was last taken.
+    /// What was learned since the last call of `take_decisions`.
     decisions: Vec<Decision>,
     was_certain: bool,
 }
 
 impl KeeperNews {
-    /// `take_decisions` gives what was learned since the last call.
+    /// Returns what was learned since the last call.
     pub(in crate::steering) fn take_decisions(&mut self) -> Vec<Decision> {
         std::mem::take(&mut self.decisions)
     }
 
-    /// `note` keeps something learned that others need not be told of.
+    /// Records something of which other balancers need not be notified.
     pub(in crate::steering) fn note(&mut self, decision: Decision) {
         self.decisions.push(decision);
     }
 
-    /// `tell_if` lets others be told at once if something holds.
+    /// Requests that other balancers are notified at once if the condition holds.
     pub(in crate::steering) fn tell_if(&mut self, is_new: bool) {
         self.is_to_tell |= is_new;
     }
 
-    /// `is_to_tell` tells whether others are to be told at once.
+    /// Reports whether other balancers are to be notified at once.
     pub(in crate::steering) fn is_to_tell(&self) -> bool {
         self.is_to_tell
     }
 
-    /// `on_told` takes in that others are being told.
+    /// Records that other balancers are being notified.
     pub(in crate::steering) fn on_told(&mut self) {
         self.is_to_tell = false;
     }
 
-    /// `note_suspects` lets others be told of a new suspect at once.
+    /// Requests that other balancers are notified at once if there is a new suspect.
     pub(in crate::steering) fn note_suspects(&mut self, suspects: &[InstanceId]) {
         self.is_to_tell |= suspects.iter().any(|suspect| !self.told_suspects.contains(suspect));
 
         self.told_suspects = suspects.to_vec();
     }
 
-    /// `note_certainty` keeps whether what is known is confirmed, where that has changed.
+    /// Records a change of whether the knowledge is confirmed.
     pub(in crate::steering) fn note_certainty(&mut self, knowledge: &Knowledge, is_certain: bool) {
         if is_certain != self.was_certain {
             self.was_certain = is_certain;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// `note_backend` keeps that something else is believed of a backend server.
+    /// Records the changed state of a backend server.
     pub(in crate::steering) fn note_backend(
         &mut self,
         knowledge: &Knowledge,
@@ -84,7 +84,8 @@
         });
     }
 
-    /// `take_evacuations` puts in force which zones are evacuated, if that is newer, and lets others be told.
+    /// Puts a report of evacuated zones in force if it is newer and changes them, and requests that
+    /// other balancers are notified.
     pub(in crate::steering) fn take_evacuations(
         &mut self,
         knowledge: &mut Knowledge,
@@ -109,7 +110,8 @@
         }
     }
 
-    /// `take_routes` puts a configuration in force if it is newer, and lets others be told.
+    /// Puts a configuration in force if it is newer, and requests that other balancers are
+    /// notified.
     pub(in crate::steering) fn take_routes(
         &mut self,
         knowledge: &mut Knowledge,
--- a/crates/valvestage-policy/src/steering/keeper/knowledge_keeper.rs
+++ b/crates/valvestage-policy/src/steering/keeper/knowledge_keeper.rs
@@ -25,17 +25,18 @@
 /// Time between two rounds of heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Balancers that each round goes to. 4 every 400 ms are some 2 KB a second, half of what control
-/// may cost a VM; news reaches 420 balancers in five rounds, and is passed on at once.
+/// Number of balancers that each round of heartbeats goes to. 4 every 400 ms are some 2 KB per
+/// second, half of what control traffic may cost a VM. An update reaches 420 balancers in five
+/// rounds, and is passed on at once.
 const HEARTBEAT_FANOUT: usize = 4;
 
-/// For how long a token counts as wanted that a heartbeat names: two rounds of them.
+/// How long a token that a heartbeat names counts as wanted: two rounds of heartbeats.
 const WANTED_FOR: Duration = Duration::from_millis(800);
 
-/// Balancers named in a heartbeat.
+/// Number of balancers named in a heartbeat.
 const PEERS_TOLD: usize = 4;
 
-/// `KnowledgeKeeper` decides when to ask the store and what to tell other balancers.
+/// Decides when to call the store and what to send to other balancers.
 #[derive(Debug)]
 pub struct KnowledgeKeeper {
     zone: ZoneName,
@@ -45,17 +46,18 @@
     store: StoreLink,
     exchange: KeeperExchange,
     next_heartbeat: Instant,
-    /// Whether the next heartbeats ask those that know more to answer at once.
+    /// Whether the next heartbeats ask balancers that know more to answer at once.
     asks: bool,
     news: KeeperNews,
-    /// Whether a balancer was heard that knows everything.
+    /// Whether a balancer was heard that has a configuration and has read all backend servers.
     hears_complete: bool,
-    /// Until when packets are likely to wait at other balancers for entries that are not known here either.
+    /// Until when packets are likely to wait at other balancers for entries that are not known here
+    /// either.
     wanted_elsewhere_until: Option<Instant>,
 }
 
 impl KnowledgeKeeper {
-    /// `new` knows nothing but the balancers that the settings name.
+    /// Creates a keeper that knows only the balancers that the settings name.
     #[must_use]
     pub fn new(options: &EntryOptions, now: Instant) -> Self {
         let EntryOptions { peer_address: own, seeds, seed, is_first_start, .. } = options;
@@ -79,24 +81,25 @@
         }
     }
 
-    /// `take_decisions` gives what was learned since the last call.
+    /// Returns what was learned since the last call.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         self.news.take_decisions()
     }
 
-    /// `peer_count` gives the number of balancers that were heard of.
+    /// Returns the number of known balancers.
     #[must_use]
     pub fn peer_count(&self) -> usize {
         self.peers.len()
     }
 
-    /// `is_watching` tells whether this balancer follows the store.
+    /// Reports whether this balancer follows the store.
     #[must_use]
     pub fn is_watching(&self) -> bool {
         self.role.is_watching()
     }
 
-    /// `on_tick` gives what is due; to be called several times a second, and after each news.
+    /// Returns the actions that are due. To be called several times a second, and after each
+    /// update.
     pub fn on_tick(
         &mut self,
         knowledge: &mut Knowledge,
@@ -122,25 +125,25 @@
         actions
     }
 
-    /// `on_pause` takes in that the process stood still: others may know more by now.
+    /// Handles that the process was paused: other balancers may know more by now.
     pub fn on_pause(&mut self, now: Instant) {
         self.news.tell_if(true);
         self.asks = true;
         self.peers.unsettle(now);
     }
 
-    /// `zone_members` gives the balancers of this availability zone.
+    /// Returns the balancers of this availability zone.
     #[must_use]
     pub fn zone_members(&self, now: Instant) -> ZoneMembers {
         self.peers.zone_members(&self.zone, now)
     }
 
-    /// `on_seeds` takes in that the settings name other balancers than before.
+    /// Replaces the balancers that the settings name.
     pub fn on_seeds(&mut self, seeds: &[SocketAddrV4]) {
         self.peers.set_seeds(seeds);
     }
 
-    /// `next_due` gives when [`Self::on_tick`] has something to do at the latest.
+    /// Returns when [`Self::on_tick`] has to be called at the latest.
     #[must_use]
     pub fn next_due(&self) -> Instant {
         let others = self.role.next_due().into_iter().chain(self.exchange.next_due());
@@ -158,7 +161,7 @@
             page_time: self.store.page_time(),
             hears_complete: self.hears_complete,
             is_being_told: self.exchange.is_being_told(now),
-            // Asked for only by a follower that may give up.
+            // Needed only by a follower that may give up its role.
             recent_peers: if was_watching { self.peers.recent_count(now) } else { 0 },
             draw: self.draw.unit(),
         };
@@ -175,8 +178,9 @@
         }
     }
 
-    /// Believes in backend servers that a restored store still shows once it has settled, and tells others: they wait for the same
-    /// confirmation of the store, and have it by this word.
+    /// Applies the entries that a restored store still shows once it has settled, and notifies
+    /// other balancers. They wait for the same confirmation by the store, and receive it with that
+    /// heartbeat.
     fn settle_contests(&mut self, knowledge: &mut Knowledge, now: Instant) {
         let confirmed_at = knowledge.confirmed_at();
         let admitted = knowledge.directory.settle_contests(confirmed_at, now);
@@ -187,8 +191,8 @@
         }
     }
 
-    /// Entries that are missing have time to return from the store's last failure on: it may have gone
-    /// away again before it could take them back.
+    /// Extends the deadlines of missing entries. Their time to return counts from the store's last
+    /// failure, since the store may have been away again before they could return.
     fn postpone_missing(&self, knowledge: &mut Knowledge) {
         if let Some(at) = self.store.settles_at() {
             knowledge.settle_at(at);
@@ -262,7 +266,7 @@
         }
     }
 
-    /// `on_message` takes a message of another balancer in.
+    /// Handles a message of another balancer.
     pub fn on_message(
         &mut self,
         knowledge: &mut Knowledge,
@@ -319,7 +323,7 @@
             || heartbeat.complete_until < knowledge.directory.changed_at()
             || !knows_evacuations && knowledge.evacuated.is_known();
         if heartbeat.asks && (is_new || knows_less) {
-            // One that has just started, or woken, learns at once whom it can ask.
+            // A balancer that has just started or resumed learns at once whom it can ask.
             let answer = self.heartbeat(knowledge, None, false, now);
             actions.push(KeeperAction::Tell(sender, PeerMessage::Heartbeat(answer)));
         }
@@ -341,7 +345,8 @@
 
         let compares = exchange.compare(knowledge, (sender, heartbeat), now);
         actions.extend(compares.map(|message| KeeperAction::Tell(sender, message)));
-        // Nothing has changed after what is known here, so it is complete as far as the peer's is.
+        // Nothing has changed after what is known here, so it is complete as far as the peer's
+        // knowledge is.
         let directory = &mut knowledge.directory;
         directory.complete(heartbeat.complete_until);
         if heartbeat.version == knowledge.routes.version
@@ -354,7 +359,7 @@
         actions
     }
 
-    /// `on_routes_reply` takes the store's answer about the configuration in.
+    /// Handles a reply of the store about the configuration.
     pub fn on_routes_reply(
         &mut self,
         knowledge: &mut Knowledge,
@@ -371,7 +376,7 @@
         self.confirm(knowledge);
     }
 
-    /// `on_evacuations_reply` takes the store's answer about evacuated zones in.
+    /// Handles a reply of the store about evacuated zones.
     pub fn on_evacuations_reply(
         &mut self,
         knowledge: &mut Knowledge,
@@ -388,7 +393,7 @@
         self.confirm(knowledge);
     }
 
-    /// Takes in that the store has confirmed what is known.
+    /// Records that the store has confirmed the knowledge.
     fn confirm(&mut self, knowledge: &mut Knowledge) {
         if let Some(at) = self.store.answered_at() {
             knowledge.confirm(Some(at));
@@ -407,7 +412,7 @@
         }
     }
 
-    /// `on_backends_reply` takes the store's answer about backend servers in.
+    /// Handles a reply of the store about backend servers.
     pub fn on_backends_reply(
         &mut self,
         knowledge: &mut Knowledge,
@@ -421,7 +426,7 @@
         let changed = self.store.on_backends_reply(knowledge, reply, now);
 
         self.note_link(StoreKind::Backends, was_failing);
-        // Others leave a long list to those that read it faster.
+        // Other balancers leave the reading of a long list to those that read it faster.
         self.news.tell_if(!had_page && self.store.page_time().is_some());
         let is_complete_now = knowledge.directory.is_complete() != was_complete;
         let is_new_era = knowledge.directory.changed_at().era > era;
--- a/crates/valvestage-policy/src/steering/knowledge/backend_births.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/backend_births.rs
@@ -1,4 +1,4 @@
-//! Which incarnations follow each other: at one address, and under one name.
+//! The order of incarnations at one address and under one name.
 
 use std::collections::HashSet;
 use std::time::Instant;
@@ -11,9 +11,11 @@
 use super::backend_name::BackendName;
 
 impl BackendDirectory {
-    /// An address has one process: the incarnations there before a new one have ended, though their
-    /// entries last for some more seconds. Where a fifth of the backend servers fell silent and others took
-    /// their addresses 2 s later, this saved one in eight of the requests that were lost to them.
+    /// Ends the earlier incarnations at the address of a new one, and returns those that were not
+    /// known as gone. An address has one process: its earlier incarnations have ended, though their
+    /// entries last for some more seconds. When a fifth of the backend servers fell silent and
+    /// others took their addresses 2 s later, this saved one in eight of the requests that were
+    /// lost to them.
     pub(super) fn end_predecessors(
         &mut self,
         entry: &BackendEntry,
@@ -28,8 +30,9 @@
         self.supersede(&predecessors, entry.position, now)
     }
 
-    /// A name has one process: its incarnations before this one have ended, and hold no flow any more. What a later era of the store
-    /// shows is not older.
+    /// Ends the earlier incarnations of an entry's name, and returns those that were not known as
+    /// gone. A name has one process: its earlier incarnations have ended and hold no flow any more.
+    /// An incarnation known from a later era of the store is not an earlier one.
     pub(super) fn end_older_births(
         &mut self,
         entry: &BackendEntry,
@@ -42,7 +45,7 @@
         self.supersede(&older, entry.position, now)
     }
 
-    /// `other_births` gives the other incarnations of an entry's name.
+    /// Returns the entries of all other incarnations of an entry's name.
     pub fn other_births(&self, entry: &BackendEntry) -> impl Iterator<Item = &BackendEntry> {
         let instance = entry.instance;
 
@@ -56,14 +59,17 @@
         births.filter_map(|birth| self.entries.get(*birth))
     }
 
-    /// Returns the entries that have the name of one, or its address.
+    /// Returns the entries that have the name or the address of the given entry.
     pub(super) fn in_place_of(&self, entry: &BackendEntry) -> impl Iterator<Item = &BackendEntry> {
         self.all_births(entry.name).chain(self.entries.at_address(entry.address))
     }
 
-    /// Whether an entry tells of an incarnation after which another one has begun. The order of births is that of the
-    /// store's positions, once a restored store has settled. In one era, one that has ended in favour of another never returns, whatever revision a write has that it had sent
-    /// before its end; but an entry of the copy of a restored store ends nothing for good that is written after it.
+    /// Reports whether a later incarnation has followed the one that an entry describes.
+    ///
+    /// Incarnations are ordered by store position, once a restored store has settled. Within one
+    /// era a superseded incarnation never returns, whatever the revision of a write that it sent
+    /// before its end. But an entry from the backup of a restored store does not end for good an
+    /// incarnation that is written after the restore.
     pub(super) fn is_older_birth(&self, entry: &BackendEntry, now: Instant) -> bool {
         let era = entry.position.era;
         let known = self.entries.get(entry.instance);
@@ -84,15 +90,16 @@
         })
     }
 
-    /// The position up to which an incarnation may have written its entry itself. While the entry is unusable another one may have
-    /// written it since.
+    /// Returns the last position at which an incarnation may have written its entry itself. While
+    /// the entry is unusable, another writer may have written it since.
     fn written_until(&self, entry: &BackendEntry) -> StorePosition {
         let before = self.positions_before_fault.get(&entry.instance);
 
         before.copied().unwrap_or(entry.position)
     }
 
-    /// Whether an unusable entry that was read under the name of another incarnation may be of this one.
+    /// Reports whether an unusable entry that is recorded for another incarnation of the name may
+    /// belong to this one.
     pub(super) fn may_be_unnamed(&self, entry: &BackendEntry) -> bool {
         self.other_births(entry).any(|other| {
             let is_later = self.written_until(other) < entry.position;
@@ -100,7 +107,8 @@
         })
     }
 
-    /// Records which phase an incarnation is about to have, for the order of births.
+    /// Records where an incarnation stood before its entry became unusable, given its next phase.
+    /// The order of incarnations depends on that position.
     pub(super) fn note_fault(&mut self, instance: InstanceId, phase: BackendPhase) {
         let known = self.entries.get(instance);
 
@@ -115,7 +123,8 @@
         }
     }
 
-    /// Whether an entry is of a service that neither the configuration names nor those have whose name or address it has.
+    /// Reports whether an entry's service is neither named by the configuration nor the service of
+    /// a known entry with the same name or address.
     pub(super) fn is_stranger(&self, entry: &BackendEntry) -> bool {
         let is_named =
             self.services.as_ref().is_none_or(|services| services.contains(&entry.service));
@@ -124,8 +133,10 @@
         !is_named && !self.in_place_of(entry).any(is_known)
     }
 
-    /// Takes in an entry of a service that nobody named. Another writer may have left it at the address or under the name of a
-    /// living backend server, whose flows stay then; a successor there ends it once its service is named, or its entry lapses.
+    /// Applies an entry of an unknown service. Another writer may have left it at the address or
+    /// under the name of a live backend server, whose flows therefore stay. If the entry belongs to
+    /// a real successor, the successor ends that backend server once the configuration names its
+    /// service, or the old entry lapses.
     pub(super) fn admit_stranger(&mut self, entry: BackendEntry) -> Vec<InstanceId> {
         let mut changed: Vec<_> = self.other_births(&entry).map(|other| other.instance).collect();
         changed.retain(|other| self.mark_unusable(*other, entry.position));
@@ -137,12 +148,13 @@
         changed
     }
 
-    /// `name_services` takes in which services the configuration in force names.
+    /// Sets which services the configuration in force names.
     pub fn name_services(&mut self, services: HashSet<ServiceName>) {
         self.services = Some(services);
     }
 
-    /// Takes in that an incarnation was there before the present one of its name: its flows can be told.
+    /// Records an incarnation that preceded the present one of its name as gone, so that the
+    /// callers of its flows can be sent resets.
     pub(super) fn admit_older_birth(
         &mut self,
         mut entry: BackendEntry,
@@ -158,7 +170,7 @@
         if self.put(entry) { vec![instance] } else { Vec::new() }
     }
 
-    /// Ends incarnations in favour of another one, and gives those that were not known as gone.
+    /// Marks incarnations as superseded, and returns those that were not known as gone.
     pub(super) fn supersede(
         &mut self,
         instances: &[InstanceId],
@@ -178,13 +190,13 @@
         ended
     }
 
-    /// `births` gives the incarnations of a name, the gone ones among them.
+    /// Returns all incarnations of a name, including the gone ones.
     #[must_use]
     pub fn births(&self, name: BackendName) -> Vec<InstanceId> {
         self.names.get(&name).cloned().unwrap_or_default()
     }
 
-    /// `living` gives the incarnations of a name that are not gone; mostly one.
+    /// Returns the incarnations of a name that are not gone. Usually there is at most one.
     #[must_use]
     pub fn living(&self, name: BackendName) -> Vec<InstanceId> {
         let births = self.names.get(&name).into_iter().flatten();
@@ -194,7 +206,8 @@
         births.filter(is_living).copied().collect()
     }
 
-    /// `heir` gives the process that has started under the name, and at the address, of an incarnation that has ended.
+    /// Returns the entry of the process that has started under the same name, at the same address
+    /// and for the same service as an incarnation that has ended.
     #[must_use]
     pub fn heir(&self, instance: InstanceId) -> Option<&BackendEntry> {
         let ended = self.entries.get(instance).filter(|entry| entry.is_gone())?;
@@ -205,7 +218,7 @@
         self.other_births(ended).find(is_heir)
     }
 
-    /// Gives an incarnation the token of its name, unless a later one, or another name, has it.
+    /// Gives an incarnation the token of its name, unless a later one or another name holds it.
     pub(super) fn give_token(&mut self, entry: &BackendEntry) {
         let holder = self.tokens.entry(Self::token_of(entry.name.number)).or_insert(entry.instance);
         let is_followed = self
@@ -218,9 +231,11 @@
         }
     }
 
-    /// `end_superseded` takes in that the entry of a name went, and gives the incarnations of which that is news. One that another
-    /// has followed at its address does not return, whenever its entry goes. Told only after the next list, it had a revision that others
-    /// took for known: a simulated series of faults left a balancer that believed in it for good.
+    /// Records that the entry of a name was removed from the store, and returns the superseded
+    /// incarnations whose removal was not known. A superseded incarnation does not return, whenever
+    /// its entry is removed. The removal is recorded at its own position: if it is recorded only
+    /// with the next list, it has a revision that peers take for known, and a balancer may consider
+    /// the incarnation live for good.
     pub(in crate::steering) fn end_superseded(
         &mut self,
         name: BackendName,
@@ -234,7 +249,7 @@
         births
     }
 
-    /// Incarnations that were superseded, and none of whose name is living.
+    /// Returns the superseded incarnations whose name has no live incarnation.
     pub(super) fn superseded_names(&self) -> Vec<InstanceId> {
         let is_meant =
             |entry: &&BackendEntry| entry.is_superseded() && self.living(entry.name).is_empty();
@@ -243,11 +258,12 @@
     }
 }
 
-/// Ends an incarnation in favour of another one. Returns whether it was not known as gone.
+/// Marks an entry as superseded. Returns true if it was not known as gone.
 fn supersede_entry(entry: &mut BackendEntry, at: StorePosition, now: Instant) -> bool {
     let end = BackendEnd::Superseded;
 
-    // A peer may have told of its end before it tells of its successor: then it has not lapsed only.
+    // A peer may report the removal of the entry before its successor. The recorded end is
+    // corrected then: the entry has not merely lapsed.
     if let BackendPhase::Gone { end: known, .. } = &mut entry.phase {
         *known = end;
         entry.position = entry.position.min(at);
--- a/crates/valvestage-policy/src/steering/knowledge/backend_directory.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/backend_directory.rs
@@ -1,4 +1,4 @@
-//! All backend servers that are known, the gone ones among them.
+//! All known backend servers, including removed ones.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Instant;
@@ -14,49 +14,55 @@
 use super::lapse::RETURN_TIME;
 use super::ready_backends::ReadyBackends;
 
-/// `BackendDirectory` holds the backend servers by incarnation and by token.
+/// All known backend servers, by incarnation and by token.
 ///
-/// What is known comes from the store and from peers, in any order. For each backend server the
-/// highest position wins. `complete_until` says up to which position nothing is missing, so that an
-/// unknown entry of an earlier position is one that has gone long ago.
+/// Entries come from the store and from peers, in any order. For each incarnation the highest
+/// position wins. `complete_until` is the position up to which nothing is missing: an unknown entry
+/// of an earlier position was removed long ago.
 #[derive(Debug, Default)]
 pub struct BackendDirectory {
     pub(super) entries: EntryTable,
-    /// The present incarnation of the name that each token stands for: flows may open at a process before its start is known
-    /// here, and after a restart of all balancers nobody knows the ones before it. Where two names have the same token, the
-    /// first one known keeps it until it is forgotten.
+    /// The present incarnation of the name behind each token. Flows may open at a process before
+    /// its start is known here, and after a restart of all balancers no balancer knows the earlier
+    /// incarnations. If two names have the same token, the first one known keeps it until it is
+    /// forgotten.
     pub(super) tokens: HashMap<ShortToken, InstanceId>,
-    /// The incarnations of each name that are known, the gone ones among them.
+    /// All known incarnations of each name, including the gone ones.
     pub(super) names: HashMap<BackendName, Vec<InstanceId>>,
-    /// The services that the configuration in force names; none before the first one.
+    /// The services that the configuration in force names. None before the first configuration.
     pub(super) services: Option<HashSet<ServiceName>>,
-    /// Every change up to this position is known; the start: nothing was read yet.
+    /// Every change up to this position is known. The start if nothing was read yet.
     complete_until: StorePosition,
-    /// Every change up to this position is known but for entries that are missing and may return.
-    /// Not below `complete_until`.
+    /// Every change up to this position is known, except for missing entries that may return. Never
+    /// below `complete_until`.
     read_until: StorePosition,
-    /// Position of the last change that is known.
+    /// Position of the last known change.
     changed_at: StorePosition,
-    /// Gone entries of positions before this one are forgotten.
+    /// Gone entries before this position are forgotten.
     remembers_from: StorePosition,
-    /// When entries have returned that lapsed, or that a restored store has lost; none: it was never away.
+    /// When entries that lapsed, or that a restored store has lost, have had time to return. None
+    /// if the store was never away.
     pub(super) settles_at: Option<Instant>,
-    /// Where the store stood when it was first listed in its present era: what it shows up to here may be of the copy.
+    /// Position of the store when it was first listed in its present era. Entries up to here may
+    /// stem from the backup.
     pub(super) era_head: StorePosition,
-    /// When the store shows no entry any more that is only of the copy; none: it was never restored.
+    /// When the store has no entry left that stems only from the backup. None if the store was
+    /// never restored.
     pub(super) era_settles_at: Option<Instant>,
-    /// Entries of the copy that speak against what is known of a former era.
+    /// Entries from the backup that conflict with what is known from an earlier era.
     pub(super) contested: BTreeMap<InstanceId, BackendEntry>,
-    /// Where each incarnation stood before its entry became unusable. Such an entry does not say which incarnation wrote it last.
+    /// Last position of each incarnation before its entry became unusable. An unusable entry does
+    /// not say which incarnation wrote it last.
     pub(super) positions_before_fault: HashMap<InstanceId, StorePosition>,
     /// How soon entries lapse and are written again.
     times: EntryTimes,
-    /// Entries that went since they were last taken.
+    /// Incarnations that became gone since the last call of [`Self::take_newly_gone`].
     pub(super) newly_gone: Vec<InstanceId>,
 }
 
 impl BackendDirectory {
-    /// Returns the token of a backend server's number, the same at every balancer; never 0.
+    /// Returns the token of a backend server's number. It is the same at every balancer and never
+    /// 0.
     #[must_use]
     pub fn token_of(number: u64) -> ShortToken {
         // Fibonacci hashing: spreads ids that differ in few bits over all 32 bits.
@@ -83,42 +89,44 @@
         self.complete_until
     }
 
-    /// Returns the position up to which every change is known, but for entries that are missing and may return.
+    /// Returns the position up to which every change is known, except for missing entries that may
+    /// return.
     #[must_use]
     pub fn read_until(&self) -> StorePosition {
         self.read_until
     }
 
-    /// Returns the position of the last change that is known.
+    /// Returns the position of the last known change.
     #[must_use]
     pub fn changed_at(&self) -> StorePosition {
         self.changed_at
     }
 
-    /// Returns a number for the backend servers that are believed in, whatever their positions: two balancers that
-    /// know all changes up to the same revision believe in the same ones.
+    /// Returns a digest of the incarnations that are not gone, regardless of their positions. Two
+    /// balancers that know all changes up to the same revision should have the same digest.
     #[must_use]
     pub fn living_digest(&self) -> LivingDigest {
         self.entries.living_digest()
     }
 
-    /// Returns whether all changes after a position are still known.
+    /// Reports whether all changes after a position are still known.
     #[must_use]
     pub fn remembers(&self, after: StorePosition) -> bool {
         !after.is_start() && after >= self.remembers_from
     }
 
-    /// Returns whether all entries were read once.
+    /// Reports whether all entries were read at least once.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         !self.complete_until.is_start()
     }
 
-    /// Applies what an entry was at its position, with what a new incarnation at a known address
-    /// shows, and gives those of which something else is believed.
+    /// Applies the state of an entry at its position, with what a new incarnation at a known name
+    /// or address implies for the others. Returns the incarnations whose known state changed.
     pub fn admit(&mut self, entry: BackendEntry, now: Instant) -> Vec<InstanceId> {
         let Some(mut entry) = self.reconcile_eras(entry, now) else { return Vec::new() };
-        // Where it was known, its flows have time from the news on.
+        // The time in which a known entry may return counts from when this balancer learns that it
+        // is gone.
         if let BackendPhase::Gone { since, .. } = &mut entry.phase
             && self.entries.contains(entry.instance)
         {
@@ -135,7 +143,7 @@
         {
             *end = BackendEnd::Superseded;
         }
-        // In what is read at a start the order of two incarnations is not known.
+        // The order of two incarnations in the first list is not known.
         let is_new = self.is_complete() && !self.entries.contains(entry.instance);
         let mut changed = Vec::new();
         if !entry.is_gone() {
@@ -152,8 +160,9 @@
         changed
     }
 
-    /// Applies what a peer tells of an entry. One that is missing here has returned if its position is
-    /// newer than what was read: else the peer does not know that it went, or holds it for missing, too.
+    /// Applies an entry that a peer reports. A missing entry has returned only if its reported
+    /// position is newer than what was read. Otherwise the peer does not know that the entry was
+    /// removed, or considers it missing, too.
     pub fn admit_told(&mut self, entry: BackendEntry, now: Instant) -> Vec<InstanceId> {
         let (instance, position) = (entry.instance, entry.position);
         let known = self.entries.get(instance);
@@ -165,8 +174,8 @@
             };
         }
 
-        // One that nobody told of before, and that was not there when the store was read later, may return as the others may that
-        // were missing then.
+        // An entry that was never heard of before and was not in the store when it was read at a
+        // later position may return, like the other entries that were missing then.
         let is_unknown = known.is_none() && !self.contested.contains_key(&instance);
         let is_absent = is_unknown && !entry.is_gone() && position > self.complete_until;
         let missing_until = match known {
@@ -182,9 +191,9 @@
         changed
     }
 
-    /// Adds an entry that a peer still believes in and that had gone before this balancer read the store,
-    /// as one that is gone. The backend server may live, kept from the store by a cut: its flows can be steered until that is
-    /// known.
+    /// Adds an entry that a peer considers live and that was removed before this balancer read the
+    /// store, as a gone one. A network partition may keep a live backend server from the store, so
+    /// its flows can be steered until that is known.
     pub fn admit_obsolete(&mut self, mut entry: BackendEntry, now: Instant) -> Vec<InstanceId> {
         let end = match entry.end_of_phase() {
             BackendEnd::Lapsed => BackendEnd::LapsedUnseen,
@@ -195,13 +204,13 @@
         self.admit(entry, now)
     }
 
-    /// Stores what an entry was at its position; false if more is known already, or if a new era
-    /// shows the same.
+    /// Stores the state of an entry at its position. Returns false if that changes nothing: the same
+    /// or a later state is known, or a new era only repeats the known state.
     pub fn put(&mut self, mut entry: BackendEntry) -> bool {
         match self.entries.get(entry.instance) {
             Some(known) if known.position > entry.position => return false,
             Some(known) if known.position == entry.position => {
-                // The same entry read again: it is there after all.
+                // The same entry was read again, so it is not missing.
                 let was_missing = known.missing_until.is_some();
                 if was_missing {
                     self.entries.change(entry.instance, |known| known.missing_until = None);
@@ -231,13 +240,13 @@
         !is_repeated
     }
 
-    /// Keeps the position of a change, so that others ask for it.
+    /// Advances the position of the last known change, so that peers ask for it.
     pub(super) fn note_change(&mut self, at: StorePosition) {
         self.changed_at = self.changed_at.max(at);
     }
 
-    /// Records that the entry of an incarnation names no backend server to use since a position; false if
-    /// that is old news.
+    /// Records that the entry of an incarnation has named no usable backend server since a
+    /// position. Returns false if newer state is known.
     pub fn mark_unusable(&mut self, instance: InstanceId, at: StorePosition) -> bool {
         let Some(entry) = self.entries.get(instance) else { return false };
         if entry.is_gone() && !entry.has_lapsed() || entry.position >= at {
@@ -254,8 +263,8 @@
         true
     }
 
-    /// Returns whether a peer tells of an entry that has gone long ago: its position is
-    /// one up to which every change is known, and yet it is not known.
+    /// Reports whether an entry that a peer reports was removed long ago: every change up to its
+    /// position is known here, and yet the entry is not.
     #[must_use]
     pub fn is_obsolete(&self, entry: &BackendEntry, now: Instant) -> bool {
         !entry.is_gone()
@@ -266,14 +275,16 @@
             && !self.may_be_unnamed(entry)
     }
 
-    /// Records that an entry went at a position; false if that is old news.
+    /// Records that an entry was removed at a position. Returns false if that or newer state is
+    /// known.
     pub fn mark_gone(&mut self, instance: InstanceId, at: StorePosition, now: Instant) -> bool {
         let Some(entry) = self.entries.get(instance).filter(|entry| entry.position <= at) else {
             return false;
         };
         if let BackendPhase::Gone { since, end } = entry.phase {
-            // That it was superseded was concluded here. That its entry went is to reach those who concluded otherwise, by
-            // another configuration.
+            // That it was superseded is only a conclusion of this balancer. The removal of its
+            // entry has to reach the balancers that concluded otherwise because of another
+            // configuration.
             let is_news = end == BackendEnd::Superseded && entry.position < at;
             if is_news {
                 self.end_entry(instance, at, BackendPhase::Gone { since, end: BackendEnd::Left });
@@ -287,7 +298,7 @@
         true
     }
 
-    /// Gives an entry the phase in which it is gone, since a position.
+    /// Puts an entry into a gone phase at a position.
     fn end_entry(&mut self, instance: InstanceId, at: StorePosition, phase: BackendPhase) {
         self.entries.change(instance, |entry| {
             entry.phase = phase;
@@ -297,13 +308,13 @@
         self.note_change(at);
     }
 
-    /// Returns the entries that went since the last call.
+    /// Returns the incarnations that became gone since the last call.
     pub fn take_newly_gone(&mut self) -> Vec<InstanceId> {
         std::mem::take(&mut self.newly_gone)
     }
 
-    /// Records that an entry is missing and may return until a time; false if that is
-    /// known, or it is gone.
+    /// Marks an entry as missing, so that it may return until a time. Returns false if the entry is
+    /// gone or already missing.
     pub fn mark_missing(&mut self, instance: InstanceId, until: Instant) -> bool {
         let is_there = |entry: &&BackendEntry| !entry.is_gone() && entry.missing_until.is_none();
         if self.entries.get(instance).filter(is_there).is_none() {
@@ -314,11 +325,12 @@
         true
     }
 
-    /// Records that every change up to a position was read. While entries are missing
-    /// that may return, that is not the whole truth yet.
+    /// Records that every change up to a position was read. The knowledge up to there is not
+    /// complete while entries are missing that may return.
     pub fn complete(&mut self, until: StorePosition) {
         if self.complete_until.is_start() {
-            // What went before this list was never seen here, and others may still believe in it.
+            // Removals before the first list were never seen here, and peers may still consider
+            // those entries live.
             self.remembers_from = self.remembers_from.max(until);
             self.changed_at = self.changed_at.max(until);
         }
@@ -328,8 +340,8 @@
         }
     }
 
-    /// Handles the entries that a whole list of a position does not have, and returns
-    /// them: they are gone, or missing until the time given.
+    /// Applies that a full list at a position lacks entries, and returns these: they are gone, or
+    /// missing if a time is given until which they may return.
     pub fn retain_listed(
         &mut self,
         listed: &HashSet<InstanceId>,
@@ -347,8 +359,9 @@
         absent
     }
 
-    /// Handles the entries that a peer tells of as gone which knows every change up to a position, too, and returns those that were
-    /// believed in: they are gone, or missing until the time given.
+    /// Applies that a peer, which knows every change up to a position as well, reports entries as
+    /// gone. Returns those that were known as live: they are gone, or missing if a time is given
+    /// until which they may return.
     pub fn end_told(
         &mut self,
         gone: &HashSet<InstanceId>,
@@ -362,7 +375,7 @@
         absent
     }
 
-    /// The entries that are there, as of positions up to one, of the backend servers that are meant.
+    /// Returns the live incarnations with positions up to `at` that the predicate selects.
     fn living_until(
         &self,
         at: StorePosition,
@@ -390,14 +403,14 @@
         }
     }
 
-    /// Returns whether entries are missing that may return.
+    /// Reports whether any entry is missing that may return.
     #[must_use]
     pub fn has_missing(&self) -> bool {
         self.entries.missing().next().is_some()
     }
 
-    /// Sets when entries have returned that lapsed, or that a restored store has lost. Those that are missing have time until then,
-    /// where they have less.
+    /// Sets when entries that lapsed, or that a restored store has lost, have had time to return.
+    /// Missing entries with an earlier deadline get this one.
     pub fn settle_at(&mut self, until: Instant) {
         self.settles_at = self.settles_at.max(Some(until));
         let is_sooner = |entry: &&BackendEntry| entry.missing_until < Some(until);
@@ -409,13 +422,14 @@
         }
     }
 
-    /// Returns whether entries are missing whose time is over.
+    /// Reports whether the deadline of any missing entry has passed.
     #[must_use]
     pub fn has_overdue(&self, now: Instant) -> bool {
         self.entries.missing().any(|entry| entry.missing_until.is_some_and(|until| until <= now))
     }
 
-    /// Ends the entries that a list does not have which began after their time, and returns them.
+    /// Marks the missing entries as gone whose deadline passed before a list began that lacks them,
+    /// and returns them.
     pub fn expire_missing(&mut self, list_began: Instant) -> Vec<InstanceId> {
         let is_over =
             |entry: &&BackendEntry| entry.missing_until.is_some_and(|until| until <= list_began);
@@ -429,7 +443,7 @@
         over
     }
 
-    /// Removes the entries that are gone since before a time.
+    /// Forgets the entries that have been gone since before a time.
     pub fn forget_gone(&mut self, before: Instant) {
         let is_old = |entry: &&BackendEntry| match entry.phase {
             BackendPhase::Gone { since, .. } => since < before,
@@ -459,19 +473,19 @@
         }
     }
 
-    /// Returns an entry.
+    /// Returns the entry of an incarnation, if it is known.
     #[must_use]
     pub fn get(&self, instance: InstanceId) -> Option<&BackendEntry> {
         self.entries.get(instance)
     }
 
-    /// Returns the entry that a token names.
+    /// Returns the entry of the incarnation that holds a token.
     #[must_use]
     pub fn by_token(&self, token: ShortToken) -> Option<&BackendEntry> {
         self.tokens.get(&token).and_then(|instance| self.entries.get(*instance))
     }
 
-    /// Returns whether flows on an incarnation can be steered by its token.
+    /// Reports whether flows on an incarnation can be steered by the token of its name.
     #[must_use]
     pub fn owns_token(&self, entry: &BackendEntry) -> bool {
         self.tokens.get(&Self::token_of(entry.name.number)) == Some(&entry.instance)
@@ -482,7 +496,7 @@
         self.entries.all()
     }
 
-    /// Returns the entries with positions after one, in their order.
+    /// Returns the entries with positions after the given one, in order.
     pub fn after(&self, position: StorePosition) -> impl Iterator<Item = &BackendEntry> {
         self.entries.after(position)
     }
@@ -498,7 +512,7 @@
         self.entries.ready()
     }
 
-    /// Returns how many entries were visited one by one since the start.
+    /// Returns how many entries were visited one by one since the start of the process.
     #[must_use]
     pub fn visits(&self) -> u64 {
         self.entries.visits()
--- a/crates/valvestage-policy/src/steering/knowledge/backend_entry.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/backend_entry.rs
@@ -1,4 +1,4 @@
-//! What is known of one backend server.
+//! The known state of one backend server.
 
 use std::net::SocketAddrV4;
 use std::time::Instant;
@@ -7,66 +7,70 @@
 use valvestage_core::StorePosition;
 use valvestage_core::ids::{InstanceId, ServiceName, ZoneName};
 
-/// `BackendPhase` is where a backend server stands in its life.
+/// Phase in the life cycle of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BackendPhase {
-    /// It takes new flows.
+    /// Takes new flows.
     Ready,
-    /// It keeps its flows and takes no new ones.
+    /// Keeps its flows and takes no new ones.
     Draining,
-    /// Its entry names no backend server to use: another writer may have written it, so that the backend server may live
-    /// and answer. Its flows stay, and new ones go elsewhere until its entry is good again.
+    /// Its entry does not name a usable backend server. Another writer may have overwritten it, so
+    /// the backend server may still be alive. Its flows stay, and new ones go elsewhere until the
+    /// entry is valid again.
     Unusable,
-    /// Its entry is gone from the store.
+    /// Its entry was removed from the store.
     Gone {
-        /// When this balancer learned of it.
+        /// When this balancer learned of the removal.
         since: Instant,
-        /// What is known of its end.
+        /// What is known of the end of the backend server.
         end: BackendEnd,
     },
 }
 
-/// `BackendEnd` is how a backend server came to be gone.
+/// The way in which a backend server came to be gone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BackendEnd {
     /// It was draining, or nothing was known of it here before.
     Left,
-    /// It took new flows when its entry went: it has died, or its entry has lapsed while it lives.
+    /// It took new flows when its entry was removed: it has died, or its entry has lapsed while it
+    /// is alive.
     Lapsed,
-    /// The same, before this balancer knew it: whether it showed life could not be seen here.
+    /// As [`Self::Lapsed`], but before this balancer knew it, so that signs of life could not be
+    /// seen here.
     LapsedUnseen,
-    /// Another incarnation has begun at its address, or under its name, so it has died.
+    /// Another incarnation has started at its address or under its name, so this one has ended.
     Superseded,
 }
 
-/// `BackendEntry` is one incarnation of a backend server.
+/// The known state of one incarnation of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendEntry {
-    /// Which incarnation; a restarted one is another, also under the same name.
+    /// Id of the incarnation. A restarted backend server gets another one, also under the same
+    /// name.
     pub instance: InstanceId,
-    /// The name of its entry.
+    /// Name under which the entry is stored.
     pub name: BackendName,
-    /// The store's position at the last change; the highest one known wins.
+    /// Store position of the last change. The highest known one wins.
     pub position: StorePosition,
-    /// The service that it runs.
+    /// The service that the backend server runs.
     pub service: ServiceName,
-    /// Where it takes packets.
+    /// Address at which it receives packets.
     pub address: SocketAddrV4,
     /// Availability zone of its VM.
     pub zone: ZoneName,
-    /// Requests that it works on at once; at least 1.
+    /// Number of requests that it processes concurrently; at least 1.
     pub slots: u32,
-    /// Until when it is slow after its start.
+    /// When its slow start ends. None if it has no slow start.
     pub cold_until: Option<Instant>,
-    /// Where it stands.
+    /// Phase in its life cycle.
     pub phase: BackendPhase,
-    /// Set while its entry is missing after the store was away: it counts as gone at this time
-    /// unless it returns.
+    /// Set while its entry is missing after a store outage: when the entry counts as gone unless it
+    /// has returned.
     pub missing_until: Option<Instant>,
 }
 
 impl BackendEntry {
-    /// `end_of_phase` gives how it ends if its entry goes now.
+    /// Returns how the backend server ends if its entry is removed now.
     #[must_use]
     pub fn end_of_phase(&self) -> BackendEnd {
         match self.phase {
@@ -76,13 +80,14 @@
         }
     }
 
-    /// `is_superseded` tells whether another incarnation has begun in its place.
+    /// Reports whether another incarnation has started in its place.
     #[must_use]
     pub fn is_superseded(&self) -> bool {
         matches!(self.phase, BackendPhase::Gone { end: BackendEnd::Superseded, .. })
     }
 
-    /// `has_lapsed` tells whether the entry went while it took new flows, so that it may return.
+    /// Reports whether the entry was removed while the backend server took new flows, so that it
+    /// may return.
     #[must_use]
     pub fn has_lapsed(&self) -> bool {
         matches!(
@@ -91,13 +96,13 @@
         )
     }
 
-    /// Returns whether another entry says the same, at whatever position.
+    /// Reports whether two entries agree in everything but their position.
     #[must_use]
     pub fn is_same(&self, other: &Self) -> bool {
         *self == Self { position: self.position, ..other.clone() }
     }
 
-    /// `is_gone` tells whether the entry is gone from the store.
+    /// Reports whether the entry was removed from the store.
     #[must_use]
     pub fn is_gone(&self) -> bool {
         matches!(self.phase, BackendPhase::Gone { .. })
--- a/crates/valvestage-policy/src/steering/knowledge/backend_name.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/backend_name.rs
@@ -1,4 +1,4 @@
-//! Names of backend servers, and the incarnations behind them.
+//! Names of backend servers, and their incarnations.
 
 use std::hash::Hasher;
 
@@ -8,69 +8,69 @@
 
 use crate::steering::text_digest::text_digest;
 
-/// `BirthMillis` is when a backend server says that it started, by its own clock: milliseconds since 1970. The clock may jump
-/// back between two starts, so it tells only whether two starts are the same.
+/// Start time of a backend server by its own clock, in milliseconds since 1970. The clock may jump
+/// back between two starts, so this shows only whether two starts are the same.
 pub type BirthMillis = u64;
 
-/// `BirthDigest` tells the incarnations of one name apart: 24 bits.
+/// 24-bit digest that distinguishes the incarnations of one name.
 pub type BirthDigest = u32;
 
-/// Digits of a backend server's number that stay readable in the number of an incarnation: ten hex digits.
+/// Number of low bits of an incarnation's id that show the backend server's number: ten hex digits.
 const NUMBER_BITS: u32 = 40;
 
-/// `BackendName` is the name under which a backend server writes its entry. It keeps the name when it starts again.
+/// Name under which a backend server writes its entry. It keeps the name when it restarts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BackendName {
-    /// Hash of the whole name: two names may end in the same number.
+    /// Hash of the whole name, since two names may end in the same number.
     pub digest: u32,
-    /// The number in it, by which packets name the backend server.
+    /// The number in the name, by which packets address the backend server.
     pub number: u64,
 }
 
-/// `shown_digits` gives the digits of an incarnation's name that its number keeps: the last ten.
+/// Returns the last ten hex digits of the number in the name, as kept in an incarnation's id.
 #[must_use]
 pub fn shown_digits(instance: InstanceId) -> u64 {
     instance & ((1 << NUMBER_BITS) - 1)
 }
 
-/// `shown_birth` gives what else is in its number, to be shown beside these.
+/// Returns the remaining bits of an incarnation's id, to be shown beside [`shown_digits`].
 #[must_use]
 pub fn shown_birth(instance: InstanceId) -> u64 {
     instance >> NUMBER_BITS
 }
 
 impl BackendName {
-    /// `new` is a name as it is written, and the number in it.
+    /// Creates a name from its written form and the number in it.
     #[must_use]
     pub fn new(name: &str, number: u64) -> Self {
         Self { digest: text_digest(name), number }
     }
 
-    /// `incarnation` gives the number of the incarnation that was born at a time; none: its entry does not say when. The same at
-    /// every balancer. Its last ten hex digits are those of the name, for whoever reads logs; two births of one name share
-    /// the others once in 16 million.
+    /// Returns the id of the incarnation that started at `born`, which is None if its entry does not
+    /// say when. The id is the same at every balancer. Its last ten hex digits are those of the name,
+    /// for readers of logs. Two starts of one name share the other digits once in 16 million.
     #[must_use]
     pub fn incarnation(self, born: Option<BirthMillis>) -> InstanceId {
         let mut hasher = SipHasher13::new();
         hasher.write_u32(self.digest);
         hasher.write_u64(born.unwrap_or(0));
 
-        // Its upper bits.
+        // Only the upper bits are left after the shift.
         #[allow(clippy::cast_possible_truncation)]
         let birth = (hasher.finish() >> NUMBER_BITS) as BirthDigest;
         self.born(birth)
     }
 
-    /// `born` gives the number of an incarnation of this name.
+    /// Returns the id of the incarnation of this name that has the given digest.
     #[must_use]
     pub fn born(self, birth: BirthDigest) -> InstanceId {
         self.number ^ (u64::from(birth) << NUMBER_BITS)
     }
 
-    /// `birth_of` gives what tells an incarnation of this name from the others.
+    /// Returns the digest that distinguishes an incarnation of this name from the others.
     #[must_use]
     pub fn birth_of(self, instance: InstanceId) -> BirthDigest {
-        // What is left has 24 bits.
+        // Only 24 bits are left after the shift.
         #[allow(clippy::cast_possible_truncation)]
         let birth = ((instance ^ self.number) >> NUMBER_BITS) as BirthDigest;
         birth
--- a/crates/valvestage-policy/src/steering/knowledge/cold_rate.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/cold_rate.rs
@@ -1,30 +1,30 @@
-//! How much a backend server bears in its first seconds.
+//! The request rate of a backend server during slow start.
 
 use serde::{Deserialize, Serialize};
 
-/// `ColdRate` is how many requests a second a backend server bears while it is cold; above 0.
+/// Request rate that a backend server sustains during its slow start, while it is cold. Above 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ColdRate {
-    /// Hundredths of a request a second.
+    /// Hundredths of a request per second.
     hundredths: u32,
 }
 
-/// `ColdRateError` says that a number is no rate.
+/// Reports a number that is not a valid rate.
 #[derive(Debug, Clone, Copy, PartialEq, thiserror::Error)]
 #[error("{0} requests a second are no rate of a cold backend server")]
 pub struct ColdRateError(f64);
 
-/// The highest rate; whoever bears more needs no limit.
+/// The highest rate, in requests per second. A backend server that sustains more needs no limit.
 const HIGHEST: f64 = 1e6;
 
 impl ColdRate {
-    /// `to_bytes` gives the rate as bytes that are the same at every balancer.
+    /// Returns the rate as bytes, which are the same at every balancer.
     #[must_use]
     pub fn to_bytes(self) -> [u8; 4] {
         self.hundredths.to_le_bytes()
     }
 
-    /// `per_second` gives the rate in requests a second.
+    /// Returns the rate in requests per second.
     #[must_use]
     pub fn per_second(self) -> f64 {
         f64::from(self.hundredths) / 100.0
@@ -40,7 +40,7 @@
             return Err(ColdRateError(per_second));
         }
 
-        // Within the range of the type, as just made sure.
+        // Within the range of `u32`, as checked above.
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
         let hundredths = hundredths as u32;
         Ok(Self { hundredths })
--- a/crates/valvestage-policy/src/steering/knowledge/entry_table.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/entry_table.rs
@@ -1,7 +1,7 @@
-//! The entries of backend servers, with the sums and orders over them that are kept by each change.
+//! The entries of backend servers, with indexes and sums over them that each change updates.
 //!
-//! What a balancer does each tick and for each message of another one looks at these, so that it costs no more with more backend
-//! servers.
+//! The work of each tick and for each message of a peer uses these, so that its cost does not grow
+//! with the number of backend servers.
 
 use std::cell::Cell;
 use std::collections::{BTreeSet, HashMap};
@@ -15,41 +15,41 @@
 use super::ready_backends::ReadyBackends;
 use crate::rendezvous::mix;
 
-/// `LivingDigest` is a number for a set of backend servers, the same at every balancer.
+/// Digest of a set of backend servers, the same at every balancer.
 pub type LivingDigest = u64;
 
-/// `EntryTable` holds the entries by incarnation.
+/// The entries by incarnation, with their indexes.
 #[derive(Debug, Default)]
 pub(super) struct EntryTable {
     entries: HashMap<InstanceId, BackendEntry>,
-    /// All of them in the order of their positions.
+    /// All entries in the order of their positions.
     by_position: BTreeSet<(StorePosition, InstanceId)>,
-    /// All of them by address. No list is empty.
+    /// All entries by address. No list is empty.
     by_address: HashMap<SocketAddrV4, Vec<InstanceId>>,
-    /// Those that are gone.
+    /// Entries that are gone.
     gone: BTreeSet<InstanceId>,
-    /// Those that are missing and may return.
+    /// Entries that are missing and may return.
     missing: BTreeSet<InstanceId>,
-    /// Those that take new flows.
+    /// Backend servers that take new flows.
     ready: ReadyBackends,
-    /// Exclusive or of a number for each that is not gone.
+    /// Exclusive or of a hash of each incarnation that is not gone.
     living: LivingDigest,
-    /// Entries that were visited one by one, in all.
+    /// Number of entries that were visited one by one, in total.
     visits: Cell<u64>,
 }
 
 impl EntryTable {
-    /// Returns an entry.
+    /// Returns the entry of an incarnation.
     pub(super) fn get(&self, instance: InstanceId) -> Option<&BackendEntry> {
         self.entries.get(&instance)
     }
 
-    /// Returns whether there is an entry.
+    /// Reports whether an incarnation has an entry.
     pub(super) fn contains(&self, instance: InstanceId) -> bool {
         self.entries.contains_key(&instance)
     }
 
-    /// Inserts an entry, in place of the one of its incarnation.
+    /// Inserts an entry, in place of the previous one of its incarnation.
     pub(super) fn insert(&mut self, entry: BackendEntry) {
         self.remove(entry.instance);
 
@@ -57,7 +57,8 @@
         self.entries.insert(entry.instance, entry);
     }
 
-    /// Changes an entry. Returns what the change gives; none if there is no such entry.
+    /// Applies a change to an entry. Returns the result of the change, or None if there is no such
+    /// entry.
     pub(super) fn change<T>(
         &mut self,
         instance: InstanceId,
@@ -110,12 +111,12 @@
         }
     }
 
-    /// Returns a number for those that are not gone.
+    /// Returns a digest of the incarnations that are not gone.
     pub(super) fn living_digest(&self) -> LivingDigest {
         self.living
     }
 
-    /// Returns those that take new flows.
+    /// Returns the backend servers that take new flows.
     pub(super) fn ready(&self) -> &ReadyBackends {
         &self.ready
     }
@@ -125,7 +126,7 @@
         self.visited(self.by_position.iter().map(|(_, instance)| instance))
     }
 
-    /// Returns the entries with positions after one, in their order.
+    /// Returns the entries with positions after the given one, in order.
     pub(super) fn after(&self, position: StorePosition) -> impl Iterator<Item = &BackendEntry> {
         let begin = Bound::Excluded((position, InstanceId::MAX));
         let later = self.by_position.range((begin, Bound::Unbounded));
@@ -133,7 +134,7 @@
         self.visited(later.map(|(_, instance)| instance))
     }
 
-    /// Returns the entries of an address.
+    /// Returns the entries at an address.
     pub(super) fn at_address(&self, address: SocketAddrV4) -> impl Iterator<Item = &BackendEntry> {
         self.visited(self.by_address.get(&address).into_iter().flatten())
     }
@@ -148,7 +149,8 @@
         self.visited(self.missing.iter())
     }
 
-    /// Returns how many entries were visited one by one, in all. What is looked up costs the same with any number of them.
+    /// Returns how many entries were visited one by one, in total. Direct lookups do not count, as
+    /// they cost the same with any number of entries.
     pub(super) fn visits(&self) -> u64 {
         self.visits.get()
     }
--- a/crates/valvestage-policy/src/steering/knowledge/evacuated_zones.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/evacuated_zones.rs
@@ -1,4 +1,4 @@
-//! Availability zones that the operator wants to be left alone.
+//! Availability zones that get no new flows at the operator's request.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -7,73 +7,75 @@
 use valvestage_core::StorePosition;
 use valvestage_core::ids::ZoneName;
 
-/// Longest time for which a zone that was taken back still gets nothing, while it is not known what its backend servers are by
-/// now. What is read of them is at most one watch of 1.5 s and its relay behind.
+/// Longest time for which a zone gets no new flows after its evacuation was lifted, while the state
+/// of its backend servers is not known. What is read of them is at most one watch of 1.5 s and its
+/// relay behind.
 const LONGEST_RETURN: Duration = Duration::from_millis(2_500);
 
-/// For how long a zone still gets nothing whose evacuation a restored store has lost: the operator writes it again.
+/// Time for which a zone gets no new flows after a restored store has lost its evacuation, so that
+/// the operator can write it again.
 const LOST_EVACUATION_HOLD: Duration = Duration::from_secs(5);
 
-/// `EvacuationReport` is all evacuated zones as of a revision of the store. The one of the highest revision is right.
+/// All evacuated zones as of a position of the store. The report with the highest position wins.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationReport {
-    /// Every change up to this revision is known.
+    /// Every change up to this position is known.
     pub as_of: StorePosition,
-    /// The zones; each once, in the order of their names.
+    /// The zones, each once, in the order of their names.
     pub zones: Vec<ZoneName>,
 }
 
-/// `ZoneReturn` is how a zone comes back that was taken back.
+/// Condition for a zone whose evacuation was lifted to get new flows again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct ZoneReturn {
-    /// Up to which position its backend servers have to be known; none: it waits for its time.
+    /// Position up to which its backend servers have to be known. None if only the time counts.
     known_until: Option<StorePosition>,
-    /// When it comes back whatever is known of them.
+    /// When the zone gets new flows whatever is known of its backend servers.
     until: Instant,
 }
 
-/// `EvacuatedZones` is which zones get no new flows, as far as is known.
+/// The zones that get no new flows, as far as is known.
 #[derive(Debug, Clone, Default)]
 pub struct EvacuatedZones {
-    /// The start: nothing was read yet.
+    /// Every change up to this position is known. The start if nothing was read yet.
     as_of: StorePosition,
     zones: BTreeSet<ZoneName>,
-    /// Zones that were taken back, and get nothing yet. None of them is in `zones`.
+    /// Zones whose evacuation was lifted but that get no new flows yet. None of them is in `zones`.
     returning: BTreeMap<ZoneName, ZoneReturn>,
 }
 
 impl EvacuatedZones {
-    /// Returns whether they were read once.
+    /// Reports whether the zones were read at least once.
     #[must_use]
     pub fn is_known(&self) -> bool {
         !self.as_of.is_start()
     }
 
-    /// Returns the position up to which every change is known; the start: nothing was read yet.
+    /// Returns the position up to which every change is known. The start if nothing was read yet.
     #[must_use]
     pub fn as_of(&self) -> StorePosition {
         self.as_of
     }
 
-    /// Returns the zones that the operator has not taken back.
+    /// Returns the zones whose evacuation the operator has not lifted.
     #[must_use]
     pub fn zones(&self) -> &BTreeSet<ZoneName> {
         &self.zones
     }
 
-    /// Returns whether a zone gets no new flows.
+    /// Reports whether a zone gets no new flows.
     #[must_use]
     pub fn holds(&self, zone: &str) -> bool {
         self.zones.contains(zone) || self.returning.contains_key(zone)
     }
 
-    /// Returns whether there is no such zone.
+    /// Reports whether all zones get new flows.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.zones.is_empty() && self.returning.is_empty()
     }
 
-    /// Returns what others are to know; none where nothing was read yet.
+    /// Returns the report for peers. None if nothing was read yet.
     #[must_use]
     pub fn report(&self) -> Option<EvacuationReport> {
         let zones = self.zones.iter().cloned().collect();
@@ -81,8 +83,8 @@
         self.is_known().then_some(EvacuationReport { as_of: self.as_of, zones })
     }
 
-    /// Applies what was the case at a position; true if it is newer and other zones are evacuated now. Those that
-    /// were taken back get nothing before [`Self::end_returns`] says so.
+    /// Applies a report. Returns true if it is newer and the evacuated zones have changed. Zones
+    /// whose evacuation was lifted get no new flows before [`Self::end_returns`] releases them.
     pub fn replace(&mut self, report: EvacuationReport, now: Instant) -> bool {
         if report.as_of <= self.as_of {
             return false;
@@ -106,8 +108,8 @@
         true
     }
 
-    /// Releases zones of whose backend servers every change up to a position is known; none: whatever is
-    /// known of them. Gives these zones.
+    /// Releases and returns the zones whose backend servers are known up to the required position,
+    /// or whose time is over. None for `known_until` stands for any position.
     pub fn end_returns(
         &mut self,
         known_until: Option<StorePosition>,
--- a/crates/valvestage-policy/src/steering/knowledge/lapse.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/lapse.rs
@@ -1,7 +1,8 @@
-//! Entries that lapse while their backend servers live.
+//! Entries that lapse while their backend servers are alive.
 //!
-//! An entry goes when its backend server has left, has died, or has been kept from the store. In the last
-//! case it returns, and the flows there go on meanwhile.
+//! An entry is removed from the store when its backend server has left, has died, or could not
+//! reach the store to renew it. In the last case the entry returns, and the flows of the backend
+//! server go on meanwhile.
 
 use std::time::{Duration, Instant};
 
@@ -13,33 +14,35 @@
 use crate::steering::health::backend_health::BackendHealth;
 use crate::steering::packets::flow_tracker::EndedBackend;
 
-/// Entries that lapsed while their backend servers could not reach the store return within about 2 s; one
-/// that is missing after that is gone. Confirmations take up to 0.3 s more.
+/// Time within which lapsed entries return: about 2 s after a backend server could not reach the
+/// store, and up to 0.3 s more until the confirmation. An entry that is missing after that is gone.
 pub(in crate::steering) const RETURN_TIME: Duration = Duration::from_millis(2_300);
 
-/// `LapseJudge` tells lapses from ends, by what is known at one moment.
+/// Tells lapsed entries from ended backend servers, by what is known at one moment.
 pub(in crate::steering) struct LapseJudge<'a> {
     /// Availability zone of this balancer.
     pub own_zone: &'a ZoneName,
-    /// What is known of entries, and of the store's last confirmation.
+    /// The known entries, and the last confirmation by the store.
     pub knowledge: &'a Knowledge,
-    /// Signs of life.
+    /// Signs of life of backend servers.
     pub health: &'a BackendHealth,
-    /// The moment.
+    /// The moment for which the questions are answered.
     pub now: Instant,
 }
 
 impl LapseJudge<'_> {
-    /// `is_gone` tells whether the entry of a backend server is gone.
+    /// Reports whether the entry of a backend server is gone.
     pub(in crate::steering) fn is_gone(&self, instance: InstanceId) -> bool {
         self.knowledge.directory.get(instance).is_some_and(BackendEntry::is_gone)
     }
 
-    /// `has_ended` tells whether a backend server has ended, so that its flows can be. One whose entry is
-    /// gone has not if it may return and either showed life shortly before, or shared a cut with this balancer.
+    /// Reports whether a backend server has ended, so that its flows can be ended. A backend server
+    /// whose entry is gone has not ended as long as the entry may return and the backend server
+    /// either showed life shortly before or shared a network partition with this balancer.
     ///
-    /// Its time does not run while the store is away, which it could not return to. After a cut this keeps the flows in the zone
-    /// that was cut off until the entries are back.
+    /// The time to return does not run while the store is away, since no entry can return then.
+    /// After a partition this keeps the flows in the zone that was cut off until its entries are
+    /// back.
     pub(in crate::steering) fn has_ended(&self, instance: InstanceId) -> bool {
         let entry = self.knowledge.directory.get(instance);
 
@@ -48,7 +51,7 @@
                 let may_live = self.may_return(since) && self.may_live(entry, since);
                 !may_live && !self.is_in_doubt(entry, since)
             }
-            // One that started after the lapse has no signs of life of its own.
+            // A balancer that started after the lapse has no signs of life of its own to go by.
             BackendPhase::Gone { since, end: BackendEnd::LapsedUnseen } => {
                 !self.may_return(since) && !self.is_in_doubt(entry, since)
             }
@@ -57,7 +60,8 @@
         })
     }
 
-    /// `lapsed_in_doubt` tells whether the entry of a backend server has lapsed and nothing can be concluded from that.
+    /// Reports whether the entry of a backend server has lapsed and nothing can be concluded from
+    /// that.
     pub(in crate::steering) fn lapsed_in_doubt(&self, instance: InstanceId) -> bool {
         let entry = self.knowledge.directory.get(instance);
 
@@ -69,16 +73,18 @@
         })
     }
 
-    /// Whether nothing can be concluded from the lapse of an entry, however long ago it is. The backend server may go on serving
-    /// callers through other balancers, also those of flows that this one has served before.
+    /// Reports whether nothing can be concluded from the lapse of an entry, however long ago it
+    /// was. The backend server may go on serving callers through other balancers, including callers
+    /// of flows that this balancer served before.
     fn is_in_doubt(&self, entry: &BackendEntry, lapsed_at: Instant) -> bool {
         self.health.shows_life_after(entry.instance, lapsed_at)
             || self.knowledge.is_behind(self.now)
             || self.may_have_lapsed_in_cut(entry, lapsed_at)
     }
 
-    /// Whether the zone of a backend server, or this one, was cut off when its entry lapsed, and the entry has not had the time to
-    /// return since: the time begins when balancers on the other side of the cut are heard again.
+    /// Reports whether the zone of a backend server, or the zone of this balancer, was partitioned
+    /// when the entry lapsed, and the entry has not had the time to return since. That time begins
+    /// when balancers on the other side of the partition are heard again.
     fn may_have_lapsed_in_cut(&self, entry: &BackendEntry, lapsed_at: Instant) -> bool {
         match self.reach(&entry.zone) {
             ZoneReach::Unknown => false,
@@ -90,7 +96,8 @@
         }
     }
 
-    /// `reach` tells whether the other side of a cut of a zone can be reached: that zone, or from this one any other.
+    /// Returns whether the other side of a partition of a zone can be reached: that zone itself, or
+    /// any other zone if it is the zone of this balancer.
     pub(in crate::steering) fn reach(&self, zone: &ZoneName) -> ZoneReach {
         let contacts = &self.knowledge.contacts;
 
@@ -101,8 +108,8 @@
         }
     }
 
-    /// `ended` gives the flows of an incarnation that has ended. Where another one has started at its address under its name,
-    /// flows of the last moments may be there already.
+    /// Returns which flows of an ended incarnation to end. If a successor has started at its
+    /// address under its name, the most recent flows may already be at the successor.
     pub(in crate::steering) fn ended(&self, instance: InstanceId) -> EndedBackend {
         let directory = &self.knowledge.directory;
         let since = match directory.get(instance).map(|entry| entry.phase) {
@@ -117,14 +124,14 @@
         EndedBackend { instance, seen_before }
     }
 
-    /// Whether an entry may return that lapsed at a time.
+    /// Reports whether an entry that lapsed at a time may return.
     fn may_return(&self, lapsed_at: Instant) -> bool {
         let is_recent = self.now.saturating_duration_since(lapsed_at) < RETURN_TIME;
 
         is_recent || !self.knowledge.is_settled(self.now)
     }
 
-    /// Whether a backend server may live although its entry has lapsed.
+    /// Reports whether a backend server may be alive although its entry has lapsed.
     fn may_live(&self, entry: &BackendEntry, lapsed_at: Instant) -> bool {
         let alive_from = self.silent_from(lapsed_at);
         let was_alive = self.health.shows_life_since(entry.instance, alive_from);
@@ -133,16 +140,19 @@
         was_alive || shared_cut || self.is_open_question(entry, alive_from)
     }
 
-    /// From when on a backend server was silent whose entry lapsed at a time, if it is dead.
+    /// Returns since when a backend server whose entry lapsed at a time has been silent, if it is
+    /// dead.
     fn silent_from(&self, lapsed_at: Instant) -> Instant {
         let silence = self.knowledge.entry_times().shortest_lapse();
 
         lapsed_at.checked_sub(silence).unwrap_or(lapsed_at)
     }
 
-    /// Whether nothing speaks for or against the life of a backend server: its entry cannot return now, since the store is
-    /// away, or this balancer started too late to see whether it was silent before the lapse. A flow that has just come from
-    /// another balancer goes on with its first packet; the first copy of it that its caller sends shows the end, 200 ms later.
+    /// Reports whether nothing speaks for or against the life of a backend server: no sign of life
+    /// was seen, and either its entry cannot return now because the store is away, or this balancer
+    /// started too late to see whether the backend server was silent before the lapse. The first
+    /// packet of a flow that has just moved here from another balancer is forwarded. If the backend
+    /// server is dead, the caller's first retransmission shows it 200 ms later.
     fn is_open_question(&self, entry: &BackendEntry, alive_from: Instant) -> bool {
         let is_unseen = !self.health.shows_anything_since(entry.instance, alive_from);
         let knowledge = self.knowledge;
--- a/crates/valvestage-policy/src/steering/knowledge/ready_backends.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/ready_backends.rs
@@ -6,47 +6,47 @@
 
 use super::backend_entry::BackendEntry;
 
-/// `ZoneBackends` are the backend servers of one service in one availability zone.
+/// The backend servers of one service in one availability zone.
 #[derive(Debug, Default)]
 pub struct ZoneBackends {
     instances: BTreeSet<InstanceId>,
-    /// Those of them that were slow from their start when their entries were read.
+    /// The backend servers whose entries said when they were read that a slow start was under way.
     started: BTreeSet<InstanceId>,
-    /// Requests that all of them work on at once.
+    /// Number of requests that all of them process concurrently.
     slots: u64,
 }
 
 impl ZoneBackends {
-    /// Returns them in a fixed order.
+    /// Returns the backend servers in a fixed order.
     pub fn instances(&self) -> impl Iterator<Item = InstanceId> {
         self.instances.iter().copied()
     }
 
-    /// Returns those that have, or had, a time in which they are slow from their start.
+    /// Returns the backend servers that are, or were, in slow start.
     pub fn started(&self) -> impl Iterator<Item = InstanceId> {
         self.started.iter().copied()
     }
 
-    /// Returns how many there are.
+    /// Returns the number of backend servers.
     #[must_use]
     pub fn len(&self) -> usize {
         self.instances.len()
     }
 
-    /// Returns whether there is none.
+    /// Reports whether there is no backend server.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.instances.is_empty()
     }
 
-    /// Returns how many requests all of them work on at once.
+    /// Returns the number of requests that all of them process concurrently.
     #[must_use]
     pub fn slots(&self) -> u64 {
         self.slots
     }
 }
 
-/// `ReadyBackends` holds the backend servers that take new flows.
+/// All backend servers that take new flows.
 #[derive(Debug, Default)]
 pub struct ReadyBackends {
     /// No zone and no service in it is empty.
@@ -55,25 +55,25 @@
 }
 
 impl ReadyBackends {
-    /// Returns those of a service by availability zone.
+    /// Returns the backend servers of a service by availability zone.
     pub fn of_service(&self, service: &str) -> impl Iterator<Item = (&ZoneName, &ZoneBackends)> {
         self.services.get(service).into_iter().flatten()
     }
 
-    /// Returns all of them by service and availability zone.
+    /// Returns all backend servers by service and availability zone.
     pub fn all(&self) -> impl Iterator<Item = (&ServiceName, &ZoneName, &ZoneBackends)> {
         self.services
             .iter()
             .flat_map(|(service, zones)| zones.iter().map(move |(zone, of)| (service, zone, of)))
     }
 
-    /// Returns how many there are.
+    /// Returns the number of backend servers.
     #[must_use]
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Returns whether there is none.
+    /// Reports whether there is no backend server.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.count == 0
--- a/crates/valvestage-policy/src/steering/knowledge/route_map.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/route_map.rs
@@ -8,33 +8,34 @@
 
 use super::cold_rate::ColdRate;
 
-/// `RouteTarget` is one of the services that share the new flows of an address.
+/// One of the services that share the new flows of an address.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteTarget {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Its share; relative to the sum over all targets of the address.
+    /// Its weight, relative to the sum over all targets of the address.
     pub weight: u32,
 }
 
-/// `RouteMap` is one version of the configuration, as far as steering needs it.
+/// One version of the configuration, as far as steering needs it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteMap {
-    /// Its version; versions only grow. 0: none was read yet.
+    /// Version of the configuration, which only grows. 0 if none was read yet.
     pub version: ConfigurationVersion,
     /// The services behind each address.
     pub routes: HashMap<SocketAddrV4, Vec<RouteTarget>>,
-    /// The regions in which new flows of an address may go. Invariant: the addresses are some of `routes`; others have no
-    /// such limit.
+    /// The regions to which new flows of an address may go. Invariant: each address is also in
+    /// `routes`. The other addresses have no such limit.
     pub allowed_regions: HashMap<SocketAddrV4, BTreeSet<RegionName>>,
-    /// What a backend server of a service bears while it is cold. Services that are not named have no such limit.
+    /// Request rate of a cold backend server of each service. Services that are not named have no
+    /// such limit.
     pub cold_rates: HashMap<ServiceName, ColdRate>,
-    /// Silence after which a flow may be forgotten, milliseconds.
+    /// Idle time after which a flow may be forgotten, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
 impl RouteMap {
-    /// `target` gives the service for a new flow; the same draw always gives the same service.
+    /// Returns the service for a new flow. The same draw always gives the same service.
     #[must_use]
     pub fn target(&self, address: SocketAddrV4, draw: u64) -> Option<&ServiceName> {
         let targets = self.routes.get(&address)?;
@@ -51,13 +52,14 @@
         targets.first().map(|target| &target.service)
     }
 
-    /// `services` gives the services that new flows may go to.
+    /// Returns the services to which new flows may go.
     #[must_use]
     pub fn services(&self) -> HashSet<ServiceName> {
         self.routes.values().flatten().map(|target| target.service.clone()).collect()
     }
 
-    /// `allows` tells whether new flows of an address may go to a region; none: it is not known which region that is.
+    /// Reports whether new flows of an address may go to a region. None stands for an unknown
+    /// region.
     #[must_use]
     pub fn allows(&self, address: SocketAddrV4, region: Option<&RegionName>) -> bool {
         let Some(allowed) = self.allowed_regions.get(&address) else { return true };
@@ -65,7 +67,7 @@
         region.is_some_and(|region| allowed.contains(region))
     }
 
-    /// `leads_to` tells whether an address may lead to a service.
+    /// Reports whether an address may lead to a service.
     #[must_use]
     pub fn leads_to(&self, address: SocketAddrV4, service: &str) -> bool {
         self.routes
--- a/crates/valvestage-policy/src/steering/knowledge/store_restores.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/store_restores.rs
@@ -1,12 +1,14 @@
-//! What stays known of backend servers when the store is restored from an older copy.
+//! What stays known of backend servers after the store is restored from a backup.
 //!
-//! The copy shows some entries as they were before. Until each backend server that lives has written its entry again, and those of the
-//! others have lapsed, an entry of the copy proves nothing against what is known of a former era:
+//! The backup shows some entries as they were before. Until each live backend server has written
+//! its entry again, and the entries of the others have lapsed, an entry from the backup proves
+//! nothing against what is known from an earlier era:
 //!
-//! - a backend server that is known as leaving gets no new flows;
-//! - the entry of a backend server that has ended, or whose name or address has another one by now, is contested: it is left out until
-//!   the store has settled, and admitted if it is still there then;
-//! - entries that the copy lacks count as missing, and may return.
+//! - A backend server that is known to be draining gets no new flows.
+//! - The entry of a backend server that has ended, or whose name or address another one has by now,
+//!   is conflicting: it is left out until the store has settled, and applied if it is still there
+//!   then.
+//! - Entries that the backup lacks count as missing, and may return.
 
 use std::time::Instant;
 
@@ -18,13 +20,13 @@
 use super::backend_name::BackendName;
 
 impl BackendDirectory {
-    /// Returns where the store stood when it was first listed in its present era, as far as is known.
+    /// Returns the lowest known position of the store at a list in its present era.
     #[must_use]
     pub fn era_head(&self) -> StorePosition {
         self.era_head
     }
 
-    /// Records where the store stood at a list, here or at another balancer.
+    /// Records the position of the store at a list, read by this balancer or by a peer.
     pub fn note_listed(&mut self, position: StorePosition, now: Instant) {
         if position.era > self.era_head.era {
             self.era_head = position;
@@ -35,8 +37,8 @@
         }
     }
 
-    /// Admits the entries that are still contested once the store has settled and has confirmed since that nothing else is the
-    /// case. Returns the backend servers of which something else is believed.
+    /// Applies the entries that are still conflicting once the store has settled and has confirmed
+    /// the knowledge since. Returns the incarnations whose known state changed.
     pub fn settle_contests(
         &mut self,
         confirmed_at: Option<Instant>,
@@ -51,19 +53,20 @@
         contested.into_values().flat_map(|entry| self.admit(entry, now)).collect()
     }
 
-    /// Returns the entries that are left out for now.
+    /// Returns the conflicting entries, which are left out for now.
     pub fn contested(&self) -> impl Iterator<Item = &BackendEntry> {
         self.contested.values()
     }
 
-    /// Returns the backend servers of the contested entries of a name.
+    /// Returns the incarnations of a name that have conflicting entries.
     pub fn contested_births(&self, name: BackendName) -> impl Iterator<Item = InstanceId> {
         let of_name = self.contested.values().filter(move |entry| entry.name == name);
 
         of_name.map(|entry| entry.instance)
     }
 
-    /// Ends the contests of entries that the store does not have any more at a position. Returns their backend servers.
+    /// Drops the conflicting entries that the store no longer has at a position. Returns their
+    /// incarnations.
     pub(in crate::steering) fn end_contested(
         &mut self,
         has_gone: impl Fn(&BackendEntry) -> bool,
@@ -77,14 +80,16 @@
 
         let instances = ended.iter().map(|entry| entry.instance).collect();
         for entry in ended {
-            // Peers have it among their contested entries, too, and learn of its end by this position.
+            // The entries conflict at the peers as well, which learn of the removal by this
+            // position.
             let phase = BackendPhase::Gone { since: now, end: BackendEnd::Superseded };
             self.put(BackendEntry { position: at, phase, ..entry });
         }
         instances
     }
 
-    /// Applies what former eras of the store showed to an entry of a later one; none if it is contested.
+    /// Reconciles an entry with what earlier eras of the store showed. Returns None if the entry is
+    /// conflicting.
     pub(super) fn reconcile_eras(
         &mut self,
         mut entry: BackendEntry,
@@ -105,19 +110,21 @@
             if known.phase == BackendPhase::Draining {
                 entry.phase = BackendPhase::Draining;
             }
-            // The copy says what was left of the cold time when it was made.
+            // The backup says how much of the slow start was left when the backup was made.
             entry.cold_until = known.cold_until;
         }
         Some(entry)
     }
 
-    /// Returns whether a peer tells of an entry of a former era which may be written again in this one.
+    /// Reports whether an entry of an earlier era that a peer reports may be written again in this
+    /// era.
     pub(super) fn may_be_written_again(&self, told: &BackendEntry, now: Instant) -> bool {
         !told.is_gone() && told.position.era < self.read_until().era && self.is_unsettled(now)
     }
 
-    /// Marks a backend server as leaving that a peer knows as leaving, or as ended, and that is known as ready from an older copy
-    /// of the store; false if that is no news. It may still serve the flows that it has.
+    /// Marks a backend server as draining that is known as ready from a backup of the store, if a
+    /// peer knows it as draining or ended. Returns false if nothing changed. The backend server may
+    /// still serve its open flows.
     pub(super) fn admit_told_departure(&mut self, told: &BackendEntry, now: Instant) -> bool {
         if !self.is_unsettled(now) {
             return false;
@@ -134,18 +141,19 @@
         true
     }
 
-    /// Returns when the contests are decided; none if nothing is contested.
+    /// Returns when the conflicts are resolved. None if no entry is conflicting.
     #[must_use]
     pub fn contests_end_at(&self) -> Option<Instant> {
         self.era_settles_at.filter(|_| !self.contested.is_empty())
     }
 
-    /// Returns whether the store may still show entries of an older copy.
+    /// Reports whether the store may still show entries that stem only from the backup.
     pub(super) fn is_unsettled(&self, now: Instant) -> bool {
         self.era_settles_at.is_some_and(|at| at > now)
     }
 
-    /// A later entry under the name, or at the address, of a contested one shows that it was an older one.
+    /// Drops the conflicting entries that a later entry under their name or at their address shows
+    /// to be outdated.
     fn drop_contested(&mut self, entry: &BackendEntry) {
         let is_followed = |contested: &BackendEntry| {
             let is_in_place = contested.instance == entry.instance
@@ -157,12 +165,14 @@
         self.contested.retain(|_, contested| !is_followed(contested));
     }
 
-    /// Whether an entry was written after the store was listed in its present era, so that it is not of the copy.
+    /// Reports whether an entry was written after the store was first listed in its present era, so
+    /// that it does not stem from the backup.
     pub(super) fn is_written_since_restore(&self, entry: &BackendEntry) -> bool {
         entry.position > self.era_head && entry.position.era == self.era_head.era
     }
 
-    /// Whether an entry may be of the copy, and a former era shows that its backend server has ended or has another one in its place.
+    /// Reports whether an entry may stem from the backup although an earlier era shows that its
+    /// backend server has ended or was replaced at its name or address.
     fn is_contested(&self, entry: &BackendEntry) -> bool {
         if self.is_written_since_restore(entry) {
             return false;
@@ -180,7 +190,7 @@
     }
 }
 
-/// Whether an incarnation never takes flows again, whatever an older copy shows.
+/// Reports whether an incarnation never takes flows again, whatever a backup shows.
 fn has_ended_for_good(entry: &BackendEntry) -> bool {
     matches!(entry.phase, BackendPhase::Gone { end: BackendEnd::Left | BackendEnd::Superseded, .. })
 }
--- a/crates/valvestage-policy/src/steering/knowledge/zone_contacts.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/zone_contacts.rs
@@ -1,29 +1,31 @@
 //! Since when balancers of the other availability zones are heard.
 //!
-//! A zone that is cut off shows it by the silence of its balancers. What is learned of its backend servers meanwhile, and just
-//! after it, says where the cut was, not which of them live.
+//! A zone that is partitioned shows it by the silence of its balancers. What is learned of its
+//! backend servers during the partition, and just after it, shows where the partition was, not
+//! which of them are alive.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use valvestage_core::ids::ZoneName;
 
-/// Silence from which on a zone may have been cut off. The shortest cut in which entries lapse lasts for two heartbeats of backend
-/// servers, 1.5 s; four balancers of all are told by each one every 0.4 s.
+/// Silence after which a zone may have been partitioned. The shortest partition in which entries
+/// lapse lasts for two heartbeats of backend servers, 1.5 s. Each balancer sends heartbeats to four
+/// others every 0.4 s.
 const SILENCE: Duration = Duration::from_millis(1_500);
 
-/// `ZoneReach` says whether an availability zone can be reached, as far as its balancers show.
+/// Whether an availability zone can be reached, as far as its balancers show.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ZoneReach {
-    /// No balancer of another zone was ever heard, so that nothing is known of cuts.
+    /// No balancer of another zone was ever heard, so nothing is known of partitions.
     Unknown,
-    /// The zone says nothing.
+    /// No balancer of the zone was heard lately.
     Silent,
-    /// Its balancers are heard without a break since a time.
+    /// Balancers of the zone have been heard without a break since this time.
     Since(Instant),
 }
 
-/// `ZoneContact` is how one zone, or any other one, is heard.
+/// When one zone, or any other zone, was heard.
 #[derive(Debug, Clone, Copy)]
 struct ZoneContact {
     /// When it was first heard after the last silence. Not after `heard_at`.
@@ -48,16 +50,16 @@
     }
 }
 
-/// `ZoneContacts` holds how the other availability zones are heard.
+/// When the other availability zones were heard.
 #[derive(Debug, Default)]
 pub struct ZoneContacts {
     zones: HashMap<ZoneName, ZoneContact>,
-    /// Any of them.
+    /// Contact with any of the other zones.
     any: Option<ZoneContact>,
 }
 
 impl ZoneContacts {
-    /// `on_heard` takes in that a balancer of another zone has spoken.
+    /// Records that a balancer of another zone was heard.
     pub fn on_heard(&mut self, zone: &ZoneName, now: Instant) {
         let first = ZoneContact { joined_at: now, heard_at: now };
 
@@ -70,13 +72,13 @@
         }
     }
 
-    /// `hears_others` tells whether any other zone was heard in the time before now.
+    /// Reports whether any other zone was heard within the given time before now.
     #[must_use]
     pub fn hears_others(&self, within: Duration, now: Instant) -> bool {
         self.any.is_some_and(|contact| now.saturating_duration_since(contact.heard_at) < within)
     }
 
-    /// `reach` tells whether another zone can be reached from here.
+    /// Returns whether another zone can be reached from here.
     #[must_use]
     pub fn reach(&self, zone: &ZoneName, now: Instant) -> ZoneReach {
         match self.zones.get(zone) {
@@ -86,7 +88,8 @@
         }
     }
 
-    /// `reach_of_others` tells whether any other zone can be reached: where none can, this one is cut off itself.
+    /// Returns whether any other zone can be reached. If none can, the zone of this balancer is the
+    /// one that is cut off.
     #[must_use]
     pub fn reach_of_others(&self, now: Instant) -> ZoneReach {
         self.any.map_or(ZoneReach::Unknown, |contact| contact.reach(now))
