--- a/crates/valvestage-policy/src/steering/keeper.rs
+++ b/crates/valvestage-policy/src/steering/keeper.rs
@@ -5,9 +5,9 @@
 //! | [`knowledge_keeper`] | when to call the store, and what to send to other balancers |
 //! | [`keeper_action`] | actions that the driver carries out |
 //! | `keeper_exchange` | requests to other balancers, and answers to theirs |
-//! | `keeper_news` | what was learned, for the log and for other balancers |
+//! | `keeper_updates` | what was learned, for the log and for other balancers |
 
 pub mod keeper_action;
 pub(in crate::steering) mod keeper_exchange;
-pub(in crate::steering) mod keeper_news;
+pub(in crate::steering) mod keeper_updates;
 pub mod knowledge_keeper;
--- a/crates/valvestage-policy/src/steering/keeper/keeper_exchange.rs
+++ b/crates/valvestage-policy/src/steering/keeper/keeper_exchange.rs
@@ -6,7 +6,7 @@
 use valvestage_core::StorePosition;
 
 use super::keeper_action::KeeperAction;
-use super::keeper_news::KeeperNews;
+use super::keeper_updates::KeeperUpdates;
 use crate::steering::decision::{Decision, NewsSource};
 use crate::steering::knowledge::Knowledge;
 use crate::steering::peers::answer_queue::PeerQuestion;
@@ -20,13 +20,13 @@
 pub(in crate::steering) struct KeeperExchange {
     exchange: PeerExchange,
     /// Whether other balancers have reported changes in a walk that has not ended yet.
-    has_untold: bool,
+    has_unannounced_changes: bool,
 }
 
 impl KeeperExchange {
     /// Creates an exchange that answers over a link of so many megabits per second.
     pub(in crate::steering) fn new(link_mbps: f64) -> Self {
-        Self { exchange: PeerExchange::new(link_mbps), has_untold: false }
+        Self { exchange: PeerExchange::new(link_mbps), has_unannounced_changes: false }
     }
 
     /// Returns when the next answer is due. None if no balancer waits for one.
@@ -35,7 +35,7 @@
     }
 
     /// Reports whether parts of an answer about backend servers arrived a moment ago.
-    pub(in crate::steering) fn is_being_told(&self, now: Instant) -> bool {
+    pub(in crate::steering) fn is_receiving_backends(&self, now: Instant) -> bool {
         self.exchange.is_being_told(now)
     }
 
@@ -43,16 +43,16 @@
     pub(in crate::steering) fn on_tick(
         &mut self,
         knowledge: &Knowledge,
-        news: &mut KeeperNews,
+        updates: &mut KeeperUpdates,
         now: Instant,
     ) -> Vec<KeeperAction> {
         let mut actions = Vec::new();
 
         for overdue in self.exchange.overdue(knowledge, now) {
-            news.note(Decision::AnswerIncomplete(overdue.incomplete));
-            actions.extend(overdue.ask.map(tell));
+            updates.record(Decision::AnswerIncomplete(overdue.incomplete));
+            actions.extend(overdue.ask.map(send_action));
         }
-        actions.extend(self.answers(knowledge, news, now));
+        actions.extend(self.answers(knowledge, updates, now));
         actions
     }
 
@@ -67,19 +67,19 @@
     }
 
     /// Requests what the sender of a heartbeat knows more, unless an answer is already awaited.
-    pub(in crate::steering) fn pulls(
+    pub(in crate::steering) fn pull_updates(
         &mut self,
         knowledge: &Knowledge,
-        news: &mut KeeperNews,
+        updates: &mut KeeperUpdates,
         (sender, heartbeat): (SocketAddrV4, &PeerHeartbeat),
         now: Instant,
     ) -> Vec<KeeperAction> {
         let pulls = self.exchange.pulls(knowledge, sender, heartbeat, now);
 
         for pull in &pulls {
-            note_pull(knowledge, news, sender, pull);
+            record_pull(knowledge, updates, sender, pull);
         }
-        pulls.into_iter().map(|pull| tell((sender, pull))).collect()
+        pulls.into_iter().map(|pull| send_action((sender, pull))).collect()
     }
 
     /// Requests everything from the sender of a heartbeat if it considers other backend servers
@@ -98,7 +98,7 @@
     pub(in crate::steering) fn on_message(
         &mut self,
         knowledge: &mut Knowledge,
-        news: &mut KeeperNews,
+        updates: &mut KeeperUpdates,
         (sender, message): (SocketAddrV4, PeerMessage),
         missing_until: Option<Instant>,
         now: Instant,
@@ -107,14 +107,20 @@
             PeerMessage::Heartbeat(_) => return Vec::new(),
             PeerMessage::RoutesIndex(index) => {
                 let step = self.exchange.on_index(knowledge, sender, index, now);
-                return self.take_step(knowledge, news, sender, step);
+                return self.apply_step(knowledge, updates, sender, step);
             }
             PeerMessage::RoutesChunk(chunk) => {
                 let step = self.exchange.on_chunk(knowledge, sender, chunk, now);
-                return self.take_step(knowledge, news, sender, step);
+                return self.apply_step(knowledge, updates, sender, step);
             }
             PeerMessage::Backends(part) => {
-                return self.on_backends_part(knowledge, news, (sender, part), missing_until, now);
+                return self.on_backends_part(
+                    knowledge,
+                    updates,
+                    (sender, part),
+                    missing_until,
+                    now,
+                );
             }
             PeerMessage::RoutesPull(pull) => PeerQuestion::Routes(pull),
             PeerMessage::ChunksPull(pull) => PeerQuestion::Chunks(pull),
@@ -122,14 +128,14 @@
         };
 
         self.exchange.on_question(sender, question, now);
-        self.answers(knowledge, news, now)
+        self.answers(knowledge, updates, now)
     }
 
     /// Answers the balancers whose turn it is.
     fn answers(
         &mut self,
         knowledge: &Knowledge,
-        news: &mut KeeperNews,
+        updates: &mut KeeperUpdates,
         now: Instant,
     ) -> Vec<KeeperAction> {
         let mut actions = Vec::new();
@@ -137,34 +143,34 @@
         while let Some((peer, answers)) = self.exchange.next_answer(knowledge, now) {
             if answers.len() > 1 {
                 let (version, datagrams) = (knowledge.routes.version, answers.len());
-                news.note(Decision::Answered { peer, version, datagrams });
+                updates.record(Decision::Answered { peer, version, datagrams });
             }
-            actions.extend(answers.into_iter().map(|answer| tell((peer, answer))));
+            actions.extend(answers.into_iter().map(|answer| send_action((peer, answer))));
         }
         actions
     }
 
     /// Applies the result of a part of a configuration.
-    fn take_step(
+    fn apply_step(
         &mut self,
         knowledge: &mut Knowledge,
-        news: &mut KeeperNews,
+        updates: &mut KeeperUpdates,
         sender: SocketAddrV4,
         step: ExchangeStep,
     ) -> Vec<KeeperAction> {
         if step.has_routes {
             knowledge.note_caught_up();
             let routes = self.exchange.catalogue().map();
-            news.take_routes(knowledge, routes, NewsSource::Peer(sender));
+            updates.apply_routes(knowledge, routes, NewsSource::Peer(sender));
         }
 
-        step.ask.into_iter().map(tell).collect()
+        step.ask.into_iter().map(send_action).collect()
     }
 
     fn on_backends_part(
         &mut self,
         knowledge: &mut Knowledge,
-        news: &mut KeeperNews,
+        updates: &mut KeeperUpdates,
         (sender, part): (SocketAddrV4, BackendsPart),
         missing_until: Option<Instant>,
         now: Instant,
@@ -176,33 +182,38 @@
         // Other balancers cannot use what came before the end of a walk. If each part is announced,
         // 60 balancers that start before 1,500 backend servers send each other 309 messages each;
         // announced only at the end, it is 107.
-        self.has_untold |= is_new_era || !step.changed.is_empty();
+        self.has_unannounced_changes |= is_new_era || !step.changed.is_empty();
         if step.is_end {
             knowledge.note_caught_up();
-            news.tell_if(std::mem::take(&mut self.has_untold));
+            updates.notify_if(std::mem::take(&mut self.has_unannounced_changes));
         }
         for instance in step.changed {
-            news.note_backend(knowledge, instance, NewsSource::Peer(sender));
+            updates.record_backend(knowledge, instance, NewsSource::Peer(sender));
         }
-        step.ask.into_iter().map(tell).collect()
+        step.ask.into_iter().map(send_action).collect()
     }
 }
 
-fn tell((peer, message): (SocketAddrV4, PeerMessage)) -> KeeperAction {
+fn send_action((peer, message): (SocketAddrV4, PeerMessage)) -> KeeperAction {
     KeeperAction::Tell(peer, message)
 }
 
 /// Changes of backend servers come several times a second, so requests for them are not logged.
-fn note_pull(knowledge: &Knowledge, news: &mut KeeperNews, peer: SocketAddrV4, pull: &PeerMessage) {
+fn record_pull(
+    knowledge: &Knowledge,
+    updates: &mut KeeperUpdates,
+    peer: SocketAddrV4,
+    pull: &PeerMessage,
+) {
     let version = knowledge.routes.version;
     let known_until = knowledge.directory.complete_until();
 
     match pull {
         PeerMessage::RoutesPull(RoutesPull { version }) => {
-            news.note(Decision::Asked { peer, version: *version, known_until });
+            updates.record(Decision::Asked { peer, version: *version, known_until });
         }
         PeerMessage::BackendsPull(BackendsPull { scope: WalkScope::Everything, .. }) => {
-            news.note(Decision::Asked { peer, version, known_until: StorePosition::START });
+            updates.record(Decision::Asked { peer, version, known_until: StorePosition::START });
         }
         _ => {}
     }
--- a/crates/valvestage-policy/src/steering/keeper/keeper_news.rs
+++ b/crates/valvestage-policy/src/steering/keeper/keeper_updates.rs
@@ -11,60 +11,65 @@
 
 /// Collects what was learned, and decides when to notify other balancers at once.
 #[derive(Debug, Default)]
-pub(in crate::steering) struct KeeperNews {
+pub(in crate::steering) struct KeeperUpdates {
     /// Whether something is new that other balancers may not know.
-    is_to_tell: bool,
+    is_notification_due: bool,
     /// The suspected backend servers that other balancers were notified of.
-    told_suspects: Vec<InstanceId>,
+    notified_suspects: Vec<InstanceId>,
     /// What was learned since the last call of `take_decisions`.
     decisions: Vec<Decision>,
     was_certain: bool,
 }
 
-impl KeeperNews {
+impl KeeperUpdates {
     /// Returns what was learned since the last call.
     pub(in crate::steering) fn take_decisions(&mut self) -> Vec<Decision> {
         std::mem::take(&mut self.decisions)
     }
 
     /// Records something of which other balancers need not be notified.
-    pub(in crate::steering) fn note(&mut self, decision: Decision) {
+    pub(in crate::steering) fn record(&mut self, decision: Decision) {
         self.decisions.push(decision);
     }
 
     /// Requests that other balancers are notified at once if the condition holds.
-    pub(in crate::steering) fn tell_if(&mut self, is_new: bool) {
-        self.is_to_tell |= is_new;
+    pub(in crate::steering) fn notify_if(&mut self, is_new: bool) {
+        self.is_notification_due |= is_new;
     }
 
     /// Reports whether other balancers are to be notified at once.
-    pub(in crate::steering) fn is_to_tell(&self) -> bool {
-        self.is_to_tell
+    pub(in crate::steering) fn is_notification_due(&self) -> bool {
+        self.is_notification_due
     }
 
     /// Records that other balancers are being notified.
-    pub(in crate::steering) fn on_told(&mut self) {
-        self.is_to_tell = false;
+    pub(in crate::steering) fn on_notified(&mut self) {
+        self.is_notification_due = false;
     }
 
     /// Requests that other balancers are notified at once if there is a new suspect.
-    pub(in crate::steering) fn note_suspects(&mut self, suspects: &[InstanceId]) {
-        self.is_to_tell |= suspects.iter().any(|suspect| !self.told_suspects.contains(suspect));
+    pub(in crate::steering) fn record_suspects(&mut self, suspects: &[InstanceId]) {
+        self.is_notification_due |=
+            suspects.iter().any(|suspect| !self.notified_suspects.contains(suspect));
 
-        self.told_suspects = suspects.to_vec();
+        self.notified_suspects = suspects.to_vec();
     }
 
     /// Records a change of whether the knowledge is confirmed.
-    pub(in crate::steering) fn note_certainty(&mut self, knowledge: &Knowledge, is_certain: bool) {
+    pub(in crate::steering) fn record_certainty(
+        &mut self,
+        knowledge: &Knowledge,
+        is_certain: bool,
+    ) {
         if is_certain != self.was_certain {
             self.was_certain = is_certain;
             let version = knowledge.routes.version;
-            self.note(Decision::Certainty { is_certain, version });
+            self.record(Decision::Certainty { is_certain, version });
         }
     }
 
     /// Records the changed state of a backend server.
-    pub(in crate::steering) fn note_backend(
+    pub(in crate::steering) fn record_backend(
         &mut self,
         knowledge: &Knowledge,
         instance: InstanceId,
@@ -72,7 +77,7 @@
     ) {
         let Some(entry) = knowledge.directory.get(instance) else { return };
 
-        self.note(match entry.missing_until {
+        self.record(match entry.missing_until {
             Some(_) => Decision::BackendMissing { instance },
             None => Decision::BackendChanged {
                 instance,
@@ -86,7 +91,7 @@
 
     /// Puts a report of evacuated zones in force if it is newer and changes them, and requests that
     /// other balancers are notified.
-    pub(in crate::steering) fn take_evacuations(
+    pub(in crate::steering) fn apply_evacuations(
         &mut self,
         knowledge: &mut Knowledge,
         report: EvacuationReport,
@@ -99,7 +104,7 @@
             return;
         }
 
-        self.is_to_tell = true;
+        self.is_notification_due = true;
         let zones = knowledge.evacuated.zones();
         let begun = zones.difference(&former).map(|zone| (zone, EvacuationPhase::Begun));
         let ended = former.difference(zones).map(|zone| (zone, EvacuationPhase::TakenBack));
@@ -112,7 +117,7 @@
 
     /// Puts a configuration in force if it is newer, and requests that other balancers are
     /// notified.
-    pub(in crate::steering) fn take_routes(
+    pub(in crate::steering) fn apply_routes(
         &mut self,
         knowledge: &mut Knowledge,
         routes: RouteMap,
@@ -121,8 +126,8 @@
         let former = knowledge.routes.version;
 
         if knowledge.replace_routes(routes) {
-            self.is_to_tell = true;
-            self.note(Decision::RoutesInForce {
+            self.is_notification_due = true;
+            self.record(Decision::RoutesInForce {
                 version: knowledge.routes.version,
                 former,
                 addresses: knowledge.routes.routes.len(),
--- a/crates/valvestage-policy/src/steering/keeper/knowledge_keeper.rs
+++ b/crates/valvestage-policy/src/steering/keeper/knowledge_keeper.rs
@@ -7,7 +7,7 @@
 
 use super::keeper_action::KeeperAction;
 use super::keeper_exchange::KeeperExchange;
-use super::keeper_news::KeeperNews;
+use super::keeper_updates::KeeperUpdates;
 use crate::steering::decision::{Decision, NewsSource};
 use crate::steering::entry_policy::EntryOptions;
 use crate::steering::knowledge::Knowledge;
@@ -31,10 +31,10 @@
 const HEARTBEAT_FANOUT: usize = 4;
 
 /// How long a token that a heartbeat names counts as wanted: two rounds of heartbeats.
-const WANTED_FOR: Duration = Duration::from_millis(800);
+const WANTED_TOKEN_TTL: Duration = Duration::from_millis(800);
 
 /// Number of balancers named in a heartbeat.
-const PEERS_TOLD: usize = 4;
+const PEERS_PER_HEARTBEAT: usize = 4;
 
 /// Decides when to call the store and what to send to other balancers.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
     next_heartbeat: Instant,
     /// Whether the next heartbeats ask balancers that know more to answer at once.
     asks: bool,
-    news: KeeperNews,
+    updates: KeeperUpdates,
     /// Whether a balancer was heard that has a configuration and has read all backend servers.
     hears_complete: bool,
     /// Until when packets are likely to wait at other balancers for entries that are not known here
@@ -75,7 +75,7 @@
             exchange: KeeperExchange::new(options.link_mbps),
             next_heartbeat: now,
             asks: true,
-            news: KeeperNews::default(),
+            updates: KeeperUpdates::default(),
             hears_complete: false,
             wanted_elsewhere_until: None,
         }
@@ -83,7 +83,7 @@
 
     /// Returns what was learned since the last call.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
-        self.news.take_decisions()
+        self.updates.take_decisions()
     }
 
     /// Returns the number of known balancers.
@@ -106,20 +106,20 @@
         report: &BalancerReport,
         now: Instant,
     ) -> Vec<KeeperAction> {
-        self.postpone_missing(knowledge);
-        self.settle_contests(knowledge, now);
-        self.news.note_suspects(&report.health.suspects);
+        self.extend_missing_deadlines(knowledge);
+        self.resolve_conflicts(knowledge, now);
+        self.updates.record_suspects(&report.health.suspects);
         self.step_role(knowledge, now);
         let packets_wait = !report.wanted.is_empty()
             || self.wanted_elsewhere_until.is_some_and(|until| until > now);
-        let mut actions = self.calls(knowledge, packets_wait, now);
-        actions.extend(self.exchange.on_tick(knowledge, &mut self.news, now));
+        let mut actions = self.store_calls(knowledge, packets_wait, now);
+        actions.extend(self.exchange.on_tick(knowledge, &mut self.updates, now));
 
-        if self.news.is_to_tell() || self.next_heartbeat <= now {
+        if self.updates.is_notification_due() || self.next_heartbeat <= now {
             for peer in self.peers.forget_silent(now) {
-                self.news.note(Decision::PeerLost { peer });
+                self.updates.record(Decision::PeerLost { peer });
             }
-            self.news.note_certainty(knowledge, knowledge.is_certain(now));
+            self.updates.record_certainty(knowledge, knowledge.is_certain(now));
             actions.extend(self.heartbeats(knowledge, report, now));
         }
         actions
@@ -127,7 +127,7 @@
 
     /// Handles that the process was paused: other balancers may know more by now.
     pub fn on_pause(&mut self, now: Instant) {
-        self.news.tell_if(true);
+        self.updates.notify_if(true);
         self.asks = true;
         self.peers.unsettle(now);
     }
@@ -160,7 +160,7 @@
             has_zones: knowledge.contacts.hears_others(TELL_WITHIN, now),
             page_time: self.store.page_time(),
             hears_complete: self.hears_complete,
-            is_being_told: self.exchange.is_being_told(now),
+            is_being_told: self.exchange.is_receiving_backends(now),
             // Needed only by a follower that may give up its role.
             recent_peers: if was_watching { self.peers.recent_count(now) } else { 0 },
             draw: self.draw.unit(),
@@ -169,37 +169,37 @@
         self.role.step(state, now);
         let watching = self.role.is_watching();
         if watching != was_watching {
-            self.news.tell_if(watching);
+            self.updates.notify_if(watching);
             if watching {
                 self.store.begin(knowledge, now);
             }
             let others = self.role.others();
-            self.news.note(Decision::WatchRole { watching, others });
+            self.updates.record(Decision::WatchRole { watching, others });
         }
     }
 
     /// Applies the entries that a restored store still shows once it has settled, and notifies
     /// other balancers. They wait for the same confirmation by the store, and receive it with that
     /// heartbeat.
-    fn settle_contests(&mut self, knowledge: &mut Knowledge, now: Instant) {
+    fn resolve_conflicts(&mut self, knowledge: &mut Knowledge, now: Instant) {
         let confirmed_at = knowledge.confirmed_at();
-        let admitted = knowledge.directory.settle_contests(confirmed_at, now);
+        let admitted = knowledge.directory.resolve_conflicts(confirmed_at, now);
 
-        self.news.tell_if(!admitted.is_empty());
+        self.updates.notify_if(!admitted.is_empty());
         for instance in admitted {
-            self.news.note_backend(knowledge, instance, NewsSource::Store);
+            self.updates.record_backend(knowledge, instance, NewsSource::Store);
         }
     }
 
     /// Extends the deadlines of missing entries. Their time to return counts from the store's last
     /// failure, since the store may have been away again before they could return.
-    fn postpone_missing(&self, knowledge: &mut Knowledge) {
+    fn extend_missing_deadlines(&self, knowledge: &mut Knowledge) {
         if let Some(at) = self.store.settles_at() {
             knowledge.settle_at(at);
         }
     }
 
-    fn calls(
+    fn store_calls(
         &mut self,
         knowledge: &Knowledge,
         packets_wait: bool,
@@ -221,7 +221,7 @@
         report: &BalancerReport,
         now: Instant,
     ) -> Vec<KeeperAction> {
-        self.news.on_told();
+        self.updates.on_notified();
         self.next_heartbeat = now + HEARTBEAT_INTERVAL;
         let is_ignorant = !knowledge.is_complete() && !knowledge.is_certain(now);
         let asks = std::mem::take(&mut self.asks) || is_ignorant;
@@ -258,7 +258,7 @@
                 self.store.page_time(),
                 now,
             ),
-            peers: self.peers.sample(PEERS_TOLD, draw, now),
+            peers: self.peers.sample(PEERS_PER_HEARTBEAT, draw, now),
             evacuations: knowledge.evacuated.report(),
             health: report.map(|report| report.health.clone()).unwrap_or_default(),
             demands: report.map(|report| report.demands.clone()),
@@ -276,7 +276,7 @@
     ) -> Vec<KeeperAction> {
         let is_new = self.peers.on_heard(sender, now);
         if is_new {
-            self.news.note(Decision::PeerFound { peer: sender });
+            self.updates.record(Decision::PeerFound { peer: sender });
         }
 
         match message {
@@ -285,8 +285,8 @@
             }
             message => {
                 let missing_until = self.store.missing_until(now);
-                let Self { exchange, news, .. } = self;
-                exchange.on_message(knowledge, news, (sender, message), missing_until, now)
+                let Self { exchange, updates, .. } = self;
+                exchange.on_message(knowledge, updates, (sender, message), missing_until, now)
             }
         }
     }
@@ -311,11 +311,11 @@
             self.peers.on_told(*peer, now);
         }
         for sighting in &heartbeat.watchers {
-            self.news.tell_if(self.role.on_sighting(sighting, now));
+            self.updates.notify_if(self.role.on_sighting(sighting, now));
         }
         let knows_evacuations = heartbeat.evacuations.is_some();
         if let Some(report) = heartbeat.evacuations.clone() {
-            self.news.take_evacuations(knowledge, report, NewsSource::Peer(sender), now);
+            self.updates.apply_evacuations(knowledge, report, NewsSource::Peer(sender), now);
         }
 
         let mut actions = Vec::new();
@@ -327,15 +327,15 @@
             let answer = self.heartbeat(knowledge, None, false, now);
             actions.push(KeeperAction::Tell(sender, PeerMessage::Heartbeat(answer)));
         }
-        let told = wanted_message(&knowledge.directory, &heartbeat.wanted, now);
-        if told.is_none() && !heartbeat.wanted.is_empty() {
-            self.wanted_elsewhere_until = Some(now + WANTED_FOR);
+        let wanted_entries = wanted_message(&knowledge.directory, &heartbeat.wanted, now);
+        if wanted_entries.is_none() && !heartbeat.wanted.is_empty() {
+            self.wanted_elsewhere_until = Some(now + WANTED_TOKEN_TTL);
         }
-        actions.extend(told.map(|message| KeeperAction::Tell(sender, message)));
-        let Self { exchange, news, .. } = self;
+        actions.extend(wanted_entries.map(|message| KeeperAction::Tell(sender, message)));
+        let Self { exchange, updates, .. } = self;
         if exchange.knows_more(knowledge, heartbeat) {
             knowledge.note_behind(now);
-            let pulls = exchange.pulls(knowledge, news, (sender, heartbeat), now);
+            let pulls = exchange.pull_updates(knowledge, updates, (sender, heartbeat), now);
             if !pulls.is_empty() {
                 self.role.on_pull_sent(now);
             }
@@ -367,11 +367,11 @@
         now: Instant,
     ) {
         let was_failing = self.store.is_kind_failing(StoreKind::Configuration);
-        let news = self.store.on_routes_reply(reply, now);
+        let updates = self.store.on_routes_reply(reply, now);
 
-        self.note_link(StoreKind::Configuration, was_failing);
-        for routes in news {
-            self.news.take_routes(knowledge, routes, NewsSource::Store);
+        self.record_link_state(StoreKind::Configuration, was_failing);
+        for routes in updates {
+            self.updates.apply_routes(knowledge, routes, NewsSource::Store);
         }
         self.confirm(knowledge);
     }
@@ -386,9 +386,9 @@
         let was_failing = self.store.is_kind_failing(StoreKind::Evacuations);
         let report = self.store.on_evacuations_reply(knowledge, reply, now);
 
-        self.note_link(StoreKind::Evacuations, was_failing);
+        self.record_link_state(StoreKind::Evacuations, was_failing);
         if let Some(report) = report {
-            self.news.take_evacuations(knowledge, report, NewsSource::Store, now);
+            self.updates.apply_evacuations(knowledge, report, NewsSource::Store, now);
         }
         self.confirm(knowledge);
     }
@@ -397,18 +397,18 @@
     fn confirm(&mut self, knowledge: &mut Knowledge) {
         if let Some(at) = self.store.answered_at() {
             knowledge.confirm(Some(at));
-            self.news.tell_if(self.role.on_answer(at));
+            self.updates.notify_if(self.role.on_answer(at));
         }
     }
 
-    fn note_link(&mut self, kind: StoreKind, was_failing: bool) {
+    fn record_link_state(&mut self, kind: StoreKind, was_failing: bool) {
         let is_failing = self.store.is_kind_failing(kind);
         for decision in self.store.take_decisions() {
-            self.news.note(decision);
+            self.updates.record(decision);
         }
 
         if was_failing != is_failing {
-            self.news.note(Decision::StoreLink { kind, answers: !is_failing });
+            self.updates.record(Decision::StoreLink { kind, answers: !is_failing });
         }
     }
 
@@ -425,14 +425,14 @@
         let had_page = self.store.page_time().is_some();
         let changed = self.store.on_backends_reply(knowledge, reply, now);
 
-        self.note_link(StoreKind::Backends, was_failing);
+        self.record_link_state(StoreKind::Backends, was_failing);
         // Other balancers leave the reading of a long list to those that read it faster.
-        self.news.tell_if(!had_page && self.store.page_time().is_some());
+        self.updates.notify_if(!had_page && self.store.page_time().is_some());
         let is_complete_now = knowledge.directory.is_complete() != was_complete;
         let is_new_era = knowledge.directory.changed_at().era > era;
-        self.news.tell_if(is_complete_now || is_new_era || !changed.is_empty());
+        self.updates.notify_if(is_complete_now || is_new_era || !changed.is_empty());
         for instance in changed {
-            self.news.note_backend(knowledge, instance, NewsSource::Store);
+            self.updates.record_backend(knowledge, instance, NewsSource::Store);
         }
         self.confirm(knowledge);
     }
--- a/crates/valvestage-policy/src/steering/knowledge.rs
+++ b/crates/valvestage-policy/src/steering/knowledge.rs
@@ -10,13 +10,12 @@
 //! | `entry_table` | the entries and their indexes |
 //! | [`entry_times`] | how soon entries lapse and are written again |
 //! | [`ready_backends`] | backend servers that take new flows, by service and availability zone |
-//! | `backend_births` | the order of incarnations at one address and under one name |
+//! | `incarnation_order` | the order of incarnations at one address and under one name |
 //! | `store_restores` | what stays known after the store is restored from a backup |
 //! | [`evacuated_zones`] | availability zones that get no new flows at the operator's request |
 //! | [`zone_contacts`] | since when the other availability zones are heard |
 //! | `lapse` | which removed entries may return |
 
-mod backend_births;
 pub mod backend_directory;
 pub mod backend_entry;
 pub mod backend_name;
@@ -24,6 +23,7 @@
 mod entry_table;
 pub mod entry_times;
 pub mod evacuated_zones;
+mod incarnation_order;
 pub(in crate::steering) mod lapse;
 pub mod ready_backends;
 pub mod route_map;
@@ -47,7 +47,7 @@
 
 /// Time within which this balancer catches up with a peer that knows more: two rounds of requests
 /// to a slow VM, and a heartbeat from a peer that knows the same.
-const CAUGHT_UP_WITHIN: Duration = Duration::from_millis(700);
+const CATCH_UP_TIME: Duration = Duration::from_millis(700);
 
 /// What a balancer knows, on which placement and steering are based.
 #[derive(Debug, Default)]
@@ -66,9 +66,9 @@
     /// When the store last confirmed that this knowledge is current, to this balancer or to a peer.
     confirmed_at: Option<Instant>,
     /// The last confirmation before the most recent gap in which entries could lapse unseen.
-    lost_at: Option<Instant>,
+    gap_began_at: Option<Instant>,
     /// The first confirmation after the most recent gap in which entries could lapse unseen.
-    regained_at: Option<Instant>,
+    gap_ended_at: Option<Instant>,
     /// When entries that lapsed before the store last failed to answer have had time to return.
     /// None if the store never failed.
     settles_at: Option<Instant>,
@@ -78,7 +78,7 @@
     is_isolated: bool,
     /// Since when this balancer sees the callers' packets. None if it has seen them for as long as
     /// matters.
-    sees_from: Option<Instant>,
+    packets_seen_from: Option<Instant>,
 }
 
 impl Knowledge {
@@ -88,7 +88,7 @@
             return false;
         }
 
-        self.directory.name_services(newer.services());
+        self.directory.set_services(newer.services());
         self.routes = newer;
         true
     }
@@ -98,8 +98,8 @@
         let Some(at) = at else { return };
 
         if let Some(before) = self.confirmed_at.filter(|before| self.could_lapse(*before, at)) {
-            self.lost_at = Some(before);
-            self.regained_at = Some(at);
+            self.gap_began_at = Some(before);
+            self.gap_ended_at = Some(at);
         }
         self.confirmed_at = self.confirmed_at.max(Some(at));
     }
@@ -135,22 +135,22 @@
 
     /// Records that this balancer saw no packets of callers before a time.
     pub fn see_from(&mut self, at: Instant) {
-        self.sees_from = Some(at);
+        self.packets_seen_from = Some(at);
     }
 
     /// Reports whether this balancer has seen the callers' packets ever since a time.
     #[must_use]
-    pub fn has_seen_since(&self, at: Instant) -> bool {
-        self.sees_from.is_none_or(|from| from <= at)
+    pub fn has_seen_packets_since(&self, at: Instant) -> bool {
+        self.packets_seen_from.is_none_or(|from| from <= at)
     }
 
     /// Reports whether an event that was learned at a time may have happened while this balancer
     /// did not hear from the store, no longer ago than entries take to return.
     #[must_use]
-    pub fn was_out_of_touch(&self, learned_at: Instant) -> bool {
+    pub fn was_disconnected_from_store(&self, learned_at: Instant) -> bool {
         let is_out = self.confirmed_at.is_some_and(|at| self.could_lapse(at, learned_at));
         let was_out = self
-            .regained_at
+            .gap_ended_at
             .is_some_and(|at| learned_at.saturating_duration_since(at) <= RETURN_TIME);
 
         is_out || was_out
@@ -158,12 +158,12 @@
 
     /// Returns the earliest time from which updates of the store could be missing, given what was
     /// learned at a time. That is the time itself if none could.
-    pub(in crate::steering) fn heard_before(&self, learned_at: Instant) -> Instant {
+    pub(in crate::steering) fn updates_missing_since(&self, learned_at: Instant) -> Instant {
         let is_near = |at: Instant| learned_at.saturating_duration_since(at) <= CERTAIN_FOR;
-        let lost_at = self.lost_at.filter(|_| self.regained_at.is_some_and(is_near));
+        let gap_began_at = self.gap_began_at.filter(|_| self.gap_ended_at.is_some_and(is_near));
         let unconfirmed = self.confirmed_at.filter(|at| self.could_lapse(*at, learned_at));
 
-        [lost_at, unconfirmed].into_iter().flatten().fold(learned_at, Instant::min)
+        [gap_began_at, unconfirmed].into_iter().flatten().fold(learned_at, Instant::min)
     }
 
     /// Records that a peer knows more.
@@ -179,7 +179,7 @@
     /// Reports whether peers have known more for longer than it takes to catch up.
     #[must_use]
     pub fn is_behind(&self, now: Instant) -> bool {
-        let is_long = |since: Instant| now.saturating_duration_since(since) >= CAUGHT_UP_WITHIN;
+        let is_long = |since: Instant| now.saturating_duration_since(since) >= CATCH_UP_TIME;
 
         self.behind_since.is_some_and(is_long)
     }
@@ -188,7 +188,7 @@
     /// a gap in which entries could lapse unseen, the time counts from the end of the gap.
     #[must_use]
     pub fn has_confirmed_for(&self, time: Duration, event_at: Instant) -> bool {
-        let begins_at = self.regained_at.map_or(event_at, |at| at.max(event_at));
+        let begins_at = self.gap_ended_at.map_or(event_at, |at| at.max(event_at));
 
         self.confirmed_at.is_some_and(|at| at >= begins_at + time)
     }
@@ -231,7 +231,7 @@
         let has_rates = !self.routes.cold_rates.is_empty();
         let known_until = has_rates.then(|| self.directory.read_until());
 
-        self.evacuated.end_returns(known_until, now)
+        self.evacuated.release_returning(known_until, now)
     }
 
     /// Makes placement wait for the evacuated zones, since operators can evacuate zones here.
--- a/crates/valvestage-policy/src/steering/knowledge/backend_directory.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/backend_directory.rs
@@ -39,7 +39,7 @@
     /// Position of the last known change.
     changed_at: StorePosition,
     /// Gone entries before this position are forgotten.
-    remembers_from: StorePosition,
+    history_begins_at: StorePosition,
     /// When entries that lapsed, or that a restored store has lost, have had time to return. None
     /// if the store was never away.
     pub(super) settles_at: Option<Instant>,
@@ -50,10 +50,10 @@
     /// never restored.
     pub(super) era_settles_at: Option<Instant>,
     /// Entries from the backup that conflict with what is known from an earlier era.
-    pub(super) contested: BTreeMap<InstanceId, BackendEntry>,
+    pub(super) conflicting: BTreeMap<InstanceId, BackendEntry>,
     /// Last position of each incarnation before its entry became unusable. An unusable entry does
     /// not say which incarnation wrote it last.
-    pub(super) positions_before_fault: HashMap<InstanceId, StorePosition>,
+    pub(super) positions_before_unusable: HashMap<InstanceId, StorePosition>,
     /// How soon entries lapse and are written again.
     times: EntryTimes,
     /// Incarnations that became gone since the last call of [`Self::take_newly_gone`].
@@ -112,7 +112,7 @@
     /// Reports whether all changes after a position are still known.
     #[must_use]
     pub fn remembers(&self, after: StorePosition) -> bool {
-        !after.is_start() && after >= self.remembers_from
+        !after.is_start() && after >= self.history_begins_at
     }
 
     /// Reports whether all entries were read at least once.
@@ -132,11 +132,11 @@
         {
             *since = now;
         }
-        if !entry.is_gone() && self.is_older_birth(&entry, now) {
-            return self.admit_older_birth(entry, now);
+        if !entry.is_gone() && self.is_older_incarnation(&entry, now) {
+            return self.apply_older_incarnation(entry, now);
         }
-        if !entry.is_gone() && self.is_stranger(&entry) {
-            return self.admit_stranger(entry);
+        if !entry.is_gone() && self.has_unknown_service(&entry) {
+            return self.apply_unknown_service_entry(entry);
         }
         if let BackendPhase::Gone { end, .. } = &mut entry.phase
             && !self.living(entry.name).is_empty()
@@ -147,7 +147,7 @@
         let is_new = self.is_complete() && !self.entries.contains(entry.instance);
         let mut changed = Vec::new();
         if !entry.is_gone() {
-            changed = self.end_older_births(&entry, now);
+            changed = self.end_older_incarnations(&entry, now);
         }
         if is_new && !entry.is_gone() {
             changed.extend(self.end_predecessors(&entry, now));
@@ -167,16 +167,12 @@
         let (instance, position) = (entry.instance, entry.position);
         let known = self.entries.get(instance);
         if known.is_some_and(|known| known.position >= position) {
-            return if self.admit_told_departure(&entry, now) {
-                vec![instance]
-            } else {
-                Vec::new()
-            };
+            return if self.apply_peer_drain(&entry, now) { vec![instance] } else { Vec::new() };
         }
 
         // An entry that was never heard of before and was not in the store when it was read at a
         // later position may return, like the other entries that were missing then.
-        let is_unknown = known.is_none() && !self.contested.contains_key(&instance);
+        let is_unknown = known.is_none() && !self.conflicting.contains_key(&instance);
         let is_absent = is_unknown && !entry.is_gone() && position > self.complete_until;
         let missing_until = match known {
             Some(known) => known.missing_until,
@@ -221,7 +217,7 @@
         }
 
         entry.missing_until = None;
-        self.note_fault(entry.instance, entry.phase);
+        self.record_position_before_unusable(entry.instance, entry.phase);
         if let BackendPhase::Gone { end, .. } = &mut entry.phase {
             let known = self.entries.get(entry.instance);
             *end = known.map_or(*end, BackendEntry::end_of_phase);
@@ -230,8 +226,8 @@
         let known = self.entries.get(entry.instance);
         let is_repeated = known
             .is_some_and(|known| known.position.era < entry.position.era && known.is_same(&entry));
-        self.note_change(entry.position);
-        self.give_token(&entry);
+        self.record_change(entry.position);
+        self.assign_token(&entry);
         let births = self.names.entry(entry.name).or_default();
         if !births.contains(&entry.instance) {
             births.push(entry.instance);
@@ -241,7 +237,7 @@
     }
 
     /// Advances the position of the last known change, so that peers ask for it.
-    pub(super) fn note_change(&mut self, at: StorePosition) {
+    pub(super) fn record_change(&mut self, at: StorePosition) {
         self.changed_at = self.changed_at.max(at);
     }
 
@@ -253,13 +249,13 @@
             return false;
         }
 
-        self.note_fault(instance, BackendPhase::Unusable);
+        self.record_position_before_unusable(instance, BackendPhase::Unusable);
         self.entries.change(instance, |entry| {
             entry.phase = BackendPhase::Unusable;
             entry.position = at;
             entry.missing_until = None;
         });
-        self.note_change(at);
+        self.record_change(at);
         true
     }
 
@@ -269,10 +265,10 @@
     pub fn is_obsolete(&self, entry: &BackendEntry, now: Instant) -> bool {
         !entry.is_gone()
             && !self.may_be_written_again(entry, now)
-            && !self.contested.contains_key(&entry.instance)
+            && !self.conflicting.contains_key(&entry.instance)
             && entry.position <= self.complete_until
             && !self.entries.contains(entry.instance)
-            && !self.may_be_unnamed(entry)
+            && !self.may_own_unusable_entry(entry)
     }
 
     /// Records that an entry was removed at a position. Returns false if that or newer state is
@@ -305,7 +301,7 @@
             entry.position = at;
             entry.missing_until = None;
         });
-        self.note_change(at);
+        self.record_change(at);
     }
 
     /// Returns the incarnations that became gone since the last call.
@@ -331,7 +327,7 @@
         if self.complete_until.is_start() {
             // Removals before the first list were never seen here, and peers may still consider
             // those entries live.
-            self.remembers_from = self.remembers_from.max(until);
+            self.history_begins_at = self.history_begins_at.max(until);
             self.changed_at = self.changed_at.max(until);
         }
         self.read_until = self.read_until.max(until);
@@ -351,7 +347,7 @@
     ) -> Vec<InstanceId> {
         let absent = self.living_until(at, |instance| !listed.contains(&instance));
 
-        for instance in self.superseded_names() {
+        for instance in self.superseded_without_successor() {
             self.mark_gone(instance, at, now);
         }
         self.end_contested(|entry| !listed.contains(&entry.instance), at, now);
@@ -379,10 +375,10 @@
     fn living_until(
         &self,
         at: StorePosition,
-        is_meant: impl Fn(InstanceId) -> bool,
+        is_selected: impl Fn(InstanceId) -> bool,
     ) -> Vec<InstanceId> {
         let is_living = |entry: &&BackendEntry| {
-            !entry.is_gone() && entry.position <= at && is_meant(entry.instance)
+            !entry.is_gone() && entry.position <= at && is_selected(entry.instance)
         };
 
         self.entries.all().filter(is_living).map(|entry| entry.instance).collect()
@@ -460,8 +456,8 @@
         let Some(entry) = self.entries.remove(instance) else { return };
         let token = Self::token_of(entry.name.number);
 
-        self.remembers_from = self.remembers_from.max(entry.position);
-        self.positions_before_fault.remove(&instance);
+        self.history_begins_at = self.history_begins_at.max(entry.position);
+        self.positions_before_unusable.remove(&instance);
         if self.tokens.get(&token) == Some(&instance) {
             self.tokens.remove(&token);
         }
--- a/crates/valvestage-policy/src/steering/knowledge/backend_name.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/backend_name.rs
@@ -57,14 +57,14 @@
 
         // Only the upper bits are left after the shift.
         #[allow(clippy::cast_possible_truncation)]
-        let birth = (hasher.finish() >> NUMBER_BITS) as BirthDigest;
-        self.born(birth)
+        let incarnation_digest = (hasher.finish() >> NUMBER_BITS) as BirthDigest;
+        self.born(incarnation_digest)
     }
 
     /// Returns the id of the incarnation of this name that has the given digest.
     #[must_use]
-    pub fn born(self, birth: BirthDigest) -> InstanceId {
-        self.number ^ (u64::from(birth) << NUMBER_BITS)
+    pub fn born(self, incarnation_digest: BirthDigest) -> InstanceId {
+        self.number ^ (u64::from(incarnation_digest) << NUMBER_BITS)
     }
 
     /// Returns the digest that distinguishes an incarnation of this name from the others.
@@ -72,7 +72,7 @@
     pub fn birth_of(self, instance: InstanceId) -> BirthDigest {
         // Only 24 bits are left after the shift.
         #[allow(clippy::cast_possible_truncation)]
-        let birth = ((instance ^ self.number) >> NUMBER_BITS) as BirthDigest;
-        birth
+        let incarnation_digest = ((instance ^ self.number) >> NUMBER_BITS) as BirthDigest;
+        incarnation_digest
     }
 }
--- a/crates/valvestage-policy/src/steering/knowledge/cold_rate.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/cold_rate.rs
@@ -11,11 +11,11 @@
 
 /// Reports a number that is not a valid rate.
 #[derive(Debug, Clone, Copy, PartialEq, thiserror::Error)]
-#[error("{0} requests a second are no rate of a cold backend server")]
+#[error("invalid rate of a cold backend server: {0} requests per second, expected 0.01 to 1000000")]
 pub struct ColdRateError(f64);
 
 /// The highest rate, in requests per second. A backend server that sustains more needs no limit.
-const HIGHEST: f64 = 1e6;
+const MAX_RATE: f64 = 1e6;
 
 impl ColdRate {
     /// Returns the rate as bytes, which are the same at every balancer.
@@ -36,7 +36,7 @@
 
     fn try_from(per_second: f64) -> Result<Self, ColdRateError> {
         let hundredths = (per_second * 100.0).round();
-        if !(1.0..=HIGHEST * 100.0).contains(&hundredths) {
+        if !(1.0..=MAX_RATE * 100.0).contains(&hundredths) {
             return Err(ColdRateError(per_second));
         }
 
--- a/crates/valvestage-policy/src/steering/knowledge/entry_table.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/entry_table.rs
@@ -65,11 +65,11 @@
         change: impl FnOnce(&mut BackendEntry) -> T,
     ) -> Option<T> {
         let mut entry = self.remove(instance)?;
-        let given = change(&mut entry);
+        let result = change(&mut entry);
 
         self.index(&entry);
         self.entries.insert(instance, entry);
-        Some(given)
+        Some(result)
     }
 
     /// Removes an entry, and returns it.
@@ -126,7 +126,7 @@
         self.visited(self.by_position.iter().map(|(_, instance)| instance))
     }
 
-    /// Returns the entries with positions after the given one, in order.
+    /// Returns the entries with positions after the result one, in order.
     pub(super) fn after(&self, position: StorePosition) -> impl Iterator<Item = &BackendEntry> {
         let begin = Bound::Excluded((position, InstanceId::MAX));
         let later = self.by_position.range((begin, Bound::Unbounded));
--- a/crates/valvestage-policy/src/steering/knowledge/entry_times.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/entry_times.rs
@@ -5,11 +5,11 @@
 use super::lapse::RETURN_TIME;
 
 /// Heartbeats of silence after which an entry lapses.
-const BEATS_TO_LAPSE: u32 = 3;
+const HEARTBEATS_TO_LAPSE: u32 = 3;
 
 /// Time within which a written entry is known at all balancers: it is read within 1.9 s, and passed
 /// on within 0.4 s.
-const KNOWN_WITHIN: Duration = Duration::from_millis(2_300);
+const PROPAGATION_TIME: Duration = Duration::from_millis(2_300);
 
 /// How soon entries lapse and are written again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -35,30 +35,30 @@
     /// Returns the silence after which an entry lapses.
     #[must_use]
     pub fn lapse(self) -> Duration {
-        self.heartbeat * BEATS_TO_LAPSE
+        self.heartbeat * HEARTBEATS_TO_LAPSE
     }
 
     /// Returns the shortest silence that can precede a lapse, since heartbeats are not exact.
     #[must_use]
     pub fn shortest_lapse(self) -> Duration {
         /// Share of the lapse time for which the backend server was silent for certain.
-        const CERTAIN_SHARE: f64 = 0.866;
+        const MIN_LAPSE_SHARE: f64 = 0.866;
 
-        self.lapse().mul_f64(CERTAIN_SHARE)
+        self.lapse().mul_f64(MIN_LAPSE_SHARE)
     }
 
     /// Returns the time within which a start of a backend server is known, not counting times in
     /// which the store was not heard. The process may not reach the store until the previous entry
     /// lapses, and then writes its own within a heartbeat.
     #[must_use]
-    pub fn birth_known_within(self) -> Duration {
-        self.lapse() + self.heartbeat + KNOWN_WITHIN
+    pub fn start_known_within(self) -> Duration {
+        self.lapse() + self.heartbeat + PROPAGATION_TIME
     }
 
     /// Returns the time within which a restored store has no entry left that stems only from the
     /// backup: live backend servers write theirs again, and the other entries lapse.
     #[must_use]
-    pub fn copy_settles_within(self) -> Duration {
+    pub fn backup_settles_within(self) -> Duration {
         self.shortest_lapse().max(RETURN_TIME)
     }
 }
--- a/crates/valvestage-policy/src/steering/knowledge/evacuated_zones.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/evacuated_zones.rs
@@ -10,7 +10,7 @@
 /// Longest time for which a zone gets no new flows after its evacuation was lifted, while the state
 /// of its backend servers is not known. What is read of them is at most one watch of 1.5 s and its
 /// relay behind.
-const LONGEST_RETURN: Duration = Duration::from_millis(2_500);
+const MAX_RETURN_DELAY: Duration = Duration::from_millis(2_500);
 
 /// Time for which a zone gets no new flows after a restored store has lost its evacuation, so that
 /// the operator can write it again.
@@ -27,7 +27,7 @@
 
 /// Condition for a zone whose evacuation was lifted to get new flows again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct ZoneReturn {
+struct ReturnCondition {
     /// Position up to which its backend servers have to be known. None if only the time counts.
     known_until: Option<StorePosition>,
     /// When the zone gets new flows whatever is known of its backend servers.
@@ -41,7 +41,7 @@
     as_of: StorePosition,
     zones: BTreeSet<ZoneName>,
     /// Zones whose evacuation was lifted but that get no new flows yet. None of them is in `zones`.
-    returning: BTreeMap<ZoneName, ZoneReturn>,
+    returning: BTreeMap<ZoneName, ReturnCondition>,
 }
 
 impl EvacuatedZones {
@@ -84,7 +84,7 @@
     }
 
     /// Applies a report. Returns true if it is newer and the evacuated zones have changed. Zones
-    /// whose evacuation was lifted get no new flows before [`Self::end_returns`] releases them.
+    /// whose evacuation was lifted get no new flows before [`Self::release_returning`] releases them.
     pub fn replace(&mut self, report: EvacuationReport, now: Instant) -> bool {
         if report.as_of <= self.as_of {
             return false;
@@ -96,12 +96,12 @@
         if zones == self.zones {
             return false;
         }
-        let arrival = if is_restored {
-            ZoneReturn { known_until: None, until: now + LOST_EVACUATION_HOLD }
+        let condition = if is_restored {
+            ReturnCondition { known_until: None, until: now + LOST_EVACUATION_HOLD }
         } else {
-            ZoneReturn { known_until: Some(report.as_of), until: now + LONGEST_RETURN }
+            ReturnCondition { known_until: Some(report.as_of), until: now + MAX_RETURN_DELAY }
         };
-        let returning = self.zones.difference(&zones).map(|zone| (zone.clone(), arrival));
+        let returning = self.zones.difference(&zones).map(|zone| (zone.clone(), condition));
         self.returning.extend(returning);
         self.returning.retain(|zone, _| !zones.contains(zone));
         self.zones = zones;
@@ -110,19 +110,19 @@
 
     /// Releases and returns the zones whose backend servers are known up to the required position,
     /// or whose time is over. None for `known_until` stands for any position.
-    pub fn end_returns(
+    pub fn release_returning(
         &mut self,
         known_until: Option<StorePosition>,
         now: Instant,
     ) -> Vec<ZoneName> {
-        let is_over = |arrival: &ZoneReturn| {
+        let is_over = |condition: &ReturnCondition| {
             let is_known = |needed| known_until.is_none_or(|known| known >= needed);
-            arrival.until <= now || arrival.known_until.is_some_and(is_known)
+            condition.until <= now || condition.known_until.is_some_and(is_known)
         };
-        let back = self.returning.iter().filter(|(_, arrival)| is_over(arrival));
+        let back = self.returning.iter().filter(|(_, condition)| is_over(condition));
         let back: Vec<_> = back.map(|(zone, _)| zone.clone()).collect();
 
-        self.returning.retain(|_, arrival| !is_over(arrival));
+        self.returning.retain(|_, condition| !is_over(condition));
         back
     }
 }
--- a/crates/valvestage-policy/src/steering/knowledge/backend_births.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/incarnation_order.rs
@@ -27,13 +27,13 @@
         let predecessors = self.entries.at_address(entry.address).filter(is_predecessor);
         let predecessors: Vec<_> = predecessors.map(|other| other.instance).collect();
 
-        self.supersede(&predecessors, entry.position, now)
+        self.mark_superseded(&predecessors, entry.position, now)
     }
 
     /// Ends the earlier incarnations of an entry's name, and returns those that were not known as
     /// gone. A name has one process: its earlier incarnations have ended and hold no flow any more.
     /// An incarnation known from a later era of the store is not an earlier one.
-    pub(super) fn end_older_births(
+    pub(super) fn end_older_incarnations(
         &mut self,
         entry: &BackendEntry,
         now: Instant,
@@ -42,26 +42,29 @@
         let older = self.other_births(entry).filter(is_older);
         let older: Vec<_> = older.map(|other| other.instance).collect();
 
-        self.supersede(&older, entry.position, now)
+        self.mark_superseded(&older, entry.position, now)
     }
 
     /// Returns the entries of all other incarnations of an entry's name.
     pub fn other_births(&self, entry: &BackendEntry) -> impl Iterator<Item = &BackendEntry> {
         let instance = entry.instance;
 
-        self.all_births(entry.name).filter(move |birth| birth.instance != instance)
+        self.all_incarnations(entry.name).filter(move |other| other.instance != instance)
     }
 
     /// Returns the entries of all incarnations of a name.
-    fn all_births(&self, name: BackendName) -> impl Iterator<Item = &BackendEntry> {
-        let births = self.names.get(&name).into_iter().flatten();
+    fn all_incarnations(&self, name: BackendName) -> impl Iterator<Item = &BackendEntry> {
+        let incarnations = self.names.get(&name).into_iter().flatten();
 
-        births.filter_map(|birth| self.entries.get(*birth))
+        incarnations.filter_map(|id| self.entries.get(*id))
     }
 
     /// Returns the entries that have the name or the address of the given entry.
-    pub(super) fn in_place_of(&self, entry: &BackendEntry) -> impl Iterator<Item = &BackendEntry> {
-        self.all_births(entry.name).chain(self.entries.at_address(entry.address))
+    pub(super) fn with_name_or_address_of(
+        &self,
+        entry: &BackendEntry,
+    ) -> impl Iterator<Item = &BackendEntry> {
+        self.all_incarnations(entry.name).chain(self.entries.at_address(entry.address))
     }
 
     /// Reports whether a later incarnation has followed the one that an entry describes.
@@ -70,7 +73,7 @@
     /// era a superseded incarnation never returns, whatever the revision of a write that it sent
     /// before its end. But an entry from the backup of a restored store does not end for good an
     /// incarnation that is written after the restore.
-    pub(super) fn is_older_birth(&self, entry: &BackendEntry, now: Instant) -> bool {
+    pub(super) fn is_older_incarnation(&self, entry: &BackendEntry, now: Instant) -> bool {
         let era = entry.position.era;
         let known = self.entries.get(entry.instance);
         let ended_at = known.filter(|known| known.is_superseded() && known.position.era == era);
@@ -85,59 +88,65 @@
         let is_comparable =
             |other: &BackendEntry| other.position.era == era || !self.is_unsettled(now);
         self.other_births(entry).any(|other| {
-            !other.is_gone() && self.written_until(other) > entry.position && is_comparable(other)
+            !other.is_gone()
+                && self.last_own_position(other) > entry.position
+                && is_comparable(other)
                 || ends(other)
         })
     }
 
     /// Returns the last position at which an incarnation may have written its entry itself. While
     /// the entry is unusable, another writer may have written it since.
-    fn written_until(&self, entry: &BackendEntry) -> StorePosition {
-        let before = self.positions_before_fault.get(&entry.instance);
+    fn last_own_position(&self, entry: &BackendEntry) -> StorePosition {
+        let before = self.positions_before_unusable.get(&entry.instance);
 
         before.copied().unwrap_or(entry.position)
     }
 
     /// Reports whether an unusable entry that is recorded for another incarnation of the name may
     /// belong to this one.
-    pub(super) fn may_be_unnamed(&self, entry: &BackendEntry) -> bool {
+    pub(super) fn may_own_unusable_entry(&self, entry: &BackendEntry) -> bool {
         self.other_births(entry).any(|other| {
-            let is_later = self.written_until(other) < entry.position;
+            let is_later = self.last_own_position(other) < entry.position;
             other.phase == BackendPhase::Unusable && is_later && entry.position <= other.position
         })
     }
 
     /// Records where an incarnation stood before its entry became unusable, given its next phase.
     /// The order of incarnations depends on that position.
-    pub(super) fn note_fault(&mut self, instance: InstanceId, phase: BackendPhase) {
+    pub(super) fn record_position_before_unusable(
+        &mut self,
+        instance: InstanceId,
+        phase: BackendPhase,
+    ) {
         let known = self.entries.get(instance);
 
         match (phase, known) {
             (BackendPhase::Unusable, Some(known)) if known.phase != BackendPhase::Unusable => {
-                self.positions_before_fault.insert(instance, known.position);
+                self.positions_before_unusable.insert(instance, known.position);
             }
             (BackendPhase::Unusable, _) => {}
             _ => {
-                self.positions_before_fault.remove(&instance);
+                self.positions_before_unusable.remove(&instance);
             }
         }
     }
 
     /// Reports whether an entry's service is neither named by the configuration nor the service of
     /// a known entry with the same name or address.
-    pub(super) fn is_stranger(&self, entry: &BackendEntry) -> bool {
+    pub(super) fn has_unknown_service(&self, entry: &BackendEntry) -> bool {
         let is_named =
             self.services.as_ref().is_none_or(|services| services.contains(&entry.service));
         let is_known = |other: &BackendEntry| other.service == entry.service;
 
-        !is_named && !self.in_place_of(entry).any(is_known)
+        !is_named && !self.with_name_or_address_of(entry).any(is_known)
     }
 
     /// Applies an entry of an unknown service. Another writer may have left it at the address or
     /// under the name of a live backend server, whose flows therefore stay. If the entry belongs to
     /// a real successor, the successor ends that backend server once the configuration names its
     /// service, or the old entry lapses.
-    pub(super) fn admit_stranger(&mut self, entry: BackendEntry) -> Vec<InstanceId> {
+    pub(super) fn apply_unknown_service_entry(&mut self, entry: BackendEntry) -> Vec<InstanceId> {
         let mut changed: Vec<_> = self.other_births(&entry).map(|other| other.instance).collect();
         changed.retain(|other| self.mark_unusable(*other, entry.position));
 
@@ -149,20 +158,20 @@
     }
 
     /// Sets which services the configuration in force names.
-    pub fn name_services(&mut self, services: HashSet<ServiceName>) {
+    pub fn set_services(&mut self, services: HashSet<ServiceName>) {
         self.services = Some(services);
     }
 
     /// Records an incarnation that preceded the present one of its name as gone, so that the
     /// callers of its flows can be sent resets.
-    pub(super) fn admit_older_birth(
+    pub(super) fn apply_older_incarnation(
         &mut self,
         mut entry: BackendEntry,
         now: Instant,
     ) -> Vec<InstanceId> {
         if let Some(known) = self.entries.get(entry.instance) {
             let (instance, position) = (known.instance, known.position);
-            return self.supersede(&[instance], position, now);
+            return self.mark_superseded(&[instance], position, now);
         }
 
         entry.phase = BackendPhase::Gone { since: now, end: BackendEnd::Superseded };
@@ -171,7 +180,7 @@
     }
 
     /// Marks incarnations as superseded, and returns those that were not known as gone.
-    pub(super) fn supersede(
+    pub(super) fn mark_superseded(
         &mut self,
         instances: &[InstanceId],
         at: StorePosition,
@@ -181,7 +190,7 @@
 
         for instance in instances {
             let was_living =
-                self.entries.change(*instance, |other| supersede_entry(other, at, now));
+                self.entries.change(*instance, |other| mark_entry_superseded(other, at, now));
             if was_living == Some(true) {
                 ended.push(*instance);
             }
@@ -199,11 +208,11 @@
     /// Returns the incarnations of a name that are not gone. Usually there is at most one.
     #[must_use]
     pub fn living(&self, name: BackendName) -> Vec<InstanceId> {
-        let births = self.names.get(&name).into_iter().flatten();
+        let incarnations = self.names.get(&name).into_iter().flatten();
         let is_living =
-            |birth: &&InstanceId| self.entries.get(**birth).is_some_and(|entry| !entry.is_gone());
+            |id: &&InstanceId| self.entries.get(**id).is_some_and(|entry| !entry.is_gone());
 
-        births.filter(is_living).copied().collect()
+        incarnations.filter(is_living).copied().collect()
     }
 
     /// Returns the entry of the process that has started under the same name, at the same address
@@ -211,15 +220,15 @@
     #[must_use]
     pub fn heir(&self, instance: InstanceId) -> Option<&BackendEntry> {
         let ended = self.entries.get(instance).filter(|entry| entry.is_gone())?;
-        let is_heir = |other: &&BackendEntry| {
+        let is_successor = |other: &&BackendEntry| {
             !other.is_gone() && other.address == ended.address && other.service == ended.service
         };
 
-        self.other_births(ended).find(is_heir)
+        self.other_births(ended).find(is_successor)
     }
 
     /// Gives an incarnation the token of its name, unless a later one or another name holds it.
-    pub(super) fn give_token(&mut self, entry: &BackendEntry) {
+    pub(super) fn assign_token(&mut self, entry: &BackendEntry) {
         let holder = self.tokens.entry(Self::token_of(entry.name.number)).or_insert(entry.instance);
         let is_followed = self
             .entries
@@ -242,24 +251,24 @@
         at: StorePosition,
         now: Instant,
     ) -> Vec<InstanceId> {
-        let mut births = self.births(name);
+        let mut incarnations = self.births(name);
 
-        births.retain(|birth| self.entries.get(*birth).is_some_and(BackendEntry::is_superseded));
-        births.retain(|birth| self.mark_gone(*birth, at, now));
-        births
+        incarnations.retain(|id| self.entries.get(*id).is_some_and(BackendEntry::is_superseded));
+        incarnations.retain(|id| self.mark_gone(*id, at, now));
+        incarnations
     }
 
     /// Returns the superseded incarnations whose name has no live incarnation.
-    pub(super) fn superseded_names(&self) -> Vec<InstanceId> {
-        let is_meant =
+    pub(super) fn superseded_without_successor(&self) -> Vec<InstanceId> {
+        let is_selected =
             |entry: &&BackendEntry| entry.is_superseded() && self.living(entry.name).is_empty();
 
-        self.entries.gone().filter(is_meant).map(|entry| entry.instance).collect()
+        self.entries.gone().filter(is_selected).map(|entry| entry.instance).collect()
     }
 }
 
 /// Marks an entry as superseded. Returns true if it was not known as gone.
-fn supersede_entry(entry: &mut BackendEntry, at: StorePosition, now: Instant) -> bool {
+fn mark_entry_superseded(entry: &mut BackendEntry, at: StorePosition, now: Instant) -> bool {
     let end = BackendEnd::Superseded;
 
     // A peer may report the removal of the entry before its successor. The recorded end is
--- a/crates/valvestage-policy/src/steering/knowledge/lapse.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/lapse.rs
@@ -48,12 +48,12 @@
 
         entry.is_some_and(|entry| match entry.phase {
             BackendPhase::Gone { since, end: BackendEnd::Lapsed } => {
-                let may_live = self.may_return(since) && self.may_live(entry, since);
-                !may_live && !self.is_in_doubt(entry, since)
+                let may_be_alive = self.may_return(since) && self.may_be_alive(entry, since);
+                !may_be_alive && !self.is_inconclusive(entry, since)
             }
             // A balancer that started after the lapse has no signs of life of its own to go by.
             BackendPhase::Gone { since, end: BackendEnd::LapsedUnseen } => {
-                !self.may_return(since) && !self.is_in_doubt(entry, since)
+                !self.may_return(since) && !self.is_inconclusive(entry, since)
             }
             BackendPhase::Gone { .. } => true,
             BackendPhase::Ready | BackendPhase::Draining | BackendPhase::Unusable => false,
@@ -67,7 +67,7 @@
 
         entry.is_some_and(|entry| match entry.phase {
             BackendPhase::Gone { since, .. } => {
-                entry.has_lapsed() && self.is_in_doubt(entry, since)
+                entry.has_lapsed() && self.is_inconclusive(entry, since)
             }
             _ => false,
         })
@@ -76,22 +76,22 @@
     /// Reports whether nothing can be concluded from the lapse of an entry, however long ago it
     /// was. The backend server may go on serving callers through other balancers, including callers
     /// of flows that this balancer served before.
-    fn is_in_doubt(&self, entry: &BackendEntry, lapsed_at: Instant) -> bool {
+    fn is_inconclusive(&self, entry: &BackendEntry, lapsed_at: Instant) -> bool {
         self.health.shows_life_after(entry.instance, lapsed_at)
             || self.knowledge.is_behind(self.now)
-            || self.may_have_lapsed_in_cut(entry, lapsed_at)
+            || self.may_have_lapsed_in_partition(entry, lapsed_at)
     }
 
     /// Reports whether the zone of a backend server, or the zone of this balancer, was partitioned
     /// when the entry lapsed, and the entry has not had the time to return since. That time begins
     /// when balancers on the other side of the partition are heard again.
-    fn may_have_lapsed_in_cut(&self, entry: &BackendEntry, lapsed_at: Instant) -> bool {
+    fn may_have_lapsed_in_partition(&self, entry: &BackendEntry, lapsed_at: Instant) -> bool {
         match self.reach(&entry.zone) {
             ZoneReach::Unknown => false,
             ZoneReach::Silent => true,
-            ZoneReach::Since(joined_at) => {
-                let was_cut = joined_at > self.silent_from(lapsed_at);
-                was_cut && !self.knowledge.has_confirmed_for(RETURN_TIME, joined_at)
+            ZoneReach::Since(heard_since) => {
+                let was_partitioned = heard_since > self.silent_since(lapsed_at);
+                was_partitioned && !self.knowledge.has_confirmed_for(RETURN_TIME, heard_since)
             }
         }
     }
@@ -116,10 +116,11 @@
             Some(BackendPhase::Gone { since, .. }) => since,
             _ => self.now,
         };
-        let has_heir = directory.heir(instance).is_some();
-        let heard_before = self.knowledge.heard_before(since);
-        let known_within = self.knowledge.entry_times().birth_known_within();
-        let seen_before = has_heir.then(|| heard_before.checked_sub(known_within)).flatten();
+        let has_successor = directory.heir(instance).is_some();
+        let updates_missing_since = self.knowledge.updates_missing_since(since);
+        let known_within = self.knowledge.entry_times().start_known_within();
+        let seen_before =
+            has_successor.then(|| updates_missing_since.checked_sub(known_within)).flatten();
 
         EndedBackend { instance, seen_before }
     }
@@ -132,17 +133,18 @@
     }
 
     /// Reports whether a backend server may be alive although its entry has lapsed.
-    fn may_live(&self, entry: &BackendEntry, lapsed_at: Instant) -> bool {
-        let alive_from = self.silent_from(lapsed_at);
+    fn may_be_alive(&self, entry: &BackendEntry, lapsed_at: Instant) -> bool {
+        let alive_from = self.silent_since(lapsed_at);
         let was_alive = self.health.shows_life_since(entry.instance, alive_from);
-        let shared_cut = entry.zone == *self.own_zone && self.knowledge.was_out_of_touch(lapsed_at);
+        let shared_partition =
+            entry.zone == *self.own_zone && self.knowledge.was_disconnected_from_store(lapsed_at);
 
-        was_alive || shared_cut || self.is_open_question(entry, alive_from)
+        was_alive || shared_partition || self.is_undetermined(entry, alive_from)
     }
 
     /// Returns since when a backend server whose entry lapsed at a time has been silent, if it is
     /// dead.
-    fn silent_from(&self, lapsed_at: Instant) -> Instant {
+    fn silent_since(&self, lapsed_at: Instant) -> Instant {
         let silence = self.knowledge.entry_times().shortest_lapse();
 
         lapsed_at.checked_sub(silence).unwrap_or(lapsed_at)
@@ -153,10 +155,11 @@
     /// started too late to see whether the backend server was silent before the lapse. The first
     /// packet of a flow that has just moved here from another balancer is forwarded. If the backend
     /// server is dead, the caller's first retransmission shows it 200 ms later.
-    fn is_open_question(&self, entry: &BackendEntry, alive_from: Instant) -> bool {
+    fn is_undetermined(&self, entry: &BackendEntry, alive_from: Instant) -> bool {
         let is_unseen = !self.health.shows_anything_since(entry.instance, alive_from);
         let knowledge = self.knowledge;
 
-        is_unseen && !(knowledge.is_settled(self.now) && knowledge.has_seen_since(alive_from))
+        is_unseen
+            && !(knowledge.is_settled(self.now) && knowledge.has_seen_packets_since(alive_from))
     }
 }
--- a/crates/valvestage-policy/src/steering/knowledge/store_restores.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/store_restores.rs
@@ -30,8 +30,8 @@
     pub fn note_listed(&mut self, position: StorePosition, now: Instant) {
         if position.era > self.era_head.era {
             self.era_head = position;
-            self.contested.clear();
-            self.era_settles_at = Some(now + self.times().copy_settles_within());
+            self.conflicting.clear();
+            self.era_settles_at = Some(now + self.times().backup_settles_within());
         } else if position.era == self.era_head.era && position < self.era_head {
             self.era_head = position;
         }
@@ -39,28 +39,28 @@
 
     /// Applies the entries that are still conflicting once the store has settled and has confirmed
     /// the knowledge since. Returns the incarnations whose known state changed.
-    pub fn settle_contests(
+    pub fn resolve_conflicts(
         &mut self,
         confirmed_at: Option<Instant>,
         now: Instant,
     ) -> Vec<InstanceId> {
         let is_confirmed = self.era_settles_at.is_none_or(|at| confirmed_at >= Some(at));
-        if self.contested.is_empty() || self.is_unsettled(now) || !is_confirmed {
+        if self.conflicting.is_empty() || self.is_unsettled(now) || !is_confirmed {
             return Vec::new();
         }
 
-        let contested = std::mem::take(&mut self.contested);
-        contested.into_values().flat_map(|entry| self.admit(entry, now)).collect()
+        let conflicting = std::mem::take(&mut self.conflicting);
+        conflicting.into_values().flat_map(|entry| self.admit(entry, now)).collect()
     }
 
     /// Returns the conflicting entries, which are left out for now.
     pub fn contested(&self) -> impl Iterator<Item = &BackendEntry> {
-        self.contested.values()
+        self.conflicting.values()
     }
 
     /// Returns the incarnations of a name that have conflicting entries.
     pub fn contested_births(&self, name: BackendName) -> impl Iterator<Item = InstanceId> {
-        let of_name = self.contested.values().filter(move |entry| entry.name == name);
+        let of_name = self.conflicting.values().filter(move |entry| entry.name == name);
 
         of_name.map(|entry| entry.instance)
     }
@@ -73,10 +73,10 @@
         at: StorePosition,
         now: Instant,
     ) -> Vec<InstanceId> {
-        let is_meant = |entry: &BackendEntry| has_gone(entry) && entry.position <= at;
+        let is_selected = |entry: &BackendEntry| has_gone(entry) && entry.position <= at;
         let ended: Vec<_> =
-            self.contested.values().filter(|entry| is_meant(entry)).cloned().collect();
-        self.contested.retain(|_, entry| !is_meant(entry));
+            self.conflicting.values().filter(|entry| is_selected(entry)).cloned().collect();
+        self.conflicting.retain(|_, entry| !is_selected(entry));
 
         let instances = ended.iter().map(|entry| entry.instance).collect();
         for entry in ended {
@@ -95,13 +95,13 @@
         mut entry: BackendEntry,
         now: Instant,
     ) -> Option<BackendEntry> {
-        self.drop_contested(&entry);
+        self.drop_outdated_conflicts(&entry);
         if entry.is_gone() {
             return Some(entry);
         }
-        if self.is_unsettled(now) && self.is_contested(&entry) {
-            self.note_change(entry.position);
-            self.contested.insert(entry.instance, entry);
+        if self.is_unsettled(now) && self.is_conflicting(&entry) {
+            self.record_change(entry.position);
+            self.conflicting.insert(entry.instance, entry);
             return None;
         }
 
@@ -118,33 +118,35 @@
 
     /// Reports whether an entry of an earlier era that a peer reports may be written again in this
     /// era.
-    pub(super) fn may_be_written_again(&self, told: &BackendEntry, now: Instant) -> bool {
-        !told.is_gone() && told.position.era < self.read_until().era && self.is_unsettled(now)
+    pub(super) fn may_be_written_again(&self, reported: &BackendEntry, now: Instant) -> bool {
+        !reported.is_gone()
+            && reported.position.era < self.read_until().era
+            && self.is_unsettled(now)
     }
 
     /// Marks a backend server as draining that is known as ready from a backup of the store, if a
     /// peer knows it as draining or ended. Returns false if nothing changed. The backend server may
     /// still serve its open flows.
-    pub(super) fn admit_told_departure(&mut self, told: &BackendEntry, now: Instant) -> bool {
+    pub(super) fn apply_peer_drain(&mut self, reported: &BackendEntry, now: Instant) -> bool {
         if !self.is_unsettled(now) {
             return false;
         }
-        let Some(known) = self.entries.get(told.instance) else { return false };
+        let Some(known) = self.entries.get(reported.instance) else { return false };
         let is_from_copy =
-            told.position.era < known.position.era || told.position == known.position;
-        let departs = told.phase == BackendPhase::Draining || has_ended_for_good(told);
+            reported.position.era < known.position.era || reported.position == known.position;
+        let departs = reported.phase == BackendPhase::Draining || has_ended_for_good(reported);
         if !is_from_copy || !departs || known.phase != BackendPhase::Ready {
             return false;
         }
 
-        self.entries.change(told.instance, |known| known.phase = BackendPhase::Draining);
+        self.entries.change(reported.instance, |known| known.phase = BackendPhase::Draining);
         true
     }
 
     /// Returns when the conflicts are resolved. None if no entry is conflicting.
     #[must_use]
     pub fn contests_end_at(&self) -> Option<Instant> {
-        self.era_settles_at.filter(|_| !self.contested.is_empty())
+        self.era_settles_at.filter(|_| !self.conflicting.is_empty())
     }
 
     /// Reports whether the store may still show entries that stem only from the backup.
@@ -154,15 +156,15 @@
 
     /// Drops the conflicting entries that a later entry under their name or at their address shows
     /// to be outdated.
-    fn drop_contested(&mut self, entry: &BackendEntry) {
-        let is_followed = |contested: &BackendEntry| {
-            let is_in_place = contested.instance == entry.instance
+    fn drop_outdated_conflicts(&mut self, entry: &BackendEntry) {
+        let is_followed = |conflicting: &BackendEntry| {
+            let is_in_place = conflicting.instance == entry.instance
                 || !entry.is_gone()
-                    && (contested.name == entry.name || contested.address == entry.address);
-            is_in_place && contested.position < entry.position
+                    && (conflicting.name == entry.name || conflicting.address == entry.address);
+            is_in_place && conflicting.position < entry.position
         };
 
-        self.contested.retain(|_, contested| !is_followed(contested));
+        self.conflicting.retain(|_, conflicting| !is_followed(conflicting));
     }
 
     /// Reports whether an entry was written after the store was first listed in its present era, so
@@ -173,7 +175,7 @@
 
     /// Reports whether an entry may stem from the backup although an earlier era shows that its
     /// backend server has ended or was replaced at its name or address.
-    fn is_contested(&self, entry: &BackendEntry) -> bool {
+    fn is_conflicting(&self, entry: &BackendEntry) -> bool {
         if self.is_written_since_restore(entry) {
             return false;
         }
@@ -185,7 +187,7 @@
             Some(known) if !known.is_gone() => return false,
             _ => {}
         }
-        self.in_place_of(entry)
+        self.with_name_or_address_of(entry)
             .any(|other| other.instance != entry.instance && is_former(other) && !other.is_gone())
     }
 }
--- a/crates/valvestage-policy/src/steering/knowledge/zone_contacts.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/zone_contacts.rs
@@ -12,7 +12,7 @@
 /// Silence after which a zone may have been partitioned. The shortest partition in which entries
 /// lapse lasts for two heartbeats of backend servers, 1.5 s. Each balancer sends heartbeats to four
 /// others every 0.4 s.
-const SILENCE: Duration = Duration::from_millis(1_500);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Whether an availability zone can be reached, as far as its balancers show.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,24 +29,24 @@
 #[derive(Debug, Clone, Copy)]
 struct ZoneContact {
     /// When it was first heard after the last silence. Not after `heard_at`.
-    joined_at: Instant,
+    heard_since: Instant,
     heard_at: Instant,
 }
 
 impl ZoneContact {
     fn on_heard(&mut self, now: Instant) {
         if self.is_silent(now) {
-            self.joined_at = now;
+            self.heard_since = now;
         }
         self.heard_at = now;
     }
 
     fn is_silent(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.heard_at) > SILENCE
+        now.saturating_duration_since(self.heard_at) > SILENCE_TIMEOUT
     }
 
     fn reach(&self, now: Instant) -> ZoneReach {
-        if self.is_silent(now) { ZoneReach::Silent } else { ZoneReach::Since(self.joined_at) }
+        if self.is_silent(now) { ZoneReach::Silent } else { ZoneReach::Since(self.heard_since) }
     }
 }
 
@@ -55,15 +55,15 @@
 pub struct ZoneContacts {
     zones: HashMap<ZoneName, ZoneContact>,
     /// Contact with any of the other zones.
-    any: Option<ZoneContact>,
+    any_zone: Option<ZoneContact>,
 }
 
 impl ZoneContacts {
     /// Records that a balancer of another zone was heard.
     pub fn on_heard(&mut self, zone: &ZoneName, now: Instant) {
-        let first = ZoneContact { joined_at: now, heard_at: now };
+        let first = ZoneContact { heard_since: now, heard_at: now };
 
-        self.any.get_or_insert(first).on_heard(now);
+        self.any_zone.get_or_insert(first).on_heard(now);
         match self.zones.get_mut(zone) {
             Some(contact) => contact.on_heard(now),
             None => {
@@ -75,7 +75,8 @@
     /// Reports whether any other zone was heard within the given time before now.
     #[must_use]
     pub fn hears_others(&self, within: Duration, now: Instant) -> bool {
-        self.any.is_some_and(|contact| now.saturating_duration_since(contact.heard_at) < within)
+        self.any_zone
+            .is_some_and(|contact| now.saturating_duration_since(contact.heard_at) < within)
     }
 
     /// Returns whether another zone can be reached from here.
@@ -83,7 +84,7 @@
     pub fn reach(&self, zone: &ZoneName, now: Instant) -> ZoneReach {
         match self.zones.get(zone) {
             Some(contact) => contact.reach(now),
-            None if self.any.is_some() => ZoneReach::Silent,
+            None if self.any_zone.is_some() => ZoneReach::Silent,
             None => ZoneReach::Unknown,
         }
     }
@@ -92,6 +93,6 @@
     /// one that is cut off.
     #[must_use]
     pub fn reach_of_others(&self, now: Instant) -> ZoneReach {
-        self.any.map_or(ZoneReach::Unknown, |contact| contact.reach(now))
+        self.any_zone.map_or(ZoneReach::Unknown, |contact| contact.reach(now))
     }
 }
--- a/crates/valvestage-policy/tests/steering/evacuations.rs
+++ b/crates/valvestage-policy/tests/steering/evacuations.rs
@@ -297,8 +297,8 @@
 
     zones.replace(report(30, &[]), now);
     assert!(zones.holds("zone-a"));
-    assert!(zones.end_returns(Some(at(29)), now).is_empty());
-    assert_eq!(zones.end_returns(Some(at(30)), now), ["zone-a"]);
+    assert!(zones.release_returning(Some(at(29)), now).is_empty());
+    assert_eq!(zones.release_returning(Some(at(30)), now), ["zone-a"]);
     assert!(!zones.holds("zone-a"));
 }
 
@@ -308,8 +308,8 @@
     zones.replace(report(20, &["zone-a"]), now);
 
     zones.replace(report(30, &[]), now);
-    assert!(zones.end_returns(Some(at(21)), now + millis(2_400)).is_empty());
-    assert_eq!(zones.end_returns(Some(at(21)), now + millis(2_500)), ["zone-a"]);
+    assert!(zones.release_returning(Some(at(21)), now + millis(2_400)).is_empty());
+    assert_eq!(zones.release_returning(Some(at(21)), now + millis(2_500)), ["zone-a"]);
 }
 
 #[test]
@@ -319,7 +319,7 @@
 
     zones.replace(report(30, &[]), now);
     zones.replace(report(31, &["zone-a"]), now);
-    assert!(zones.end_returns(None, now).is_empty());
+    assert!(zones.release_returning(None, now).is_empty());
     assert!(zones.holds("zone-a"));
 }
 
--- a/crates/valvestage-policy/tests/steering/lapses.rs
+++ b/crates/valvestage-policy/tests/steering/lapses.rs
@@ -368,8 +368,8 @@
 fn a_birth_is_known_after_a_lapse_and_a_heartbeat() {
     for heartbeat_ms in HEARTBEATS_MS {
         let times = EntryTimes::new(millis(heartbeat_ms));
-        assert!(times.birth_known_within() > times.lapse() + millis(heartbeat_ms));
-        assert!(times.copy_settles_within() >= times.shortest_lapse());
+        assert!(times.start_known_within() > times.lapse() + millis(heartbeat_ms));
+        assert!(times.backup_settles_within() >= times.shortest_lapse());
         assert!(times.shortest_lapse() < times.lapse());
     }
 }
