--- a/crates/valvestage-policy/tests/steering/comparisons.rs
+++ b/crates/valvestage-policy/tests/steering/comparisons.rs
@@ -1,6 +1,8 @@
-//! Pattern: two balancers conclude different ends of backend servers from the same reading of the store, and so at the same revision. A
-//! third one that was told by one of them knows all changes up to that revision, asks nobody, and believes for good in what is
-//! gone: nine seconds after the last fault, two of 15,000 simulated series of faults ended so.
+//! Guards against balancers that consider a removed backend server live for good. Two balancers may
+//! conclude different ends from the same reading of the store, and so at the same revision. A third
+//! one that heard from one of them knows all changes up to that revision, and requests nothing
+//! more. Without comparisons, two of 15,000 simulated series of faults end so, nine seconds after
+//! the last fault.
 
 use valvestage_policy::steering::peers::backend_parts::backends_messages;
 use valvestage_policy::steering::peers::peer_message::{
@@ -25,7 +27,8 @@
     deployment
 }
 
-/// Tells a balancer that a backend server is gone, at the revision up to which all know everything.
+/// Reports to a balancer that a backend server is gone, at the revision up to which all balancers
+/// know everything.
 fn conclude_end(deployment: &mut Deployment, node: usize, instance: u64) {
     let now = deployment.now;
     let revision = deployment.node(node).knowledge().directory.complete_until();
@@ -37,7 +40,7 @@
     tell(deployment, node, &teller);
 }
 
-/// Tells a balancer what a directory knows, unasked.
+/// Sends a balancer the contents of a directory without a request.
 fn tell(deployment: &mut Deployment, node: usize, teller: &BackendDirectory) {
     let now = deployment.now;
     let pull = BackendsPull { after: at(0), scope: WalkScope::Everything };
@@ -48,7 +51,8 @@
     }
 }
 
-/// Lets a balancer hear that a sixth one knows more, and ask it for everything.
+/// Lets a balancer hear that a peer knows more, so that it requests everything, and answers with the
+/// contents of the peer's directory.
 fn tell_everything(deployment: &mut Deployment, node: usize, teller: &BackendDirectory) {
     let now = deployment.now;
     let known = deployment.node(node).knowledge();
@@ -104,7 +108,7 @@
     assert!(took <= millis(5_000), "{took:?}");
 }
 
-/// The cost where all believe in the same: no message more.
+/// Balancers that agree send no additional messages.
 #[test]
 fn those_that_agree_do_not_compare() {
     let mut deployment = settled(8);
@@ -112,7 +116,7 @@
     let before = deployment.messages;
     deployment.run(millis(10_000));
     let messages = deployment.messages - before;
-    // Four heartbeats each 400 ms, and those of news that the store has answered.
+    // Four heartbeats each 400 ms, and those that announce a confirmation by the store.
     assert!(messages <= 8 * 4 * 40, "{messages} messages");
 }
 
@@ -129,8 +133,8 @@
     assert_ne!(one.living_digest(), other.living_digest());
 }
 
-/// An entry that had lapsed was written again, and spoiled by another writer before this balancer read it. Others saw that it was good
-/// meanwhile, so that its end must be noticed here, too.
+/// A lapsed entry was written again, and overwritten by another writer before this balancer read
+/// it. Others have seen it in between, so its removal must be noticed here, too.
 #[test]
 fn a_lapsed_entry_that_is_there_and_cannot_be_used_is_there() {
     let mut directory = BackendDirectory::default();
@@ -150,7 +154,8 @@
     assert!(!directory.mark_unusable(1, at(28)));
 }
 
-/// A balancer has read the store, and other entries are missing there. A peer tells of one that it had not, at a revision that was read.
+/// A balancer has read the store, and other entries are missing there. A peer reports an entry that
+/// was absent then, at a revision that was read.
 #[test]
 fn an_entry_that_was_not_there_when_the_store_was_read_is_missing() {
     let mut directory = BackendDirectory::default();
@@ -165,7 +170,8 @@
     assert!(directory.get(8).is_some_and(|entry| entry.missing_until.is_none()));
 }
 
-/// A directory that was told of a backend server which had gone before it read the store. It keeps the position that the entry had.
+/// Creates a directory that received a backend server from a peer after its entry was removed. It
+/// keeps the position that the entry had.
 fn late_reader(instance: u64, read_until: u64) -> BackendDirectory {
     let mut directory = BackendDirectory::default();
     directory.complete(at(read_until));
@@ -173,7 +179,8 @@
     directory
 }
 
-/// Pattern: an end is told at the position that the entry had while it was there, so that it looks like what is known already.
+/// Guards against ignoring a removal that is reported at the position of the live entry, which
+/// looks like what is known already.
 #[test]
 fn an_end_at_the_position_of_the_entry_is_learned_from_one_that_knows_more() {
     let mut deployment = settled(3);
--- a/crates/valvestage-policy/tests/steering/directory.rs
+++ b/crates/valvestage-policy/tests/steering/directory.rs
@@ -1,4 +1,4 @@
-//! What is known of backend servers, whatever order it comes in.
+//! Knowledge of backend servers does not depend on the order in which changes arrive.
 
 use std::collections::HashSet;
 
@@ -101,7 +101,7 @@
     assert!(directory.by_token(BackendDirectory::token_of(7)).is_none());
 }
 
-/// What is known after some changes, as incarnation and revision.
+/// Returns what is known after some changes, as incarnations and revisions.
 fn known_after(changes: &[(u8, u8, bool)]) -> Vec<(u64, u64)> {
     let now = start();
     let mut directory = BackendDirectory::default();
@@ -159,7 +159,8 @@
 
     assert!(directory.admit_told(backend(1, "core", HOME), now).is_empty());
     assert!(directory.has_missing());
-    // The store has it again: it was there all the time. Or it has returned, by a peer's word.
+    // The store shows it again at the same position: it was never removed. Later a peer reports
+    // that it has returned.
     assert_eq!(directory.admit(backend(1, "core", HOME), now), [1]);
     directory.mark_missing(1, now + millis(2_300));
     let returned = BackendEntry { position: at(9), ..backend(1, "core", HOME) };
@@ -172,7 +173,8 @@
     let (mut directory, now) = (BackendDirectory::default(), start());
     directory.put(backend(1, "core", HOME));
     directory.complete(at(1));
-    // It lapsed, returned and went again while this balancer read nothing; the list of revision 9 does not have it.
+    // It lapsed, returned and was removed again while this balancer read nothing. The list of
+    // revision 9 does not have it.
     directory.mark_missing(1, now + millis(2_300));
     directory.complete(at(9));
 
@@ -180,7 +182,7 @@
     directory.admit_told(told, now);
     assert!(directory.has_missing());
     assert_eq!(directory.get(1).unwrap().position, at(6));
-    // The next list began after its time.
+    // The next list began after its deadline.
     assert_eq!(directory.expire_missing(now + millis(2_400)), [1]);
     assert_eq!(directory.complete_until(), at(9));
 }
--- a/crates/valvestage-policy/tests/steering/evacuations.rs
+++ b/crates/valvestage-policy/tests/steering/evacuations.rs
@@ -1,5 +1,6 @@
-//! Pattern: operators evacuate an availability zone, and take it back, while everything else goes on failing. New flows leave the
-//! zone within a second, open ones stay, and callers of a zone that is cut off as well are served by what it has.
+//! Operators evacuate an availability zone, and lift the evacuation, while other faults go on. New
+//! flows leave the zone within a second, open flows stay, and callers in a zone that is also cut
+//! off are served by its own backend servers.
 
 use std::time::Duration;
 
@@ -9,15 +10,15 @@
 use crate::deployment::Deployment;
 use crate::fixtures::{at, backend, data, flow, millis, opening, routes, start};
 
-/// What it may take until all balancers know of an evacuation: users ask for five seconds.
+/// Time within which all balancers should know of an evacuation. Users ask for five seconds.
 const AIM: Duration = Duration::from_secs(1);
 
-/// The longest that it may take where calls to the store fall silent.
+/// The longest time that an evacuation may take when calls to the store get no reply.
 const BOUND: Duration = Duration::from_secs(5);
 
 const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 
-/// Balancers in three zones, each zone with two backend servers of a service.
+/// Creates balancers in three zones, with two backend servers of a service in each zone.
 fn deployment(balancers: usize) -> Deployment {
     let mut deployment = Deployment::across_zones(balancers, ZONES.len());
     deployment.has_evacuations = true;
@@ -40,14 +41,14 @@
     nodes.all(|node| node.knowledge().evacuated.zones().iter().eq(zones.iter()))
 }
 
-/// What becomes of a new flow through a balancer.
+/// Opens a flow through a balancer, and returns the verdict.
 fn open(deployment: &mut Deployment, node: usize, port: u16) -> PacketVerdict {
     let now = deployment.now;
 
     deployment.nodes[node].as_mut().unwrap().on_packet(&opening(flow(port), 0), now)
 }
 
-/// The zones of twenty new flows through a balancer.
+/// Returns the zones of twenty new flows through a balancer.
 fn zones_of_flows(deployment: &mut Deployment, node: usize, first_port: u16) -> Vec<String> {
     let verdicts: Vec<_> =
         (first_port..first_port + 20).map(|port| open(deployment, node, port)).collect();
@@ -224,7 +225,7 @@
     assert!(is_known_everywhere(&deployment, &["zone-a"]));
 }
 
-/// The balancers of the first zone hear neither others nor the store.
+/// Cuts the balancers of the first zone off from the other balancers and from the store.
 fn cut_off(mut deployment: Deployment) -> Deployment {
     deployment.cut_from_peers = vec![0, 1, 2];
     deployment.cut_from_store = vec![0, 1, 2];
--- a/crates/valvestage-policy/tests/steering/keepers.rs
+++ b/crates/valvestage-policy/tests/steering/keepers.rs
@@ -1,11 +1,11 @@
-//! Balancers keep each other up to date.
+//! Balancers keep each other up to date, with few calls to the store.
 
 use valvestage_policy::steering::{BackendEntry, BackendPhase, Decision, EntryPolicy};
 
 use crate::deployment::Deployment;
 use crate::fixtures::{HOME, backend, millis, routes};
 
-/// A deployment in which every balancer knows a configuration and four backend servers.
+/// Creates a deployment in which every balancer knows a configuration and four backend servers.
 fn settled(count: usize) -> Deployment {
     let mut deployment = Deployment::new(count);
     deployment.store.put_routes(routes(3, &[(443, "core")]));
@@ -130,7 +130,7 @@
     deployment.store_down = true;
     deployment.run(millis(4_000));
 
-    // They lapse during the outage; the store returns, and 1.5 s later so do they.
+    // They lapse during the outage. The store returns, and 1.5 s later so do they.
     for instance in 1..=3 {
         deployment.store.delete_backend(instance);
     }
@@ -172,7 +172,7 @@
     }
 }
 
-/// The entry of a backend server that lives lapses; the store is back.
+/// Lets the entry of a live backend server lapse in a store outage that ends now.
 fn lapse_in_an_outage(deployment: &mut Deployment) {
     deployment.store_down = true;
     deployment.run(millis(4_000));
@@ -187,7 +187,7 @@
     deployment.run(millis(500));
 
     // Its backend server could not write it in that moment, and the next outage is longer than the
-    // time in which it returns.
+    // time within which entries return.
     deployment.store_down = true;
     for _ in 0..5_000 {
         deployment.run(millis(1));
@@ -211,7 +211,7 @@
     lapse_in_an_outage(&mut deployment);
     deployment.run(millis(1_500));
 
-    // They all know that it is missing. One hears nothing more while it returns.
+    // All balancers know that it is missing. One of them hears nothing more while it returns.
     let cut = 5;
     deployment.cut_from_store = vec![cut];
     deployment.cut_from_peers = vec![cut];
@@ -233,7 +233,7 @@
     deployment.store.watched_until = Some(deployment.store.revision);
     deployment.run(millis(1_500));
 
-    // It returns in time, and watches tell of it much later.
+    // It returns in time, and watches show it much later.
     deployment.store.put_backend(backend(1, "core", HOME));
     for _ in 0..6_000 {
         deployment.run(millis(1));
@@ -267,7 +267,8 @@
 
 #[test]
 fn one_that_was_cut_off_brings_nothing_back() {
-    // When it is heard again, and when it last tried the store, depends on the length of the cut.
+    // When it is heard again, and when it last called the store, depends on the length of the
+    // partition.
     for step in 0..8 {
         brings_nothing_back_after(70_000 + step * 300);
     }
@@ -280,12 +281,13 @@
     deployment.run(millis(1_000));
     deployment.store.delete_backend(4);
     deployment.store.put_routes(routes(8, &[(443, "core")]));
-    // Long enough for the others to forget that the backend server ever was.
+    // Long enough for the others to forget the backend server.
     deployment.run(millis(cut_ms));
 
     deployment.cut_from_store.clear();
     deployment.cut_from_peers.clear();
-    // An entry that may have lapsed has 3.1 s from its last failed call; a heartbeat comes 0.4 s later.
+    // An entry that may have lapsed has 3.1 s from the last failed call to return. A heartbeat
+    // comes 0.4 s later.
     for _ in 0..350 {
         deployment.run(millis(10));
         let others = deployment.nodes.iter().flatten().enumerate().filter(|(node, _)| *node != 3);
@@ -318,7 +320,7 @@
     deployment.store.delete_backend(4);
     deployment.run(millis(3_000));
 
-    // Flows that were on it still come, and are to be told at once.
+    // Packets of its flows still arrive, and their callers should be sent resets at once.
     deployment.start(6);
     let took = deployment.run_until(|now| {
         now.node(6).knowledge().directory.get(4).is_some_and(BackendEntry::is_gone)
@@ -427,7 +429,7 @@
     let before = deployment.messages;
     let took = deployment.run_until(|now| now.nodes.iter().flatten().all(EntryPolicy::is_ready));
     assert!(took <= millis(400), "{took:?}");
-    // All that is known has some 50 datagrams.
+    // All that is known takes some 50 datagrams.
     let each = (deployment.messages - before) / 60;
     assert!(each <= 120, "{each} messages from each balancer");
 }
@@ -450,7 +452,7 @@
     deployment.run(millis(5_000));
     let calls = deployment.store.calls - before;
     assert!(deployment.watchers() <= 4, "{} followers", deployment.watchers());
-    // Two of them, each with a watch of 1.5 s for either kind, and one that comes or goes.
+    // Two followers, each with a watch of 1.5 s for either kind, and one that comes or goes.
     assert!(calls <= 30, "{calls} calls in 5 s");
 }
 
@@ -463,7 +465,8 @@
     deployment.store.delete_backend(2);
     deployment.store_down = false;
 
-    // It reads the list without the lapsed entries, and others hear of a newer state from it.
+    // It reads the list without the lapsed entries, and the others learn from it that there is a
+    // newer state.
     deployment.cut_from_peers = vec![6];
     deployment.start(6);
     deployment.run_until(|now| now.node(6).is_ready());
@@ -483,8 +486,9 @@
     }
 }
 
-/// Pattern: a link that carries one way. A follower that hears nobody goes on telling of what it knows, and answers
-/// no question; balancers that asked it at each of its heartbeats had a configuration 3 s late.
+/// Guards against waiting for a balancer behind a link that carries one way only. A follower that
+/// receives nothing still announces its knowledge and answers no requests. Balancers that request
+/// from it at each of its heartbeats get a configuration 3 s late.
 #[test]
 fn one_that_answers_nobody_keeps_no_other_from_a_new_configuration() {
     for step in 0..20 {
--- a/crates/valvestage-policy/tests/steering/lapses.rs
+++ b/crates/valvestage-policy/tests/steering/lapses.rs
@@ -1,7 +1,8 @@
-//! Pattern: entries lapse while their backend servers live. A zone that is cut off from the store loses the
-//! entries of all its backend servers, which go on answering the balancers beside them; when the cut heals,
-//! these learn from others that the entries are gone, some seconds before they return. Ending the flows
-//! then lost one request in twelve of the two seconds after a cut, on a site of three zones.
+//! Guards against ending the flows of live backend servers whose entries lapse. A zone that is cut
+//! off from the store loses the entries of all its backend servers, which go on answering the
+//! balancers in their zone. When the partition heals, these balancers learn from others that the
+//! entries are gone, some seconds before the entries return. If they end the flows then, a
+//! deployment of three zones loses one request in twelve during the two seconds after a partition.
 
 use std::time::{Duration, Instant};
 
@@ -27,7 +28,7 @@
 }
 
 impl Site {
-    /// A balancer with one open flow, answered just now, on the only backend server.
+    /// Creates a balancer with one open flow, answered just now, on the only backend server.
     fn with_open_flow(zone: &str) -> Self {
         let options = SteeringOptions { zone: HOME.to_owned(), ..Default::default() };
         let mut site = Self {
@@ -46,7 +47,7 @@
         self.policy.on_packet(&self.known, packet, self.now)
     }
 
-    /// The verdict on a request on the flow.
+    /// Sends a request on the flow, and returns the verdict.
     fn request(&mut self) -> PacketVerdict {
         self.send(&data(flow(1), BackendDirectory::token_of(1), 1_001, 100, 501))
     }
@@ -128,7 +129,8 @@
     assert_ends(site.request());
 }
 
-/// The balancer was cut off, with its zone: nothing had confirmed what it knows for five seconds.
+/// Creates a balancer that was partitioned together with its zone: nothing has confirmed its
+/// knowledge for five seconds.
 fn after_a_cut(zone: &str) -> Site {
     let mut site = Site::with_open_flow(zone);
 
@@ -143,7 +145,7 @@
     site.lapse();
     site.wait(millis(50));
     assert_stays(site.request());
-    // The news that followed the lapse: what is known is confirmed again.
+    // The lapse is followed by a confirmation of the knowledge.
     site.known.confirm(Some(site.now));
     assert_stays(site.request());
     site.wait(RETURNED);
@@ -185,7 +187,8 @@
     assert_ends(site.request());
 }
 
-/// The entry of a backend server that this balancer has seen nothing of lapses, and then the store is away.
+/// Lets the entry of a backend server lapse that this balancer has had no packets from, followed by
+/// a store outage.
 fn after_an_unseen_lapse() -> Site {
     let mut site = Site::with_open_flow(HOME);
     site.known.directory.put(backend(3, "core", AWAY));
@@ -225,7 +228,7 @@
     assert_ends(request_on_unseen(&mut site));
 }
 
-/// A balancer that has just started is told of an entry that lapsed so long ago.
+/// Creates a balancer that has just started and receives an entry that lapsed the given time ago.
 fn told_at_a_start(ago: Duration) -> Site {
     let mut site = Site::with_open_flow(HOME);
     let mut teller = BackendDirectory::default();
@@ -256,8 +259,8 @@
     assert_ends(on_lapsed(told_at_a_start(RETURNED)));
 }
 
-/// A balancer that has just started reads an entry in the store, which lapses 600 ms later: it had no time to see
-/// whether the backend server shows life.
+/// Creates a balancer that has just started and reads an entry in the store, which lapses 600 ms
+/// later. It had no time to see whether the backend server shows life.
 fn lapsed_after_a_start() -> Site {
     let mut site = Site::with_open_flow(HOME);
     site.known.directory.put(backend(3, "core", AWAY));
@@ -300,7 +303,7 @@
     assert_ends(request_on_unseen(&mut site));
 }
 
-/// A request that is answered after a lapse: the entry cannot return, but the flow goes on.
+/// A request is answered after the lapse: the entry cannot return, but the flow goes on.
 #[test]
 fn one_that_answers_after_its_lapse_keeps_its_flows_whatever_the_time() {
     let mut site = Site::with_open_flow(HOME);
@@ -314,7 +317,8 @@
     assert_stays(site.send(&data(flow(1), BackendDirectory::token_of(1), 1_101, 100, 900)));
 }
 
-/// One that hears others and is not heard asks in vain for what they know more: the entry may have returned.
+/// A balancer that receives messages but is not heard gets no answers to its requests for what the
+/// others know more, and the entry may have returned.
 #[test]
 fn one_that_knows_that_others_know_more_ends_nothing_by_its_own_clock() {
     let mut site = Site::with_open_flow(HOME);
@@ -329,10 +333,11 @@
     assert_ends(site.request());
 }
 
-/// Heartbeats of backend servers of small and large deployments, milliseconds.
+/// Heartbeat intervals of backend servers of small and large deployments, in milliseconds.
 const HEARTBEATS_MS: [u64; 5] = [300, 770, 1_200, 2_000, 5_000];
 
-/// A balancer whose backend server was silent for a share of the time in which its entry lapses.
+/// Creates a balancer whose backend server was silent for a share of the time in which its entry
+/// lapses.
 fn silent_for(heartbeat_ms: u64, share: f64) -> Site {
     let mut site = Site::with_open_flow(HOME);
     let times = EntryTimes::new(millis(heartbeat_ms));
@@ -348,8 +353,8 @@
     site
 }
 
-/// Pattern: times of entries that are made for one heartbeat. With a longer one a backend server may live that answered nothing for some
-/// seconds before its entry lapsed.
+/// Guards against times that fit only one heartbeat interval. With a longer interval, a backend
+/// server that answered nothing for some seconds before its entry lapsed may still be alive.
 #[test]
 fn signs_of_life_count_that_are_younger_than_a_lapse() {
     for heartbeat_ms in HEARTBEATS_MS {
--- a/crates/valvestage-policy/tests/steering/rebirths.rs
+++ b/crates/valvestage-policy/tests/steering/rebirths.rs
@@ -1,5 +1,7 @@
-//! Pattern: a backend server crashes and starts again under its name, sooner than its entry lapses. The store shows one
-//! entry that goes on; but its flows are gone, and what was learned of it says nothing of the new process.
+//! Guards against treating a restarted backend server as the process before it. A backend server
+//! that crashes and restarts under its name before its entry lapses leaves one entry in the store,
+//! without a gap. But its flows are gone, and the health data of the old process says nothing of
+//! the new one.
 
 use std::time::{Duration, Instant};
 
@@ -12,10 +14,10 @@
 
 use crate::fixtures::{HOME, at, backend, data, flow, knowledge, millis, name_of, opening, start};
 
-/// The name that all births share, and what their packets are addressed to.
+/// The number in the name that all incarnations share, which their packets carry.
 const NAME: u64 = 7;
 
-/// Incarnations of it, in the order of their births.
+/// Incarnations of the name, in the order of their starts.
 const FIRST: u64 = NAME | 1 << 40;
 const SECOND: u64 = NAME | 2 << 40;
 
@@ -105,7 +107,7 @@
     assert_superseded(&directory, FIRST);
 }
 
-/// What a balancer that knows both births tells one that knows neither.
+/// A balancer that knows both incarnations sends them to one that knows neither.
 #[test]
 fn peers_tell_of_births_and_names() {
     let now = start();
@@ -133,7 +135,7 @@
 }
 
 impl Site {
-    /// A balancer with an open flow on the first birth.
+    /// Creates a balancer with an open flow on the first incarnation.
     fn with_open_flow() -> Self {
         let options = SteeringOptions { zone: HOME.to_owned(), ..Default::default() };
         let mut site = Self {
@@ -148,7 +150,7 @@
         site
     }
 
-    /// A request on a flow with the token of the name, which all births share.
+    /// Sends a request on a flow with the token of the name, which all incarnations share.
     fn request(&mut self, port: u16) -> PacketVerdict {
         let token = BackendDirectory::token_of(NAME);
 
@@ -173,7 +175,8 @@
     assert_eq!(told, [flow(1)]);
 }
 
-/// It may have been opened at the new process, before its start was known here: a reset would end a living flow.
+/// The flow may have been opened at the new process before its start was known here, so a reset
+/// could end a live flow.
 #[test]
 fn callers_of_the_last_moments_are_not() {
     let mut site = Site::with_open_flow();
@@ -186,7 +189,7 @@
     assert!(matches!(verdict, PacketVerdict::Forward { instance: SECOND, .. }), "{verdict:?}");
 }
 
-/// The process alone knows whether it holds the flow, and says so.
+/// Only the process knows whether it holds the flow, and resets it if it does not.
 #[test]
 fn the_token_of_a_dead_birth_leads_to_the_process_at_its_address() {
     let mut site = Site::with_open_flow();
@@ -199,7 +202,8 @@
     );
 }
 
-/// A balancer that started after the birth knows no other, and callers have the token of the name.
+/// A balancer that started after the restart knows only the new incarnation, while callers hold the
+/// token of the name.
 #[test]
 fn it_does_so_where_nobody_knows_the_birth_before() {
     let mut site = Site::with_open_flow();
@@ -233,7 +237,7 @@
 #[test]
 fn what_was_learned_of_a_dead_birth_says_nothing_of_the_next() {
     let mut site = Site::with_open_flow();
-    // Three flows miss their answers.
+    // Three flows get no answers.
     site.now += millis(10);
     for port in 10..13 {
         site.policy.on_packet(&site.known, &opening(flow(port), 0), site.now);
@@ -262,7 +266,8 @@
     assert_eq!(directory.get(SECOND).unwrap().phase, BackendPhase::Ready);
 }
 
-/// A configuration names `core` and `photos` only.
+/// Creates an entry of a service that the configuration, which names only `core` and `photos`, does
+/// not name.
 fn stranger(revision: u64) -> BackendEntry {
     BackendEntry { service: "nobody's".to_owned(), ..birth(SECOND, revision) }
 }
@@ -303,7 +308,8 @@
     assert!(!site.known.directory.mark_unusable(FIRST, at(1_050)), "older news");
 }
 
-/// Pattern: an entry that cannot be read does not say which incarnation wrote it last, so that its position orders no births.
+/// Guards against ordering incarnations by an unusable entry. Such an entry does not say which
+/// incarnation wrote it last, so its position orders nothing.
 #[test]
 fn a_birth_before_the_entry_became_unusable_is_newer_than_the_one_known() {
     let mut directory = directory();
@@ -324,7 +330,8 @@
     assert_eq!(directory.living(name_of(NAME)), [FIRST]);
 }
 
-/// The store was read while the entry was unusable, and a peer tells of the birth that it belongs to.
+/// The store was read while the entry was unusable, and a peer reports the incarnation that it
+/// belongs to.
 #[test]
 fn a_birth_that_an_unusable_entry_may_belong_to_has_not_gone_long_ago() {
     let mut directory = directory();
--- a/crates/valvestage-policy/tests/steering/restored_store.rs
+++ b/crates/valvestage-policy/tests/steering/restored_store.rs
@@ -1,15 +1,11 @@
-//! Pattern: the store is away for a moment and comes back from a copy that is some seconds old, in its next era. Revisions that
-//! balancers know are given out again for other changes.
+//! Guards against ignoring changes after the store is restored from a backup that is some seconds
+//! old. The store is in its next era then, and gives out revisions again that balancers know for
+//! other changes.
 //!
-//! What was seen: two requests reached a backend server 3.0 s after the store had taken that it leaves. What happened: the store was
-//! away for 2.6 s and came back without its last revisions. The balancers that follow it listed it anew and knew at once that the backend
-//! server leaves; the others did not hear of it until the store had given out as many revisions as before.
-//!
-//! Why: knowledge was compared by bare revisions. Everybody knew all changes up to 26, so a change of revision 23 was old
-//! news, and the followers went on from 26, which the store did not have: it refused, and they listed it again and again.
-//!
-//! What showed it: `backend_changed` with the revision 23 at two balancers, `asked` with `known_until` 26 at the six others just after, and
-//! 70 calls a second of each follower until the store had come to 26.
+//! If knowledge is compared by bare revisions, balancers that know all changes up to revision 26
+//! ignore a drain at revision 23, so requests still reach a backend server 3.0 s after the store
+//! has accepted that it drains. Followers that continue from revision 26 are refused, and list the
+//! store again and again, with 70 calls a second each, until it has reached that revision.
 
 use std::time::Duration;
 
@@ -18,20 +14,21 @@
 use crate::deployment::Deployment;
 use crate::fixtures::{AWAY, HOME, backend, millis, routes};
 
-/// A leaving backend server gets no new flows after this time, and a configuration is in force.
+/// Within this time a draining backend server gets no new flows any more, and a new configuration
+/// is in force.
 const KNOWN_WITHIN: Duration = Duration::from_secs(3);
 
 /// How long the store is away.
 const AWAY_FOR: Duration = Duration::from_millis(2_600);
 
-/// The newest configuration that balancers know.
+/// The newest configuration version that balancers know.
 const VERSION: u64 = 30;
 
 fn draining(instance: u64) -> BackendEntry {
     BackendEntry { phase: BackendPhase::Draining, ..backend(instance, "core", HOME) }
 }
 
-/// Balancers that know six backend servers, and after those four configurations.
+/// Creates balancers that know six backend servers, and after those four configurations.
 fn settled(count: usize) -> Deployment {
     let mut deployment = Deployment::across_zones(count, 3);
     deployment.store.put_routes(routes(3, &[(443, "core")]));
@@ -48,7 +45,7 @@
     deployment
 }
 
-/// The store goes away, and comes back without its last changes.
+/// Takes the store away, and restores it without its last changes.
 fn restore(deployment: &mut Deployment, lost_changes: u64) {
     deployment.store_down = true;
     deployment.run(AWAY_FOR);
@@ -96,7 +93,7 @@
         };
 
         let (ordinary, restored) = (calls_after(None), calls_after(Some(4)));
-        // One list more of each kind for each of two followers.
+        // One more list of each kind for each of the two followers.
         assert!(
             restored <= ordinary + 4,
             "{count} balancers: {restored} calls, {ordinary} after another outage"
@@ -110,7 +107,7 @@
     deployment.store.put_backend(draining(2));
     deployment.run_until(|now| is_draining_everywhere(now, 2));
 
-    // The copy shows it as ready, and it says only later that it leaves.
+    // The backup shows it as ready, and only later does it write again that it drains.
     restore(&mut deployment, 1);
     for _ in 0..150 {
         deployment.run(millis(10));
@@ -129,7 +126,7 @@
     deployment.store.delete_backend(2);
     deployment.run(millis(2_000));
 
-    // The copy shows it as ready until its silence is noticed.
+    // The backup shows it as ready until its entry lapses.
     restore(&mut deployment, 2);
     for _ in 0..230 {
         deployment.run(millis(10));
@@ -166,7 +163,7 @@
         ));
     }
 
-    // The same, and it has ended.
+    // The same, but the backend server has ended.
     restore(&mut deployment, 1);
     deployment.run(millis(6_000));
     assert!(
@@ -205,7 +202,7 @@
     assert!(took <= KNOWN_WITHIN, "{took:?}");
 }
 
-/// Both lose what the former one gave out.
+/// Each restore loses changes of the era before.
 #[test]
 fn a_store_that_is_restored_twice_is_followed_in_its_last_era() {
     let mut deployment = settled(8);
@@ -221,7 +218,7 @@
     assert!(took <= KNOWN_WITHIN, "{took:?}");
 }
 
-/// It knows the new era only, and the others have not heard of it.
+/// It knows only the new era, of which the others have not heard.
 #[test]
 fn one_that_starts_in_the_new_era_agrees_with_the_others() {
     let mut deployment = settled(8);
@@ -238,7 +235,8 @@
     assert!(is_draining_everywhere(&deployment, 2));
 }
 
-/// It hears of the new era 5 s later, and what it knows of the former one overwrites nothing.
+/// It hears of the new era 5 s later, and its knowledge of the former era must not overwrite
+/// anything.
 #[test]
 fn one_that_stood_still_while_the_store_was_restored_brings_nothing_back() {
     let mut deployment = settled(8);
@@ -281,7 +279,7 @@
     deployment.run(millis(6_000));
     assert!((0..8).all(|node| deployment.node(node).knowledge().evacuated.zones().contains(HOME)));
 
-    // It was taken back, which the copy lacks until the operator says so again.
+    // The evacuation was lifted, which the backup lacks until the operator lifts it again.
     deployment.store.evacuate(HOME, false);
     deployment.run(millis(6_000));
     restore(&mut deployment, 1);
