--- a/crates/valvestage-policy/tests/steering/comparisons.rs
+++ b/crates/valvestage-policy/tests/steering/comparisons.rs
@@ -29,41 +29,45 @@
 
 /// Reports to a balancer that a backend server is gone, at the revision up to which all balancers
 /// know everything.
-fn conclude_end(deployment: &mut Deployment, node: usize, instance: u64) {
+fn report_gone(deployment: &mut Deployment, node: usize, instance: u64) {
     let now = deployment.now;
     let revision = deployment.node(node).knowledge().directory.complete_until();
-    let mut teller = BackendDirectory::default();
-    teller.put(backend(instance, "core", HOME));
-    teller.complete(revision);
-    teller.mark_gone(instance, revision, now);
+    let mut sender = BackendDirectory::default();
+    sender.put(backend(instance, "core", HOME));
+    sender.complete(revision);
+    sender.mark_gone(instance, revision, now);
 
-    tell(deployment, node, &teller);
+    send_directory(deployment, node, &sender);
 }
 
 /// Sends a balancer the contents of a directory without a request.
-fn tell(deployment: &mut Deployment, node: usize, teller: &BackendDirectory) {
+fn send_directory(deployment: &mut Deployment, node: usize, sender: &BackendDirectory) {
     let now = deployment.now;
     let pull = BackendsPull { after: at(0), scope: WalkScope::Everything };
 
-    for message in backends_messages(teller, pull, now) {
-        let policy = deployment.nodes[node].as_mut().expect("it runs");
+    for message in backends_messages(sender, pull, now) {
+        let policy = deployment.nodes[node].as_mut().expect("the balancer runs");
         policy.on_message(node_address(5), message, now);
     }
 }
 
 /// Lets a balancer hear that a peer knows more, so that it requests everything, and answers with the
 /// contents of the peer's directory.
-fn tell_everything(deployment: &mut Deployment, node: usize, teller: &BackendDirectory) {
+fn announce_and_send_directory(
+    deployment: &mut Deployment,
+    node: usize,
+    sender: &BackendDirectory,
+) {
     let now = deployment.now;
     let known = deployment.node(node).knowledge();
     let heartbeat = PeerHeartbeat {
         zone: HOME.to_owned(),
         asks: false,
         version: known.routes.version,
-        complete_until: teller.complete_until(),
-        changed_at: teller.changed_at(),
-        era_head: teller.era_head(),
-        living: teller.living_digest(),
+        complete_until: sender.complete_until(),
+        changed_at: sender.changed_at(),
+        era_head: sender.era_head(),
+        living: sender.living_digest(),
         age_ms: 0,
         outage_age_ms: u32::MAX,
         watchers: Vec::new(),
@@ -74,43 +78,44 @@
         wanted: Vec::new(),
     };
 
-    let policy = deployment.nodes[node].as_mut().expect("it runs");
+    let policy = deployment.nodes[node].as_mut().expect("the balancer runs");
     policy.on_message(node_address(5), PeerMessage::Heartbeat(heartbeat), now);
-    tell(deployment, node, teller);
+    send_directory(deployment, node, sender);
 }
 
-fn believers(deployment: &Deployment, instance: u64) -> usize {
-    let believes = |node: &&EntryPolicy| {
+fn count_live_views(deployment: &Deployment, instance: u64) -> usize {
+    let is_live = |node: &&EntryPolicy| {
         let entry = node.knowledge().directory.get(instance);
         entry.is_some_and(|entry| !entry.is_gone())
     };
 
-    deployment.nodes.iter().flatten().filter(believes).count()
+    deployment.nodes.iter().flatten().filter(is_live).count()
 }
 
 #[test]
-fn an_end_that_one_concluded_reaches_those_that_had_read_as_far() {
+fn an_end_that_one_balancer_concluded_reaches_all_at_the_same_revision() {
     let mut deployment = settled(8);
 
-    conclude_end(&mut deployment, 3, 2);
-    assert_eq!(believers(&deployment, 2), 7);
-    let took = deployment.run_until(|now| believers(now, 2) == 0);
+    report_gone(&mut deployment, 3, 2);
+    assert_eq!(count_live_views(&deployment, 2), 7);
+    let took = deployment.run_until(|now| count_live_views(now, 2) == 0);
     assert!(took <= millis(5_000), "{took:?}");
 }
 
 #[test]
-fn two_different_ends_at_one_revision_reach_everybody() {
+fn two_different_ends_at_one_revision_reach_all_balancers() {
     let mut deployment = settled(8);
 
-    conclude_end(&mut deployment, 3, 2);
-    conclude_end(&mut deployment, 6, 3);
-    let took = deployment.run_until(|now| believers(now, 2) == 0 && believers(now, 3) == 0);
+    report_gone(&mut deployment, 3, 2);
+    report_gone(&mut deployment, 6, 3);
+    let took =
+        deployment.run_until(|now| count_live_views(now, 2) == 0 && count_live_views(now, 3) == 0);
     assert!(took <= millis(5_000), "{took:?}");
 }
 
 /// Balancers that agree send no additional messages.
 #[test]
-fn those_that_agree_do_not_compare() {
+fn balancers_that_agree_do_not_compare() {
     let mut deployment = settled(8);
 
     let before = deployment.messages;
@@ -121,7 +126,7 @@
 }
 
 #[test]
-fn those_that_believe_in_the_same_have_one_digest() {
+fn directories_with_the_same_live_incarnations_have_the_same_digest() {
     let (mut one, mut other) = (BackendDirectory::default(), BackendDirectory::default());
     for instance in 1..=3 {
         one.put(backend(instance, "core", HOME));
@@ -136,7 +141,7 @@
 /// A lapsed entry was written again, and overwritten by another writer before this balancer read
 /// it. Others have seen it in between, so its removal must be noticed here, too.
 #[test]
-fn a_lapsed_entry_that_is_there_and_cannot_be_used_is_there() {
+fn a_lapsed_entry_that_returns_unusable_is_not_gone() {
     let mut directory = BackendDirectory::default();
     directory.put(backend(1, "core", HOME));
     directory.mark_gone(1, at(13), start());
@@ -146,7 +151,7 @@
 }
 
 #[test]
-fn one_that_has_left_is_not() {
+fn a_backend_server_that_has_left_does_not_return_unusable() {
     let mut directory = BackendDirectory::default();
     directory.put(BackendEntry { phase: BackendPhase::Draining, ..backend(1, "core", HOME) });
     directory.mark_gone(1, at(13), start());
@@ -157,7 +162,7 @@
 /// A balancer has read the store, and other entries are missing there. A peer reports an entry that
 /// was absent then, at a revision that was read.
 #[test]
-fn an_entry_that_was_not_there_when_the_store_was_read_is_missing() {
+fn a_peer_entry_that_was_absent_when_the_store_was_read_is_missing() {
     let mut directory = BackendDirectory::default();
     directory.put(backend(1, "core", HOME));
     directory.complete(at(20));
@@ -172,7 +177,7 @@
 
 /// Creates a directory that received a backend server from a peer after its entry was removed. It
 /// keeps the position that the entry had.
-fn late_reader(instance: u64, read_until: u64) -> BackendDirectory {
+fn directory_with_obsolete_entry(instance: u64, read_until: u64) -> BackendDirectory {
     let mut directory = BackendDirectory::default();
     directory.complete(at(read_until));
     directory.admit_obsolete(backend(instance, "core", HOME), start());
@@ -182,19 +187,19 @@
 /// Guards against ignoring a removal that is reported at the position of the live entry, which
 /// looks like what is known already.
 #[test]
-fn an_end_at_the_position_of_the_entry_is_learned_from_one_that_knows_more() {
+fn an_end_at_the_position_of_the_entry_is_learned_from_a_peer_that_knows_more() {
     let mut deployment = settled(3);
     let now = deployment.now;
     let complete_until = deployment.node(0).knowledge().directory.complete_until();
-    let teller = late_reader(2, complete_until.revision + 5);
+    let sender = directory_with_obsolete_entry(2, complete_until.revision + 5);
 
-    tell_everything(&mut deployment, 0, &teller);
-    let entry = deployment.node(0).knowledge().directory.get(2).expect("it was known");
+    announce_and_send_directory(&mut deployment, 0, &sender);
+    let entry = deployment.node(0).knowledge().directory.get(2).expect("entry 2 is known");
     assert!(entry.is_gone(), "{entry:?} at {now:?}");
 }
 
 #[test]
-fn an_end_at_the_position_of_the_entry_is_learned_from_one_that_knows_as_much() {
+fn an_end_at_the_position_of_the_entry_is_learned_from_a_peer_that_knows_as_much() {
     let mut directory = BackendDirectory::default();
     for instance in 1..=3 {
         directory.put(backend(instance, "core", HOME));
@@ -208,12 +213,12 @@
 }
 
 #[test]
-fn such_an_end_waits_while_the_entry_may_return() {
+fn an_end_at_the_position_of_the_entry_waits_while_the_entry_may_return() {
     let mut directory = BackendDirectory::default();
     directory.put(backend(2, "core", HOME));
     directory.complete(at(9));
 
     directory.end_told(&[2].into(), at(9), Some(start() + millis(2_000)), start());
-    let entry = directory.get(2).expect("it is known");
+    let entry = directory.get(2).expect("entry 2 is known");
     assert!(!entry.is_gone() && entry.missing_until.is_some());
 }
--- a/crates/valvestage-policy/tests/steering/directory.rs
+++ b/crates/valvestage-policy/tests/steering/directory.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_gone_entry_stays_gone_for_news_that_is_older() {
+fn an_older_change_does_not_bring_a_gone_entry_back() {
     let (mut directory, now) = (BackendDirectory::default(), start());
     directory.put(backend(5, "core", HOME));
     directory.mark_gone(5, at(20), now);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn an_entry_that_returns_is_there_again() {
+fn an_entry_that_returns_is_no_longer_gone() {
     let (mut directory, now) = (BackendDirectory::default(), start());
     directory.put(backend(5, "core", HOME));
     directory.mark_gone(5, at(20), now);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn what_a_peer_tells_of_an_entry_gone_long_ago_is_obsolete() {
+fn a_peer_entry_that_was_removed_long_ago_is_obsolete() {
     let (mut directory, now) = (BackendDirectory::default(), start());
     directory.complete(at(1));
     directory.put(backend(5, "core", HOME));
@@ -54,7 +54,7 @@
 
     assert!(directory.is_obsolete(&backend(5, "core", HOME), start()));
     assert!(!directory.is_obsolete(&backend(31, "core", HOME), start()));
-    assert!(!directory.remembers(at(19)), "changes after 19 are not all known any more");
+    assert!(!directory.remembers(at(19)), "a removal after 19 was forgotten");
     assert!(directory.remembers(at(20)));
 }
 
@@ -68,7 +68,7 @@
     directory.retain_listed(&HashSet::new(), at(40), Some(now + millis(2_000)), now);
     directory.complete(at(40));
     assert!(!directory.get(5).unwrap().is_gone());
-    assert_eq!(directory.complete_until(), at(10), "what is missing is not settled yet");
+    assert_eq!(directory.complete_until(), at(10), "not complete while entries are missing");
 
     // One returns under the same id, the other does not.
     directory.put(BackendEntry { position: at(41), ..backend(5, "core", HOME) });
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn entries_missing_without_an_outage_are_gone_at_once() {
+fn entries_absent_without_an_outage_are_gone_at_once() {
     let (mut directory, now) = (BackendDirectory::default(), start());
     directory.put(backend(5, "core", HOME));
     directory.put(backend(50, "core", HOME));
@@ -141,12 +141,12 @@
 }
 
 #[test]
-fn what_went_before_the_first_list_is_not_remembered() {
+fn removals_before_the_first_list_are_not_known() {
     let mut directory = BackendDirectory::default();
     directory.put(backend(5, "core", HOME));
     directory.complete(at(40));
 
-    assert!(!directory.remembers(at(39)), "others may know an entry that went before 40");
+    assert!(!directory.remembers(at(39)), "peers may know an entry that was removed before 40");
     assert!(directory.remembers(at(40)));
 }
 
@@ -178,8 +178,8 @@
     directory.mark_missing(1, now + millis(2_300));
     directory.complete(at(9));
 
-    let told = BackendEntry { position: at(6), ..backend(1, "core", HOME) };
-    directory.admit_told(told, now);
+    let peer_entry = BackendEntry { position: at(6), ..backend(1, "core", HOME) };
+    directory.admit_told(peer_entry, now);
     assert!(directory.has_missing());
     assert_eq!(directory.get(1).unwrap().position, at(6));
     // The next list began after its deadline.
--- a/crates/valvestage-policy/tests/steering/evacuations.rs
+++ b/crates/valvestage-policy/tests/steering/evacuations.rs
@@ -11,10 +11,10 @@
 use crate::fixtures::{at, backend, data, flow, millis, opening, routes, start};
 
 /// Time within which all balancers should know of an evacuation. Users ask for five seconds.
-const AIM: Duration = Duration::from_secs(1);
+const TARGET_TIME: Duration = Duration::from_secs(1);
 
 /// The longest time that an evacuation may take when calls to the store get no reply.
-const BOUND: Duration = Duration::from_secs(5);
+const MAX_TIME: Duration = Duration::from_secs(5);
 
 const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 
@@ -42,7 +42,7 @@
 }
 
 /// Opens a flow through a balancer, and returns the verdict.
-fn open(deployment: &mut Deployment, node: usize, port: u16) -> PacketVerdict {
+fn open_flow(deployment: &mut Deployment, node: usize, port: u16) -> PacketVerdict {
     let now = deployment.now;
 
     deployment.nodes[node].as_mut().unwrap().on_packet(&opening(flow(port), 0), now)
@@ -51,7 +51,7 @@
 /// Returns the zones of twenty new flows through a balancer.
 fn zones_of_flows(deployment: &mut Deployment, node: usize, first_port: u16) -> Vec<String> {
     let verdicts: Vec<_> =
-        (first_port..first_port + 20).map(|port| open(deployment, node, port)).collect();
+        (first_port..first_port + 20).map(|port| open_flow(deployment, node, port)).collect();
 
     let zone_of = |verdict: PacketVerdict| {
         let PacketVerdict::Forward { instance, .. } = verdict else { panic!("{verdict:?}") };
@@ -67,40 +67,40 @@
 
         deployment.store.evacuate("zone-a", true);
         let took = deployment.run_until(|all| is_known_everywhere(all, &["zone-a"]));
-        assert!(took <= AIM, "{balancers} balancers: {took:?}");
+        assert!(took <= TARGET_TIME, "{balancers} balancers: {took:?}");
         deployment.run(millis(700));
         deployment.store.evacuate("zone-a", false);
         let took = deployment.run_until(|all| is_known_everywhere(all, &[]));
-        assert!(took <= AIM, "{balancers} balancers: {took:?}");
+        assert!(took <= TARGET_TIME, "{balancers} balancers: {took:?}");
     }
 }
 
 #[test]
-fn two_in_a_row_and_one_taken_back_between_them() {
+fn an_evacuation_lifted_before_the_next_is_not_in_force() {
     let mut deployment = deployment(9);
 
     deployment.store.evacuate("zone-a", true);
     deployment.store.evacuate("zone-a", false);
     deployment.store.evacuate("zone-b", true);
-    deployment.run(AIM);
+    deployment.run(TARGET_TIME);
     assert!(is_known_everywhere(&deployment, &["zone-b"]));
     deployment.store.evacuate("zone-a", true);
-    deployment.run(AIM);
+    deployment.run(TARGET_TIME);
     assert!(is_known_everywhere(&deployment, &["zone-a", "zone-b"]));
 }
 
 #[test]
 fn new_flows_go_elsewhere_and_open_ones_stay() {
     let mut deployment = deployment(9);
-    let PacketVerdict::Forward { instance, token, .. } = open(&mut deployment, 0, 1) else {
-        panic!("it is not placed")
+    let PacketVerdict::Forward { instance, token, .. } = open_flow(&mut deployment, 0, 1) else {
+        panic!("the flow is not placed")
     };
     let now = deployment.now;
     let request = data(flow(1), token, 1_001, 100, 501);
     deployment.nodes[0].as_mut().unwrap().on_packet(&request, now);
 
     deployment.store.evacuate("zone-a", true);
-    deployment.run(AIM);
+    deployment.run(TARGET_TIME);
     let zones = zones_of_flows(&mut deployment, 0, 10);
     assert!(zones.iter().all(|zone| zone != "zone-a"), "{zones:?}");
     let now = deployment.now;
@@ -110,10 +110,10 @@
 }
 
 #[test]
-fn a_copy_of_an_opening_packet_goes_elsewhere_too() {
+fn a_retransmitted_opening_packet_goes_elsewhere_too() {
     let mut deployment = deployment(9);
-    let PacketVerdict::Forward { instance, .. } = open(&mut deployment, 0, 1) else {
-        panic!("it is not placed")
+    let PacketVerdict::Forward { instance, .. } = open_flow(&mut deployment, 0, 1) else {
+        panic!("the flow is not placed")
     };
     let zone = deployment.store.backends[&instance].zone.clone();
 
@@ -126,22 +126,22 @@
 }
 
 #[test]
-fn where_all_zones_are_evacuated_flows_are_refused_at_once_and_say_why() {
+fn flows_are_reset_with_a_reason_where_all_zones_are_evacuated() {
     let mut deployment = deployment(9);
 
     for zone in ZONES {
         deployment.store.evacuate(zone, true);
     }
-    deployment.run(AIM);
-    let verdict = open(&mut deployment, 0, 1);
+    deployment.run(TARGET_TIME);
+    let verdict = open_flow(&mut deployment, 0, 1);
     assert_eq!(verdict, PacketVerdict::Reset(ResetReason::ZonesEvacuated));
 }
 
 #[test]
-fn one_that_starts_takes_no_packets_before_it_knows() {
+fn a_balancer_that_starts_is_not_ready_before_it_knows_the_evacuations() {
     let mut deployment = deployment(9);
     deployment.store.evacuate("zone-a", true);
-    deployment.run(AIM);
+    deployment.run(TARGET_TIME);
 
     deployment.start(0);
     deployment.run_until(|all| all.node(0).is_ready());
@@ -150,10 +150,10 @@
 }
 
 #[test]
-fn it_stays_in_force_through_a_restart_of_all_while_the_store_is_away() {
+fn an_evacuation_survives_a_restart_of_all_balancers_in_a_store_outage() {
     let mut deployment = deployment(9);
     deployment.store.evacuate("zone-a", true);
-    deployment.run(AIM);
+    deployment.run(TARGET_TIME);
 
     deployment.store_down = true;
     for node in 0..9 {
@@ -165,10 +165,10 @@
 }
 
 #[test]
-fn one_that_nobody_can_read_to_be_taken_back_stays_in_force_until_it_is_read() {
+fn an_evacuation_lifted_in_a_store_outage_stays_in_force_until_the_store_is_read() {
     let mut deployment = deployment(9);
     deployment.store.evacuate("zone-a", true);
-    deployment.run(AIM);
+    deployment.run(TARGET_TIME);
 
     deployment.store_down = true;
     deployment.store.evacuate("zone-a", false);
@@ -180,28 +180,28 @@
 }
 
 #[test]
-fn one_that_is_asked_for_after_calls_fell_silent_is_in_force_in_time() {
+fn an_evacuation_is_in_force_in_time_though_store_calls_get_no_reply() {
     let mut deployment = deployment(9);
 
     deployment.silence_connections();
     deployment.store.evacuate("zone-a", true);
     let took = deployment.run_until(|all| is_known_everywhere(all, &["zone-a"]));
-    assert!(took <= BOUND, "{took:?}");
+    assert!(took <= MAX_TIME, "{took:?}");
 }
 
 #[test]
-fn one_that_is_asked_for_while_its_history_is_forgotten_is_read_all_the_same() {
+fn an_evacuation_is_read_though_the_store_has_dropped_its_history() {
     let mut deployment = deployment(9);
 
     deployment.silence_connections();
     deployment.store.evacuate("zone-a", true);
     deployment.store.forgotten = deployment.store.revision;
     let took = deployment.run_until(|all| is_known_everywhere(all, &["zone-a"]));
-    assert!(took <= BOUND, "{took:?}");
+    assert!(took <= MAX_TIME, "{took:?}");
 }
 
 #[test]
-fn both_followers_may_die_at_its_moment() {
+fn an_evacuation_is_in_force_in_time_though_both_followers_die() {
     let mut deployment = deployment(9);
     let is_watching = |node: &usize| deployment.node(*node).keeper().is_watching();
     let followers: Vec<_> = (0..9).filter(is_watching).collect();
@@ -211,7 +211,7 @@
     }
     deployment.store.evacuate("zone-a", true);
     let took = deployment.run_until(|all| is_known_everywhere(all, &["zone-a"]));
-    assert!(took <= BOUND, "{took:?}");
+    assert!(took <= MAX_TIME, "{took:?}");
 }
 
 #[test]
@@ -221,40 +221,40 @@
     deployment.store.evacuate("zone-x", true);
     deployment.store.evacuate("\u{fffd}", true);
     deployment.store.evacuate("zone-a", true);
-    deployment.run(AIM);
+    deployment.run(TARGET_TIME);
     assert!(is_known_everywhere(&deployment, &["zone-a"]));
 }
 
 /// Cuts the balancers of the first zone off from the other balancers and from the store.
-fn cut_off(mut deployment: Deployment) -> Deployment {
+fn partition_first_zone(mut deployment: Deployment) -> Deployment {
     deployment.cut_from_peers = vec![0, 1, 2];
     deployment.cut_from_store = vec![0, 1, 2];
     deployment
 }
 
 #[test]
-fn a_zone_that_is_evacuated_and_cut_off_serves_its_callers_by_what_it_has() {
+fn an_evacuated_zone_that_is_cut_off_serves_its_callers_itself() {
     let mut deployment = deployment(9);
     deployment.store.evacuate("zone-a", true);
-    deployment.run(AIM);
+    deployment.run(TARGET_TIME);
 
-    let mut deployment = cut_off(deployment);
+    let mut deployment = partition_first_zone(deployment);
     deployment.run(millis(4_000));
     let zones = zones_of_flows(&mut deployment, 0, 10);
     assert!(zones.iter().any(|zone| zone == "zone-a"), "{zones:?}");
 
     deployment.cut_from_peers.clear();
     deployment.cut_from_store.clear();
-    deployment.run(AIM);
+    deployment.run(TARGET_TIME);
     let zones = zones_of_flows(&mut deployment, 0, 40);
     assert!(zones.iter().all(|zone| zone != "zone-a"), "{zones:?}");
 }
 
 #[test]
-fn one_that_only_misses_the_store_does_not() {
+fn an_evacuated_zone_that_only_lacks_the_store_gets_no_new_flows() {
     let mut deployment = deployment(9);
     deployment.store.evacuate("zone-a", true);
-    deployment.run(AIM);
+    deployment.run(TARGET_TIME);
 
     deployment.store_down = true;
     deployment.run(millis(6_000));
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn few_calls_are_made_for_them() {
+fn few_store_calls_are_made_for_evacuations() {
     let mut deployment = deployment(9);
     let before = deployment.store.calls;
 
@@ -281,18 +281,18 @@
 }
 
 #[test]
-fn an_older_word_changes_nothing() {
+fn an_older_report_changes_nothing() {
     let (mut zones, now) = (EvacuatedZones::default(), start());
 
     assert!(zones.replace(report(20, &["zone-a"]), now));
     assert!(!zones.replace(report(19, &[]), now));
     assert!(!zones.replace(report(20, &[]), now));
-    assert!(!zones.replace(report(25, &["zone-a"]), now), "nothing is new but the revision");
+    assert!(!zones.replace(report(25, &["zone-a"]), now), "only the revision is newer");
     assert_eq!(zones.as_of(), at(25));
 }
 
 #[test]
-fn a_zone_that_comes_back_waits_for_what_its_backend_servers_are_by_now() {
+fn a_zone_waits_for_the_state_of_its_backend_servers_after_its_evacuation() {
     let (mut zones, now) = (EvacuatedZones::default(), start());
     zones.replace(report(20, &["zone-a"]), now);
 
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn but_not_for_long() {
+fn a_zone_does_not_wait_long_for_the_state_of_its_backend_servers() {
     let (mut zones, now) = (EvacuatedZones::default(), start());
     zones.replace(report(20, &["zone-a"]), now);
 
@@ -314,7 +314,7 @@
 }
 
 #[test]
-fn one_that_is_evacuated_again_meanwhile_stays_so() {
+fn a_zone_that_is_evacuated_again_while_it_waits_stays_evacuated() {
     let (mut zones, now) = (EvacuatedZones::default(), start());
     zones.replace(report(20, &["zone-a"]), now);
 
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn a_deployment_without_evacuations_asks_for_none() {
+fn a_deployment_without_evacuations_does_not_read_them() {
     let mut deployment = Deployment::across_zones(4, 2);
     deployment.store.put_routes(routes(1, &[(443, "core")]));
     deployment.store.put_backend(backend(1, "core", "zone-a"));
--- a/crates/valvestage-policy/tests/steering/keepers.rs
+++ b/crates/valvestage-policy/tests/steering/keepers.rs
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_balancer_whom_the_store_turns_away_stays_up_to_date() {
+fn a_balancer_that_the_store_refuses_stays_up_to_date() {
     let mut deployment = settled(8);
     deployment.cut_from_store = vec![5];
 
@@ -150,7 +150,7 @@
         assert!(!node.knowledge().directory.get(1).unwrap().is_gone());
         assert!(!node.knowledge().directory.get(2).unwrap().is_gone());
     }
-    assert!(all_know_gone(&deployment, 3), "the third one has not returned");
+    assert!(all_know_gone(&deployment, 3), "entry 3 did not return and should be gone");
 }
 
 #[test]
@@ -206,15 +206,15 @@
 }
 
 #[test]
-fn a_balancer_that_is_cut_off_takes_no_missing_entry_for_gone() {
+fn an_isolated_balancer_keeps_missing_entries() {
     let mut deployment = settled(8);
     lapse_in_an_outage(&mut deployment);
     deployment.run(millis(1_500));
 
     // All balancers know that it is missing. One of them hears nothing more while it returns.
-    let cut = 5;
-    deployment.cut_from_store = vec![cut];
-    deployment.cut_from_peers = vec![cut];
+    let isolated = 5;
+    deployment.cut_from_store = vec![isolated];
+    deployment.cut_from_peers = vec![isolated];
     deployment.store.put_backend(backend(1, "core", HOME));
     for _ in 0..6_000 {
         deployment.run(millis(1));
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn an_entry_whose_return_watches_do_not_show_yet_is_not_gone() {
+fn an_entry_whose_return_is_not_in_the_watches_yet_is_not_gone() {
     let mut deployment = settled(8);
     lapse_in_an_outage(&mut deployment);
     deployment.store.watched_until = Some(deployment.store.revision);
@@ -241,7 +241,7 @@
     }
     let calls = deployment.store.calls;
     deployment.run(millis(10_000));
-    assert!(deployment.store.calls - calls <= 2 * 2 * 8, "nobody lists it again and again");
+    assert!(deployment.store.calls - calls <= 2 * 2 * 8, "the store is listed again and again");
 }
 
 fn assert_not_gone(deployment: &Deployment, instance: u64) {
@@ -266,15 +266,15 @@
 }
 
 #[test]
-fn one_that_was_cut_off_brings_nothing_back() {
+fn a_balancer_that_was_isolated_brings_no_gone_entry_back() {
     // When it is heard again, and when it last called the store, depends on the length of the
     // partition.
     for step in 0..8 {
-        brings_nothing_back_after(70_000 + step * 300);
+        check_nothing_returns_after(70_000 + step * 300);
     }
 }
 
-fn brings_nothing_back_after(cut_ms: u64) {
+fn check_nothing_returns_after(partition_ms: u64) {
     let mut deployment = settled(8);
     deployment.cut_from_store = vec![3];
     deployment.cut_from_peers = vec![3];
@@ -282,7 +282,7 @@
     deployment.store.delete_backend(4);
     deployment.store.put_routes(routes(8, &[(443, "core")]));
     // Long enough for the others to forget the backend server.
-    deployment.run(millis(cut_ms));
+    deployment.run(millis(partition_ms));
 
     deployment.cut_from_store.clear();
     deployment.cut_from_peers.clear();
@@ -302,7 +302,7 @@
 }
 
 #[test]
-fn messages_a_balancer_do_not_grow_with_the_deployment() {
+fn messages_per_balancer_do_not_grow_with_the_deployment() {
     let rate = |count: usize| {
         let mut deployment = settled(count);
         let before = deployment.messages;
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn a_balancer_that_starts_among_others_calls_the_store_for_nothing() {
+fn a_balancer_that_starts_among_others_does_not_call_the_store() {
     let mut deployment = settled(8);
     deployment.cut_from_store = (0..7).collect();
     deployment.run(millis(10));
@@ -341,7 +341,7 @@
 }
 
 #[test]
-fn an_outage_of_the_store_does_not_make_all_of_them_call_it() {
+fn few_balancers_call_the_store_during_its_outage() {
     let mut deployment = settled(90);
     deployment.store_down = true;
 
@@ -357,7 +357,7 @@
 }
 
 #[test]
-fn a_store_that_answers_only_some_of_them_is_enough() {
+fn a_store_that_answers_only_some_balancers_is_enough() {
     let mut deployment = settled(30);
     deployment.cut_from_store = (0..25).collect();
 
@@ -415,7 +415,7 @@
 }
 
 #[test]
-fn a_herd_that_starts_before_many_backend_servers_is_ready_soon() {
+fn balancers_that_start_together_before_many_backend_servers_are_ready_soon() {
     let mut deployment = Deployment::new(60);
     deployment.store.put_routes(routes(3, &[(443, "core")]));
     for instance in 1..=1_500 {
@@ -435,7 +435,7 @@
 }
 
 #[test]
-fn a_herd_in_several_zones_leaves_few_followers_soon() {
+fn balancers_that_start_together_in_several_zones_soon_leave_few_followers() {
     const COUNT: usize = 240;
     let mut deployment = Deployment::across_zones(COUNT, 3);
     deployment.store.put_routes(routes(3, &[(443, "core")]));
@@ -457,7 +457,7 @@
 }
 
 #[test]
-fn one_that_starts_after_an_outage_does_not_make_lapsed_entries_gone() {
+fn a_balancer_that_starts_after_an_outage_does_not_make_lapsed_entries_gone() {
     let mut deployment = settled(8);
     deployment.store_down = true;
     deployment.run(millis(4_000));
@@ -480,7 +480,7 @@
     }
     deployment.store.put_backend(backend(1, "core", HOME));
     deployment.run(millis(6_000));
-    assert!(all_know_gone(&deployment, 2), "it has not returned");
+    assert!(all_know_gone(&deployment, 2), "entry 2 did not return and should be gone");
     for node in deployment.nodes.iter().flatten() {
         assert!(!node.knowledge().directory.get(1).unwrap().is_gone());
     }
@@ -490,7 +490,7 @@
 /// receives nothing still announces its knowledge and answers no requests. Balancers that request
 /// from it at each of its heartbeats get a configuration 3 s late.
 #[test]
-fn one_that_answers_nobody_keeps_no_other_from_a_new_configuration() {
+fn a_follower_that_receives_nothing_does_not_delay_a_new_configuration() {
     for step in 0..20 {
         for follower in 0..2 {
             let mut deployment = settled(4);
--- a/crates/valvestage-policy/tests/steering/lapses.rs
+++ b/crates/valvestage-policy/tests/steering/lapses.rs
@@ -16,10 +16,10 @@
 use crate::fixtures::{AWAY, HOME, at, backend, data, flow, knowledge, millis, opening, start};
 
 /// Longer than entries take to return.
-const RETURNED: Duration = Duration::from_millis(2_400);
+const RETURNED_AFTER: Duration = Duration::from_millis(2_400);
 
 /// Longer than a dead backend server is silent before its entry lapses.
-const SILENT: Duration = Duration::from_millis(2_100);
+const SILENT_BEFORE_LAPSE: Duration = Duration::from_millis(2_100);
 
 struct Site {
     policy: SteeringPolicy,
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn own_signs_of_life_go_before_a_lapse() {
+fn flows_of_a_backend_server_that_showed_life_survive_its_lapse() {
     let mut site = Site::with_open_flow(HOME);
 
     site.wait(millis(500));
@@ -82,31 +82,31 @@
 }
 
 #[test]
-fn one_that_has_not_returned_in_time_is_gone_whatever_it_showed() {
+fn flows_end_if_the_entry_does_not_return_in_time() {
     let mut site = Site::with_open_flow(HOME);
 
     site.lapse();
-    site.wait(RETURNED);
+    site.wait(RETURNED_AFTER);
     assert_ends(site.request());
 }
 
 #[test]
-fn one_that_returns_keeps_its_flows() {
+fn flows_stay_if_the_entry_returns() {
     let mut site = Site::with_open_flow(HOME);
 
     site.lapse();
     site.wait(millis(1_500));
     site.known.directory.put(BackendEntry { position: at(2_500), ..backend(1, "core", HOME) });
-    site.wait(RETURNED);
+    site.wait(RETURNED_AFTER);
     assert_stays(site.request());
 }
 
 #[test]
-fn one_that_was_silent_before_its_entry_lapsed_is_gone_at_once() {
+fn flows_of_a_backend_server_that_was_silent_before_its_lapse_end_at_once() {
     let mut site = Site::with_open_flow(HOME);
 
     for _ in 0..2 {
-        site.wait(SILENT / 2);
+        site.wait(SILENT_BEFORE_LAPSE / 2);
         site.known.confirm(Some(site.now));
     }
     site.lapse();
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn one_that_was_draining_is_gone_at_once() {
+fn flows_of_a_draining_backend_server_end_at_once_with_its_entry() {
     let mut site = Site::with_open_flow(HOME);
     let leaving = BackendEntry {
         position: at(1_500),
@@ -131,7 +131,7 @@
 
 /// Creates a balancer that was partitioned together with its zone: nothing has confirmed its
 /// knowledge for five seconds.
-fn after_a_cut(zone: &str) -> Site {
+fn after_partition(zone: &str) -> Site {
     let mut site = Site::with_open_flow(zone);
 
     site.wait(millis(5_000));
@@ -139,8 +139,8 @@
 }
 
 #[test]
-fn in_a_zone_that_was_cut_off_a_lapse_says_nothing_of_its_own_backend_servers() {
-    let mut site = after_a_cut(HOME);
+fn a_lapse_in_a_partitioned_zone_ends_no_flow_on_its_own_backend_servers() {
+    let mut site = after_partition(HOME);
 
     site.lapse();
     site.wait(millis(50));
@@ -148,13 +148,13 @@
     // The lapse is followed by a confirmation of the knowledge.
     site.known.confirm(Some(site.now));
     assert_stays(site.request());
-    site.wait(RETURNED);
+    site.wait(RETURNED_AFTER);
     assert_ends(site.request());
 }
 
 #[test]
-fn a_lapse_during_the_cut_that_is_told_after_the_confirmation_says_nothing_either() {
-    let mut site = after_a_cut(HOME);
+fn a_lapse_in_a_partition_that_is_learned_after_the_confirmation_ends_no_flow() {
+    let mut site = after_partition(HOME);
 
     site.known.confirm(Some(site.now));
     site.wait(millis(100));
@@ -163,8 +163,8 @@
 }
 
 #[test]
-fn backend_servers_on_the_other_side_of_the_cut_are_gone_at_once() {
-    let mut site = after_a_cut(AWAY);
+fn flows_to_the_other_side_of_a_partition_end_at_once() {
+    let mut site = after_partition(AWAY);
 
     site.lapse();
     site.wait(millis(50));
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn one_that_was_never_seen_here_may_live_while_its_entry_cannot_return() {
+fn an_unseen_backend_server_may_be_alive_while_its_entry_cannot_return() {
     let mut site = after_an_unseen_lapse();
 
     let verdict = request_on_unseen(&mut site);
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn the_first_copy_of_a_packet_shows_that_it_does_not() {
+fn the_first_retransmission_shows_that_an_unseen_backend_server_is_dead() {
     let mut site = after_an_unseen_lapse();
 
     request_on_unseen(&mut site);
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn one_that_was_never_seen_here_is_gone_once_the_store_has_answered_for_long_enough() {
+fn an_unseen_backend_server_is_gone_once_the_store_has_answered_for_long_enough() {
     let mut site = after_an_unseen_lapse();
 
     site.wait(millis(3_100));
@@ -229,18 +229,18 @@
 }
 
 /// Creates a balancer that has just started and receives an entry that lapsed the given time ago.
-fn told_at_a_start(ago: Duration) -> Site {
+fn lapse_reported_at_start(ago: Duration) -> Site {
     let mut site = Site::with_open_flow(HOME);
-    let mut teller = BackendDirectory::default();
+    let mut sender = BackendDirectory::default();
     let mut lapsed = backend(9, "core", HOME);
     lapsed.address = backend(2, "core", HOME).address;
-    teller.put(lapsed);
-    teller.complete(at(1_000));
-    teller.mark_gone(9, at(2_000), site.now);
+    sender.put(lapsed);
+    sender.complete(at(1_000));
+    sender.mark_gone(9, at(2_000), site.now);
     site.now += ago;
 
     let pull = BackendsPull { after: at(0), scope: WalkScope::Everything };
-    for message in backends_messages(&teller, pull, site.now) {
+    for message in backends_messages(&sender, pull, site.now) {
         let PeerMessage::Backends(part) = message else { panic!("not a part of backends") };
         for entry in entries_of(part, site.now) {
             site.known.directory.admit(entry, site.now);
@@ -250,18 +250,18 @@
 }
 
 #[test]
-fn one_that_starts_after_a_lapse_ends_nothing_until_the_entry_has_had_its_time() {
-    let on_lapsed =
+fn a_balancer_that_starts_after_a_lapse_ends_no_flow_while_the_entry_may_return() {
+    let request_on_lapsed =
         |mut site: Site| site.send(&data(flow(2), BackendDirectory::token_of(9), 1_001, 100, 501));
 
-    let verdict = on_lapsed(told_at_a_start(millis(600)));
+    let verdict = request_on_lapsed(lapse_reported_at_start(millis(600)));
     assert!(matches!(verdict, PacketVerdict::Forward { instance: 9, .. }), "{verdict:?}");
-    assert_ends(on_lapsed(told_at_a_start(RETURNED)));
+    assert_ends(request_on_lapsed(lapse_reported_at_start(RETURNED_AFTER)));
 }
 
 /// Creates a balancer that has just started and reads an entry in the store, which lapses 600 ms
 /// later. It had no time to see whether the backend server shows life.
-fn lapsed_after_a_start() -> Site {
+fn lapsed_after_start() -> Site {
     let mut site = Site::with_open_flow(HOME);
     site.known.directory.put(backend(3, "core", AWAY));
     site.known.see_from(site.now);
@@ -273,18 +273,18 @@
 }
 
 #[test]
-fn one_that_started_shortly_before_a_lapse_ends_nothing_that_it_has_not_seen() {
-    let mut site = lapsed_after_a_start();
+fn a_balancer_that_started_shortly_before_a_lapse_ends_no_unseen_flow() {
+    let mut site = lapsed_after_start();
 
     let verdict = request_on_unseen(&mut site);
     assert!(matches!(verdict, PacketVerdict::Forward { instance: 3, .. }), "{verdict:?}");
-    site.wait(RETURNED);
+    site.wait(RETURNED_AFTER);
     assert_ends(request_on_unseen(&mut site));
 }
 
 #[test]
-fn one_that_started_shortly_before_a_lapse_goes_by_the_first_sign_of_death() {
-    let mut site = lapsed_after_a_start();
+fn a_balancer_that_started_shortly_before_a_lapse_ends_flows_at_a_retransmission() {
+    let mut site = lapsed_after_start();
 
     request_on_unseen(&mut site);
     site.wait(millis(200));
@@ -292,12 +292,12 @@
 }
 
 #[test]
-fn one_that_has_watched_for_long_takes_silence_for_an_end() {
+fn a_balancer_that_has_run_for_long_takes_silence_for_an_end() {
     let mut site = Site::with_open_flow(HOME);
     site.known.directory.put(backend(3, "core", AWAY));
     site.known.see_from(site.now);
 
-    site.wait(SILENT);
+    site.wait(SILENT_BEFORE_LAPSE);
     site.known.directory.mark_gone(3, at(2_000), site.now);
     site.wait(millis(300));
     assert_ends(request_on_unseen(&mut site));
@@ -305,7 +305,7 @@
 
 /// A request is answered after the lapse: the entry cannot return, but the flow goes on.
 #[test]
-fn one_that_answers_after_its_lapse_keeps_its_flows_whatever_the_time() {
+fn a_backend_server_that_answers_after_its_lapse_keeps_its_flows() {
     let mut site = Site::with_open_flow(HOME);
 
     site.lapse();
@@ -313,20 +313,20 @@
     assert_stays(site.request());
     site.wait(millis(40));
     site.send(&data(flow(1), BackendDirectory::token_of(1), 1_101, 0, 900));
-    site.wait(RETURNED);
+    site.wait(RETURNED_AFTER);
     assert_stays(site.send(&data(flow(1), BackendDirectory::token_of(1), 1_101, 100, 900)));
 }
 
 /// A balancer that receives messages but is not heard gets no answers to its requests for what the
 /// others know more, and the entry may have returned.
 #[test]
-fn one_that_knows_that_others_know_more_ends_nothing_by_its_own_clock() {
+fn a_balancer_that_is_behind_its_peers_ends_no_flow() {
     let mut site = Site::with_open_flow(HOME);
 
     site.lapse();
     site.wait(millis(1_000));
     site.known.note_behind(site.now);
-    site.wait(RETURNED);
+    site.wait(RETURNED_AFTER);
     assert_stays(site.request());
     site.known.note_caught_up();
     site.wait(millis(200));
@@ -356,21 +356,21 @@
 /// Guards against times that fit only one heartbeat interval. With a longer interval, a backend
 /// server that answered nothing for some seconds before its entry lapsed may still be alive.
 #[test]
-fn signs_of_life_count_that_are_younger_than_a_lapse() {
+fn signs_of_life_within_the_lapse_time_keep_flows() {
     for heartbeat_ms in HEARTBEATS_MS {
         assert_stays(silent_for(heartbeat_ms, 0.8).request());
     }
 }
 
 #[test]
-fn a_silence_as_long_as_a_lapse_shows_an_end() {
+fn silence_for_the_lapse_time_ends_flows() {
     for heartbeat_ms in HEARTBEATS_MS {
         assert_ends(silent_for(heartbeat_ms, 1.0).request());
     }
 }
 
 #[test]
-fn a_birth_is_known_after_a_lapse_and_a_heartbeat() {
+fn a_start_is_known_after_a_lapse_and_a_heartbeat() {
     for heartbeat_ms in HEARTBEATS_MS {
         let times = EntryTimes::new(millis(heartbeat_ms));
         assert!(times.start_known_within() > times.lapse() + millis(heartbeat_ms));
--- a/crates/valvestage-policy/tests/steering/rebirths.rs
+++ b/crates/valvestage-policy/tests/steering/rebirths.rs
@@ -21,7 +21,7 @@
 const FIRST: u64 = NAME | 1 << 40;
 const SECOND: u64 = NAME | 2 << 40;
 
-fn birth(instance: u64, revision: u64) -> BackendEntry {
+fn incarnation(instance: u64, revision: u64) -> BackendEntry {
     let entry = backend(NAME, "core", HOME);
 
     BackendEntry { instance, position: at(revision), ..entry }
@@ -29,7 +29,7 @@
 
 fn directory() -> BackendDirectory {
     let mut directory = BackendDirectory::default();
-    directory.put(birth(FIRST, 500));
+    directory.put(incarnation(FIRST, 500));
     directory.complete(at(1_000));
     directory
 }
@@ -42,10 +42,10 @@
 }
 
 #[test]
-fn a_birth_ends_the_one_before_it() {
+fn a_new_incarnation_ends_the_one_before_it() {
     let mut directory = directory();
 
-    let changed = directory.admit(birth(SECOND, 1_100), start());
+    let changed = directory.admit(incarnation(SECOND, 1_100), start());
     assert_eq!(changed, [FIRST, SECOND]);
     assert_superseded(&directory, FIRST);
     assert_eq!(directory.take_newly_gone(), [FIRST]);
@@ -53,12 +53,12 @@
 }
 
 #[test]
-fn so_it_does_at_another_address_and_for_another_service() {
+fn a_new_incarnation_at_another_address_for_another_service_ends_the_one_before_it() {
     let mut directory = directory();
     let elsewhere = BackendEntry {
         address: backend(9, "core", HOME).address,
         service: "photos".to_owned(),
-        ..birth(SECOND, 1_100)
+        ..incarnation(SECOND, 1_100)
     };
 
     directory.admit(elsewhere, start());
@@ -66,66 +66,66 @@
 }
 
 #[test]
-fn a_draining_one_that_is_born_again_is_ready() {
+fn a_draining_backend_server_that_restarts_is_ready() {
     let mut directory = directory();
-    let draining = BackendEntry { phase: BackendPhase::Draining, ..birth(FIRST, 1_050) };
+    let draining = BackendEntry { phase: BackendPhase::Draining, ..incarnation(FIRST, 1_050) };
     directory.admit(draining, start());
 
-    directory.admit(birth(SECOND, 1_100), start());
+    directory.admit(incarnation(SECOND, 1_100), start());
     assert_eq!(directory.get(SECOND).unwrap().phase, BackendPhase::Ready);
     assert!(directory.get(FIRST).unwrap().is_gone());
 }
 
 #[test]
-fn an_older_birth_does_not_return_by_a_late_word() {
+fn an_older_incarnation_does_not_return_by_a_late_report() {
     let mut directory = directory();
-    directory.admit(birth(SECOND, 1_100), start());
+    directory.admit(incarnation(SECOND, 1_100), start());
 
-    assert!(directory.admit(birth(FIRST, 900), start()).is_empty());
-    assert!(directory.admit_told(birth(FIRST, 1_090), start()).is_empty());
+    assert!(directory.admit(incarnation(FIRST, 900), start()).is_empty());
+    assert!(directory.admit_told(incarnation(FIRST, 1_090), start()).is_empty());
     assert_eq!(directory.living(name_of(NAME)), [SECOND]);
 }
 
 #[test]
-fn nor_by_a_write_of_its_own_that_was_done_late() {
+fn an_older_incarnation_does_not_return_by_its_own_late_write() {
     let mut directory = directory();
-    directory.admit(birth(SECOND, 1_100), start());
+    directory.admit(incarnation(SECOND, 1_100), start());
 
-    assert!(directory.admit(birth(FIRST, 1_200), start()).is_empty());
+    assert!(directory.admit(incarnation(FIRST, 1_200), start()).is_empty());
     assert_eq!(directory.living(name_of(NAME)), [SECOND]);
-    directory.admit(birth(SECOND, 1_300), start());
+    directory.admit(incarnation(SECOND, 1_300), start());
     assert_eq!(directory.get(SECOND).unwrap().phase, BackendPhase::Ready);
 }
 
 #[test]
-fn births_learned_in_any_order_leave_the_last_one() {
+fn incarnations_learned_in_any_order_leave_the_last_one() {
     let mut directory = BackendDirectory::default();
 
-    directory.admit(birth(SECOND, 1_100), start());
-    directory.admit(birth(FIRST, 500), start());
+    directory.admit(incarnation(SECOND, 1_100), start());
+    directory.admit(incarnation(FIRST, 500), start());
     assert_eq!(directory.living(name_of(NAME)), [SECOND]);
     assert_superseded(&directory, FIRST);
 }
 
 /// A balancer that knows both incarnations sends them to one that knows neither.
 #[test]
-fn peers_tell_of_births_and_names() {
+fn peers_exchange_incarnations_and_names() {
     let now = start();
-    let mut teller = directory();
-    teller.admit(birth(SECOND, 1_100), now);
-    teller.complete(at(1_100));
+    let mut sender = directory();
+    sender.admit(incarnation(SECOND, 1_100), now);
+    sender.complete(at(1_100));
 
-    let mut hearer = BackendDirectory::default();
+    let mut receiver = BackendDirectory::default();
     let pull = BackendsPull { after: at(0), scope: WalkScope::Everything };
-    for message in backends_messages(&teller, pull, now) {
+    for message in backends_messages(&sender, pull, now) {
         let PeerMessage::Backends(part) = message else { panic!("not a part of backends") };
         for entry in entries_of(part, now) {
-            hearer.admit_told(entry, now);
+            receiver.admit_told(entry, now);
         }
     }
-    assert_eq!(hearer.living(name_of(NAME)), [SECOND]);
-    assert!(hearer.admit(birth(FIRST, 1_200), now).is_empty());
-    assert_eq!(hearer.living(name_of(NAME)), [SECOND]);
+    assert_eq!(receiver.living(name_of(NAME)), [SECOND]);
+    assert!(receiver.admit(incarnation(FIRST, 1_200), now).is_empty());
+    assert_eq!(receiver.living(name_of(NAME)), [SECOND]);
 }
 
 struct Site {
@@ -140,7 +140,7 @@
         let options = SteeringOptions { zone: HOME.to_owned(), ..Default::default() };
         let mut site = Self {
             policy: SteeringPolicy::new(options, 1),
-            known: knowledge(&[birth(FIRST, 500)]),
+            known: knowledge(&[incarnation(FIRST, 500)]),
             now: start(),
         };
 
@@ -159,30 +159,30 @@
 }
 
 /// Longer than it takes until a start is known.
-const LEARNED: Duration = Duration::from_millis(5_500);
+const START_KNOWN_AFTER: Duration = Duration::from_millis(5_500);
 
 #[test]
-fn callers_of_a_dead_birth_are_told_at_once() {
+fn callers_of_an_ended_incarnation_are_reset_at_once() {
     let mut site = Site::with_open_flow();
 
     for _ in 0..6 {
-        site.now += LEARNED / 6;
+        site.now += START_KNOWN_AFTER / 6;
         site.known.confirm(Some(site.now));
     }
-    site.known.directory.admit(birth(SECOND, 1_100), site.now);
+    site.known.directory.admit(incarnation(SECOND, 1_100), site.now);
     site.policy.end_flows(&mut site.known, site.now);
-    let told: Vec<_> = site.policy.take_resets().iter().map(|reset| reset.flow).collect();
-    assert_eq!(told, [flow(1)]);
+    let reset_flows: Vec<_> = site.policy.take_resets().iter().map(|reset| reset.flow).collect();
+    assert_eq!(reset_flows, [flow(1)]);
 }
 
 /// The flow may have been opened at the new process before its start was known here, so a reset
 /// could end a live flow.
 #[test]
-fn callers_of_the_last_moments_are_not() {
+fn the_most_recent_flows_of_an_ended_incarnation_are_not_reset() {
     let mut site = Site::with_open_flow();
 
     site.now += millis(500);
-    site.known.directory.admit(birth(SECOND, 1_100), site.now);
+    site.known.directory.admit(incarnation(SECOND, 1_100), site.now);
     site.policy.end_flows(&mut site.known, site.now);
     assert!(site.policy.take_resets().is_empty());
     let verdict = site.request(1);
@@ -191,10 +191,10 @@
 
 /// Only the process knows whether it holds the flow, and resets it if it does not.
 #[test]
-fn the_token_of_a_dead_birth_leads_to_the_process_at_its_address() {
+fn the_token_of_an_ended_incarnation_leads_to_its_successor() {
     let mut site = Site::with_open_flow();
 
-    site.known.directory.admit(birth(SECOND, 1_100), site.now);
+    site.known.directory.admit(incarnation(SECOND, 1_100), site.now);
     let verdict = site.request(2);
     assert!(
         matches!(verdict, PacketVerdict::Forward { instance: SECOND, number: NAME, .. }),
@@ -205,28 +205,28 @@
 /// A balancer that started after the restart knows only the new incarnation, while callers hold the
 /// token of the name.
 #[test]
-fn it_does_so_where_nobody_knows_the_birth_before() {
+fn the_token_leads_to_the_successor_where_the_ended_incarnation_is_unknown() {
     let mut site = Site::with_open_flow();
-    site.known = knowledge(&[birth(SECOND, 500)]);
+    site.known = knowledge(&[incarnation(SECOND, 500)]);
 
     let verdict = site.request(2);
     assert!(matches!(verdict, PacketVerdict::Forward { instance: SECOND, .. }), "{verdict:?}");
 }
 
 #[test]
-fn but_never_to_another_service() {
+fn the_token_never_leads_to_a_successor_of_another_service() {
     let mut site = Site::with_open_flow();
-    let second = BackendEntry { service: "photos".to_owned(), ..birth(SECOND, 1_100) };
+    let second = BackendEntry { service: "photos".to_owned(), ..incarnation(SECOND, 1_100) };
 
     site.known.directory.admit(second, site.now);
     assert_eq!(site.request(2), PacketVerdict::Reset(ResetReason::BackendGone));
 }
 
 #[test]
-fn packets_name_the_backend_server_as_its_name_does() {
+fn packets_carry_the_number_in_the_name() {
     let mut site = Site::with_open_flow();
 
-    site.known.directory.admit(birth(SECOND, 1_100), site.now);
+    site.known.directory.admit(incarnation(SECOND, 1_100), site.now);
     let verdict = site.policy.on_packet(&site.known, &opening(flow(3), 0), site.now);
     assert!(
         matches!(verdict, PacketVerdict::Forward { instance: SECOND, number: NAME, .. }),
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn what_was_learned_of_a_dead_birth_says_nothing_of_the_next() {
+fn suspicion_of_an_ended_incarnation_does_not_pass_to_the_next() {
     let mut site = Site::with_open_flow();
     // Three flows get no answers.
     site.now += millis(10);
@@ -248,7 +248,7 @@
     }
     assert_eq!(site.policy.suspects(site.now), [FIRST]);
 
-    site.known.directory.admit(birth(SECOND, 1_100), site.now);
+    site.known.directory.admit(incarnation(SECOND, 1_100), site.now);
     assert!(!site.policy.suspects(site.now).contains(&SECOND));
     let verdict = site.policy.on_packet(&site.known, &opening(flow(20), 0), site.now);
     assert!(matches!(verdict, PacketVerdict::Forward { instance: SECOND, .. }), "{verdict:?}");
@@ -257,7 +257,7 @@
 #[test]
 fn a_name_that_ends_in_the_same_digits_is_another_backend_server() {
     let mut directory = directory();
-    let mut other = birth(SECOND, 1_100);
+    let mut other = incarnation(SECOND, 1_100);
     other.name = BackendName { digest: 1, ..other.name };
     other.address = backend(9, "core", HOME).address;
 
@@ -268,14 +268,14 @@
 
 /// Creates an entry of a service that the configuration, which names only `core` and `photos`, does
 /// not name.
-fn stranger(revision: u64) -> BackendEntry {
-    BackendEntry { service: "nobody's".to_owned(), ..birth(SECOND, revision) }
+fn of_unknown_service(revision: u64) -> BackendEntry {
+    BackendEntry { service: "nobody's".to_owned(), ..incarnation(SECOND, revision) }
 }
 
 #[test]
-fn an_entry_of_a_service_that_nobody_named_ends_no_flow_at_its_address() {
+fn an_entry_of_an_unknown_service_ends_no_flow_at_its_address() {
     let mut site = Site::with_open_flow();
-    let mut other = stranger(1_100);
+    let mut other = of_unknown_service(1_100);
     other.name = BackendName { digest: 1, ..other.name };
 
     site.known.directory.admit(other, site.now);
@@ -284,63 +284,63 @@
 }
 
 #[test]
-fn nor_under_its_name_where_new_flows_go_elsewhere_until_its_entry_is_good() {
+fn an_entry_of_an_unknown_service_ends_no_flow_under_its_name_but_stops_new_ones() {
     let mut site = Site::with_open_flow();
 
-    site.known.directory.admit(stranger(1_100), site.now);
+    site.known.directory.admit(of_unknown_service(1_100), site.now);
     assert!(matches!(site.request(1), PacketVerdict::Forward { instance: FIRST, .. }));
     let verdict = site.policy.on_packet(&site.known, &opening(flow(5), 0), site.now);
     assert_eq!(verdict, PacketVerdict::Reset(ResetReason::NoBackend));
 
-    site.known.directory.admit(birth(FIRST, 1_200), site.now);
+    site.known.directory.admit(incarnation(FIRST, 1_200), site.now);
     let verdict = site.policy.on_packet(&site.known, &opening(flow(6), 0), site.now);
     assert!(matches!(verdict, PacketVerdict::Forward { instance: FIRST, .. }), "{verdict:?}");
 }
 
 #[test]
-fn an_entry_that_cannot_be_used_keeps_its_flows_and_gets_no_new_ones() {
+fn a_backend_server_with_an_unusable_entry_keeps_its_flows_and_gets_no_new_ones() {
     let mut site = Site::with_open_flow();
 
     assert!(site.known.directory.mark_unusable(FIRST, at(1_100)));
     assert!(matches!(site.request(1), PacketVerdict::Forward { instance: FIRST, .. }));
     let verdict = site.policy.on_packet(&site.known, &opening(flow(5), 0), site.now);
     assert_eq!(verdict, PacketVerdict::Reset(ResetReason::NoBackend));
-    assert!(!site.known.directory.mark_unusable(FIRST, at(1_050)), "older news");
+    assert!(!site.known.directory.mark_unusable(FIRST, at(1_050)), "the known state is newer");
 }
 
 /// Guards against ordering incarnations by an unusable entry. Such an entry does not say which
 /// incarnation wrote it last, so its position orders nothing.
 #[test]
-fn a_birth_before_the_entry_became_unusable_is_newer_than_the_one_known() {
+fn a_start_before_the_entry_became_unusable_is_newer_than_the_known_incarnation() {
     let mut directory = directory();
     directory.mark_gone(FIRST, at(1_050), start());
     directory.mark_unusable(FIRST, at(1_200));
 
-    directory.admit(birth(SECOND, 1_100), start());
+    directory.admit(incarnation(SECOND, 1_100), start());
     assert_superseded(&directory, FIRST);
     assert_eq!(directory.living(name_of(NAME)), [SECOND]);
 }
 
 #[test]
-fn an_older_birth_is_not_newer_than_one_whose_entry_became_unusable() {
+fn an_older_incarnation_is_not_newer_than_one_whose_entry_became_unusable() {
     let mut directory = directory();
     directory.mark_unusable(FIRST, at(1_200));
 
-    directory.admit(birth(SECOND, 400), start());
+    directory.admit(incarnation(SECOND, 400), start());
     assert_eq!(directory.living(name_of(NAME)), [FIRST]);
 }
 
 /// The store was read while the entry was unusable, and a peer reports the incarnation that it
 /// belongs to.
 #[test]
-fn a_birth_that_an_unusable_entry_may_belong_to_has_not_gone_long_ago() {
+fn an_incarnation_that_an_unusable_entry_may_belong_to_is_not_obsolete() {
     let mut directory = directory();
     directory.mark_unusable(FIRST, at(1_200));
     directory.complete(at(1_300));
-    let told = BackendEntry { phase: BackendPhase::Unusable, ..birth(SECOND, 1_200) };
+    let peer_entry = BackendEntry { phase: BackendPhase::Unusable, ..incarnation(SECOND, 1_200) };
 
-    assert!(!directory.is_obsolete(&told, start()));
-    directory.admit_told(told, start());
+    assert!(!directory.is_obsolete(&peer_entry, start()));
+    directory.admit_told(peer_entry, start());
     assert_eq!(directory.living(name_of(NAME)), [SECOND]);
-    assert!(directory.is_obsolete(&birth(SECOND + (1 << 40), 450), start()));
+    assert!(directory.is_obsolete(&incarnation(SECOND + (1 << 40), 450), start()));
 }
--- a/crates/valvestage-policy/tests/steering/restored_store.rs
+++ b/crates/valvestage-policy/tests/steering/restored_store.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_leaving_backend_server_is_known_everywhere_though_its_revision_was_given_out_before() {
+fn a_drain_is_known_everywhere_though_its_revision_was_given_out_before() {
     let mut deployment = settled(8);
 
     restore(&mut deployment, 4);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_backend_server_that_was_known_as_leaving_gets_nothing_because_of_an_old_copy() {
+fn a_backup_does_not_make_a_draining_backend_server_ready() {
     let mut deployment = settled(8);
     deployment.store.put_backend(draining(2));
     deployment.run_until(|now| is_draining_everywhere(now, 2));
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_backend_server_that_has_left_is_not_believed_in_because_of_an_old_copy() {
+fn a_backup_does_not_bring_back_a_backend_server_that_has_left() {
     let mut deployment = settled(8);
     deployment.store.put_backend(draining(2));
     deployment.run(millis(2_000));
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_backend_server_that_an_old_copy_lacks_is_used_until_it_is_really_gone() {
+fn a_backend_server_that_a_backup_lacks_is_used_until_it_is_gone() {
     let mut deployment = settled(8);
     deployment.store.put_backend(backend(7, "core", AWAY));
     deployment.run(millis(2_000));
@@ -189,7 +189,7 @@
 
 /// The open watches begin again only when the store has given out more revisions than it had lost.
 #[test]
-fn a_store_that_has_overtaken_what_it_lost_is_listed_all_the_same() {
+fn a_restored_store_that_has_passed_its_former_revision_is_listed_again() {
     let mut deployment = settled(8);
     deployment.silence_connections();
 
@@ -220,7 +220,7 @@
 
 /// It knows only the new era, of which the others have not heard.
 #[test]
-fn one_that_starts_in_the_new_era_agrees_with_the_others() {
+fn a_balancer_that_starts_in_the_new_era_agrees_with_the_others() {
     let mut deployment = settled(8);
     deployment.store.put_backend(draining(2));
     deployment.run(millis(1_000));
@@ -238,7 +238,7 @@
 /// It hears of the new era 5 s later, and its knowledge of the former era must not overwrite
 /// anything.
 #[test]
-fn one_that_stood_still_while_the_store_was_restored_brings_nothing_back() {
+fn a_balancer_that_was_paused_during_a_restore_brings_nothing_back() {
     let mut deployment = settled(8);
     deployment.store.put_backend(backend(7, "core", AWAY));
     deployment.run(millis(1_000));
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn an_evacuation_that_an_old_copy_lacks_stays_until_the_operator_has_had_time_to_write_it_again() {
+fn an_evacuation_that_a_backup_lacks_stays_until_the_operator_can_write_it_again() {
     let mut deployment = Deployment::across_zones(8, 3);
     deployment.has_evacuations = true;
     for node in 0..8 {
