--- a/crates/valvestage-policy/src/steering/knowledge/backend_directory.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/backend_directory.rs
@@ -228,9 +228,9 @@
             .is_some_and(|known| known.position.era < entry.position.era && known.is_same(&entry));
         self.record_change(entry.position);
         self.assign_token(&entry);
-        let births = self.names.entry(entry.name).or_default();
-        if !births.contains(&entry.instance) {
-            births.push(entry.instance);
+        let incarnations = self.names.entry(entry.name).or_default();
+        if !incarnations.contains(&entry.instance) {
+            incarnations.push(entry.instance);
         }
         self.entries.insert(entry);
         !is_repeated
@@ -461,9 +461,9 @@
         if self.tokens.get(&token) == Some(&instance) {
             self.tokens.remove(&token);
         }
-        if let Some(births) = self.names.get_mut(&entry.name) {
-            births.retain(|birth| *birth != instance);
-            if births.is_empty() {
+        if let Some(incarnations) = self.names.get_mut(&entry.name) {
+            incarnations.retain(|id| *id != instance);
+            if incarnations.is_empty() {
                 self.names.remove(&entry.name);
             }
         }
--- a/crates/valvestage-policy/src/steering/knowledge/backend_name.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/backend_name.rs
@@ -46,14 +46,15 @@
         Self { digest: text_digest(name), number }
     }
 
-    /// Returns the id of the incarnation that started at `born`, which is None if its entry does not
-    /// say when. The id is the same at every balancer. Its last ten hex digits are those of the name,
-    /// for readers of logs. Two starts of one name share the other digits once in 16 million.
+    /// Returns the id of the incarnation that started at `started_at`, which is None if its entry
+    /// does not say when. The id is the same at every balancer. Its last ten hex digits are those of
+    /// the name, for readers of logs. Two starts of one name share the other digits once in 16
+    /// million.
     #[must_use]
-    pub fn incarnation(self, born: Option<BirthMillis>) -> InstanceId {
+    pub fn incarnation(self, started_at: Option<BirthMillis>) -> InstanceId {
         let mut hasher = SipHasher13::new();
         hasher.write_u32(self.digest);
-        hasher.write_u64(born.unwrap_or(0));
+        hasher.write_u64(started_at.unwrap_or(0));
 
         // Only the upper bits are left after the shift.
         #[allow(clippy::cast_possible_truncation)]
--- a/crates/valvestage-policy/src/steering/knowledge/evacuated_zones.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/evacuated_zones.rs
@@ -84,7 +84,8 @@
     }
 
     /// Applies a report. Returns true if it is newer and the evacuated zones have changed. Zones
-    /// whose evacuation was lifted get no new flows before [`Self::release_returning`] releases them.
+    /// whose evacuation was lifted get no new flows before [`Self::release_returning`] releases
+    /// them.
     pub fn replace(&mut self, report: EvacuationReport, now: Instant) -> bool {
         if report.as_of <= self.as_of {
             return false;
--- a/crates/valvestage-policy/src/steering/knowledge/lapse.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/lapse.rs
@@ -18,7 +18,7 @@
 /// store, and up to 0.3 s more until the confirmation. An entry that is missing after that is gone.
 pub(in crate::steering) const RETURN_TIME: Duration = Duration::from_millis(2_300);
 
-/// Tells lapsed entries from ended backend servers, by what is known at one moment.
+/// Distinguishes lapsed entries from ended backend servers, by what is known at one moment.
 pub(in crate::steering) struct LapseJudge<'a> {
     /// Availability zone of this balancer.
     pub own_zone: &'a ZoneName,
--- a/crates/valvestage-policy/tests/steering/keepers.rs
+++ b/crates/valvestage-policy/tests/steering/keepers.rs
@@ -64,9 +64,9 @@
 fn a_drain_is_everywhere_within_a_moment() {
     let mut deployment = settled(30);
 
-    let mut leaving = backend(2, "core", HOME);
-    leaving.phase = BackendPhase::Draining;
-    deployment.store.put_backend(leaving);
+    let mut draining = backend(2, "core", HOME);
+    draining.phase = BackendPhase::Draining;
+    deployment.store.put_backend(draining);
     let took = deployment.run_until(|now| {
         now.nodes
             .iter()
--- a/crates/valvestage-policy/tests/steering/lapses.rs
+++ b/crates/valvestage-policy/tests/steering/lapses.rs
@@ -117,12 +117,12 @@
 #[test]
 fn flows_of_a_draining_backend_server_end_at_once_with_its_entry() {
     let mut site = Site::with_open_flow(HOME);
-    let leaving = BackendEntry {
+    let draining = BackendEntry {
         position: at(1_500),
         phase: BackendPhase::Draining,
         ..backend(1, "core", HOME)
     };
-    site.known.directory.put(leaving);
+    site.known.directory.put(draining);
 
     site.lapse();
     site.wait(millis(1));
