--- a/crates/valvestage-policy/src/steering/keeper/keeper_exchange.rs
+++ b/crates/valvestage-policy/src/steering/keeper/keeper_exchange.rs
@@ -1,4 +1,4 @@
-//! What is asked of other balancers and told to them, with what that is worth a line in the log.
+//! Requests to other balancers, and answers to theirs, with the log events of both.
 
 use std::net::SocketAddrV4;
 use std::time::Instant;
@@ -6,7 +6,7 @@
 use valvestage_core::StorePosition;
 
 use super::keeper_action::KeeperAction;
-use super::keeper_news::KeeperNews;
+use super::keeper_updates::KeeperUpdates;
 use crate::steering::decision::{Decision, NewsSource};
 use crate::steering::knowledge::Knowledge;
 use crate::steering::peers::answer_queue::PeerQuestion;
@@ -15,48 +15,48 @@
     BackendsPart, BackendsPull, PeerHeartbeat, PeerMessage, RoutesPull, WalkScope,
 };
 
-/// `KeeperExchange` asks other balancers, answers them, and notes what was learned.
+/// Sends requests to other balancers, answers theirs, and records what was learned.
 #[derive(Debug)]
 pub(in crate::steering) struct KeeperExchange {
     exchange: PeerExchange,
-    /// Whether other balancers have told of changes in a walk that has not ended yet.
-    has_untold: bool,
+    /// Whether other balancers have reported changes in a walk that has not ended yet.
+    has_unannounced_changes: bool,
 }
 
 impl KeeperExchange {
-    /// `new` answers over a link of so many megabits a second.
+    /// Creates an exchange that answers over a link of so many megabits per second.
     pub(in crate::steering) fn new(link_mbps: f64) -> Self {
-        Self { exchange: PeerExchange::new(link_mbps), has_untold: false }
+        Self { exchange: PeerExchange::new(link_mbps), has_unannounced_changes: false }
     }
 
-    /// `next_due` gives when there is something to answer; none if nobody waits.
+    /// Returns when the next answer is due. None if no balancer waits for one.
     pub(in crate::steering) fn next_due(&self) -> Option<Instant> {
         self.exchange.next_due()
     }
 
-    /// Returns whether another balancer has told some of what it knows a moment ago.
-    pub(in crate::steering) fn is_being_told(&self, now: Instant) -> bool {
+    /// Reports whether parts of an answer about backend servers arrived a moment ago.
+    pub(in crate::steering) fn is_receiving_backends(&self, now: Instant) -> bool {
         self.exchange.is_being_told(now)
     }
 
-    /// `on_tick` asks again for what did not come, and answers those whose turn it is.
+    /// Repeats requests that were not answered, and answers the balancers whose turn it is.
     pub(in crate::steering) fn on_tick(
         &mut self,
         knowledge: &Knowledge,
-        news: &mut KeeperNews,
+        updates: &mut KeeperUpdates,
         now: Instant,
     ) -> Vec<KeeperAction> {
         let mut actions = Vec::new();
 
         for overdue in self.exchange.overdue(knowledge, now) {
-            news.note(Decision::AnswerIncomplete(overdue.incomplete));
-            actions.extend(overdue.ask.map(tell));
+            updates.record(Decision::AnswerIncomplete(overdue.incomplete));
+            actions.extend(overdue.ask.map(send_action));
         }
-        actions.extend(self.answers(knowledge, news, now));
+        actions.extend(self.answers(knowledge, updates, now));
         actions
     }
 
-    /// `knows_more` tells whether the sender of a heartbeat knows something that is not known here.
+    /// Reports whether the sender of a heartbeat knows something that is not known here.
     pub(in crate::steering) fn knows_more(
         &self,
         knowledge: &Knowledge,
@@ -66,23 +66,24 @@
             || self.exchange.knows_more_backends(knowledge, heartbeat)
     }
 
-    /// `pulls` asks the sender of a heartbeat, where nothing is awaited.
-    pub(in crate::steering) fn pulls(
+    /// Requests what the sender of a heartbeat knows more, unless an answer is already awaited.
+    pub(in crate::steering) fn pull_updates(
         &mut self,
         knowledge: &Knowledge,
-        news: &mut KeeperNews,
+        updates: &mut KeeperUpdates,
         (sender, heartbeat): (SocketAddrV4, &PeerHeartbeat),
         now: Instant,
     ) -> Vec<KeeperAction> {
         let pulls = self.exchange.pulls(knowledge, sender, heartbeat, now);
 
         for pull in &pulls {
-            note_pull(knowledge, news, sender, pull);
+            record_pull(knowledge, updates, sender, pull);
         }
-        pulls.into_iter().map(|pull| tell((sender, pull))).collect()
+        pulls.into_iter().map(|pull| send_action((sender, pull))).collect()
     }
 
-    /// `compare` asks the sender of a heartbeat for everything, if it believes in other backend servers though both know all changes.
+    /// Requests everything from the sender of a heartbeat if it considers other backend servers
+    /// live although both balancers know all changes.
     pub(in crate::steering) fn compare(
         &mut self,
         knowledge: &Knowledge,
@@ -92,11 +93,12 @@
         self.exchange.compare(knowledge, sender, heartbeat, now)
     }
 
-    /// `on_message` takes a question or an answer in. Entries that go with it may return until the time given.
+    /// Handles a request or an answer. Entries that the answer reports as gone may return until the
+    /// given time.
     pub(in crate::steering) fn on_message(
         &mut self,
         knowledge: &mut Knowledge,
-        news: &mut KeeperNews,
+        updates: &mut KeeperUpdates,
         (sender, message): (SocketAddrV4, PeerMessage),
         missing_until: Option<Instant>,
         now: Instant,
@@ -105,14 +107,20 @@
             PeerMessage::Heartbeat(_) => return Vec::new(),
             PeerMessage::RoutesIndex(index) => {
                 let step = self.exchange.on_index(knowledge, sender, index, now);
-                return self.take_step(knowledge, news, sender, step);
+                return self.apply_step(knowledge, updates, sender, step);
             }
             PeerMessage::RoutesChunk(chunk) => {
                 let step = self.exchange.on_chunk(knowledge, sender, chunk, now);
-                return self.take_step(knowledge, news, sender, step);
+                return self.apply_step(knowledge, updates, sender, step);
             }
             PeerMessage::Backends(part) => {
-                return self.on_backends_part(knowledge, news, (sender, part), missing_until, now);
+                return self.on_backends_part(
+                    knowledge,
+                    updates,
+                    (sender, part),
+                    missing_until,
+                    now,
+                );
             }
             PeerMessage::RoutesPull(pull) => PeerQuestion::Routes(pull),
             PeerMessage::ChunksPull(pull) => PeerQuestion::Chunks(pull),
@@ -120,14 +128,14 @@
         };
 
         self.exchange.on_question(sender, question, now);
-        self.answers(knowledge, news, now)
+        self.answers(knowledge, updates, now)
     }
 
-    /// Answers those whose turn it is.
+    /// Answers the balancers whose turn it is.
     fn answers(
         &mut self,
         knowledge: &Knowledge,
-        news: &mut KeeperNews,
+        updates: &mut KeeperUpdates,
         now: Instant,
     ) -> Vec<KeeperAction> {
         let mut actions = Vec::new();
@@ -135,34 +143,34 @@
         while let Some((peer, answers)) = self.exchange.next_answer(knowledge, now) {
             if answers.len() > 1 {
                 let (version, datagrams) = (knowledge.routes.version, answers.len());
-                news.note(Decision::Answered { peer, version, datagrams });
+                updates.record(Decision::Answered { peer, version, datagrams });
             }
-            actions.extend(answers.into_iter().map(|answer| tell((peer, answer))));
+            actions.extend(answers.into_iter().map(|answer| send_action((peer, answer))));
         }
         actions
     }
 
-    /// Takes in what a part of a configuration leads to.
-    fn take_step(
+    /// Applies the result of a part of a configuration.
+    fn apply_step(
         &mut self,
         knowledge: &mut Knowledge,
-        news: &mut KeeperNews,
+        updates: &mut KeeperUpdates,
         sender: SocketAddrV4,
         step: ExchangeStep,
     ) -> Vec<KeeperAction> {
         if step.has_routes {
             knowledge.note_caught_up();
             let routes = self.exchange.catalogue().map();
-            news.take_routes(knowledge, routes, NewsSource::Peer(sender));
+            updates.apply_routes(knowledge, routes, NewsSource::Peer(sender));
         }
 
-        step.ask.into_iter().map(tell).collect()
+        step.ask.into_iter().map(send_action).collect()
     }
 
     fn on_backends_part(
         &mut self,
         knowledge: &mut Knowledge,
-        news: &mut KeeperNews,
+        updates: &mut KeeperUpdates,
         (sender, part): (SocketAddrV4, BackendsPart),
         missing_until: Option<Instant>,
         now: Instant,
@@ -171,35 +179,41 @@
         let step = self.exchange.on_backends_part(knowledge, sender, part, missing_until, now);
         let is_new_era = knowledge.directory.changed_at().era > era;
 
-        // What came before the end is of no use to others yet: 60 that started before 1,500 backend servers sent each
-        // other 309 messages each where each part was told of, and 107 with this.
-        self.has_untold |= is_new_era || !step.changed.is_empty();
+        // Other balancers cannot use what came before the end of a walk. If each part is announced,
+        // 60 balancers that start before 1,500 backend servers send each other 309 messages each;
+        // announced only at the end, it is 107.
+        self.has_unannounced_changes |= is_new_era || !step.changed.is_empty();
         if step.is_end {
             knowledge.note_caught_up();
-            news.tell_if(std::mem::take(&mut self.has_untold));
+            updates.notify_if(std::mem::take(&mut self.has_unannounced_changes));
         }
         for instance in step.changed {
-            news.note_backend(knowledge, instance, NewsSource::Peer(sender));
+            updates.record_backend(knowledge, instance, NewsSource::Peer(sender));
         }
-        step.ask.into_iter().map(tell).collect()
+        step.ask.into_iter().map(send_action).collect()
     }
 }
 
-fn tell((peer, message): (SocketAddrV4, PeerMessage)) -> KeeperAction {
+fn send_action((peer, message): (SocketAddrV4, PeerMessage)) -> KeeperAction {
     KeeperAction::Tell(peer, message)
 }
 
-/// Changes of backend servers come several times a second; their pulls are not worth a line.
-fn note_pull(knowledge: &Knowledge, news: &mut KeeperNews, peer: SocketAddrV4, pull: &PeerMessage) {
+/// Changes of backend servers come several times a second, so requests for them are not logged.
+fn record_pull(
+    knowledge: &Knowledge,
+    updates: &mut KeeperUpdates,
+    peer: SocketAddrV4,
+    pull: &PeerMessage,
+) {
     let version = knowledge.routes.version;
     let known_until = knowledge.directory.complete_until();
 
     match pull {
         PeerMessage::RoutesPull(RoutesPull { version }) => {
-            news.note(Decision::Asked { peer, version: *version, known_until });
+            updates.record(Decision::Asked { peer, version: *version, known_until });
         }
         PeerMessage::BackendsPull(BackendsPull { scope: WalkScope::Everything, .. }) => {
-            news.note(Decision::Asked { peer, version, known_until: StorePosition::START });
+            updates.record(Decision::Asked { peer, version, known_until: StorePosition::START });
         }
         _ => {}
     }
--- a/crates/valvestage-policy/src/steering/keeper/keeper_news.rs
+++ b/crates/valvestage-policy/src/steering/keeper/keeper_updates.rs
@@ -9,62 +9,67 @@
 use crate::steering::knowledge::evacuated_zones::EvacuationReport;
 use crate::steering::knowledge::route_map::RouteMap;
 
-/// `KeeperNews` collects what was learned.
+/// Collects what was learned, and decides when to notify other balancers at once.
 #[derive(Debug, Default)]
-pub(in crate::steering) struct KeeperNews {
-    /// Whether something is new that others may not know.
-    is_to_tell: bool,
-    /// The backend servers that others were told to seem dead.
-    told_suspects: Vec<InstanceId>,
-    /// What was learned since it was last taken.
+pub(in crate::steering) struct KeeperUpdates {
+    /// Whether something is new that other balancers may not know.
+    is_notification_due: bool,
+    /// The suspected backend servers that other balancers were notified of.
+    notified_suspects: Vec<InstanceId>,
+    /// What was learned since the last call of `take_decisions`.
     decisions: Vec<Decision>,
     was_certain: bool,
 }
 
-impl KeeperNews {
-    /// `take_decisions` gives what was learned since the last call.
+impl KeeperUpdates {
+    /// Returns what was learned since the last call.
     pub(in crate::steering) fn take_decisions(&mut self) -> Vec<Decision> {
         std::mem::take(&mut self.decisions)
     }
 
-    /// `note` keeps something learned that others need not be told of.
-    pub(in crate::steering) fn note(&mut self, decision: Decision) {
+    /// Records something of which other balancers need not be notified.
+    pub(in crate::steering) fn record(&mut self, decision: Decision) {
         self.decisions.push(decision);
     }
 
-    /// `tell_if` lets others be told at once if something holds.
-    pub(in crate::steering) fn tell_if(&mut self, is_new: bool) {
-        self.is_to_tell |= is_new;
+    /// Requests that other balancers are notified at once if the condition holds.
+    pub(in crate::steering) fn notify_if(&mut self, is_new: bool) {
+        self.is_notification_due |= is_new;
     }
 
-    /// `is_to_tell` tells whether others are to be told at once.
-    pub(in crate::steering) fn is_to_tell(&self) -> bool {
-        self.is_to_tell
+    /// Reports whether other balancers are to be notified at once.
+    pub(in crate::steering) fn is_notification_due(&self) -> bool {
+        self.is_notification_due
     }
 
-    /// `on_told` takes in that others are being told.
-    pub(in crate::steering) fn on_told(&mut self) {
-        self.is_to_tell = false;
+    /// Records that other balancers are being notified.
+    pub(in crate::steering) fn on_notified(&mut self) {
+        self.is_notification_due = false;
     }
 
-    /// `note_suspects` lets others be told of a new suspect at once.
-    pub(in crate::steering) fn note_suspects(&mut self, suspects: &[InstanceId]) {
-        self.is_to_tell |= suspects.iter().any(|suspect| !self.told_suspects.contains(suspect));
+    /// Requests that other balancers are notified at once if there is a new suspect.
+    pub(in crate::steering) fn record_suspects(&mut self, suspects: &[InstanceId]) {
+        self.is_notification_due |=
+            suspects.iter().any(|suspect| !self.notified_suspects.contains(suspect));
 
-        self.told_suspects = suspects.to_vec();
+        self.notified_suspects = suspects.to_vec();
     }
 
-    /// `note_certainty` keeps whether what is known is confirmed, where that has changed.
-    pub(in crate::steering) fn note_certainty(&mut self, knowledge: &Knowledge, is_certain: bool) {
+    /// Records a change of whether the knowledge is confirmed.
+    pub(in crate::steering) fn record_certainty(
+        &mut self,
+        knowledge: &Knowledge,
+        is_certain: bool,
+    ) {
         if is_certain != self.was_certain {
             self.was_certain = is_certain;
             let version = knowledge.routes.version;
-            self.note(Decision::Certainty { is_certain, version });
+            self.record(Decision::Certainty { is_certain, version });
         }
     }
 
-    /// `note_backend` keeps that something else is believed of a backend server.
-    pub(in crate::steering) fn note_backend(
+    /// Records the changed state of a backend server.
+    pub(in crate::steering) fn record_backend(
         &mut self,
         knowledge: &Knowledge,
         instance: InstanceId,
@@ -72,7 +77,7 @@
     ) {
         let Some(entry) = knowledge.directory.get(instance) else { return };
 
-        self.note(match entry.missing_until {
+        self.record(match entry.missing_until {
             Some(_) => Decision::BackendMissing { instance },
             None => Decision::BackendChanged {
                 instance,
@@ -84,8 +89,9 @@
         });
     }
 
-    /// `take_evacuations` puts in force which zones are evacuated, if that is newer, and lets others be told.
-    pub(in crate::steering) fn take_evacuations(
+    /// Puts a report of evacuated zones in force if it is newer and changes them, and requests that
+    /// other balancers are notified.
+    pub(in crate::steering) fn apply_evacuations(
         &mut self,
         knowledge: &mut Knowledge,
         report: EvacuationReport,
@@ -98,7 +104,7 @@
             return;
         }
 
-        self.is_to_tell = true;
+        self.is_notification_due = true;
         let zones = knowledge.evacuated.zones();
         let begun = zones.difference(&former).map(|zone| (zone, EvacuationPhase::Begun));
         let ended = former.difference(zones).map(|zone| (zone, EvacuationPhase::TakenBack));
@@ -109,8 +115,9 @@
         }
     }
 
-    /// `take_routes` puts a configuration in force if it is newer, and lets others be told.
-    pub(in crate::steering) fn take_routes(
+    /// Puts a configuration in force if it is newer, and requests that other balancers are
+    /// notified.
+    pub(in crate::steering) fn apply_routes(
         &mut self,
         knowledge: &mut Knowledge,
         routes: RouteMap,
@@ -119,8 +126,8 @@
         let former = knowledge.routes.version;
 
         if knowledge.replace_routes(routes) {
-            self.is_to_tell = true;
-            self.note(Decision::RoutesInForce {
+            self.is_notification_due = true;
+            self.record(Decision::RoutesInForce {
                 version: knowledge.routes.version,
                 former,
                 addresses: knowledge.routes.routes.len(),
--- a/crates/valvestage-policy/src/steering/keeper/knowledge_keeper.rs
+++ b/crates/valvestage-policy/src/steering/keeper/knowledge_keeper.rs
@@ -7,7 +7,7 @@
 
 use super::keeper_action::KeeperAction;
 use super::keeper_exchange::KeeperExchange;
-use super::keeper_news::KeeperNews;
+use super::keeper_updates::KeeperUpdates;
 use crate::steering::decision::{Decision, NewsSource};
 use crate::steering::entry_policy::EntryOptions;
 use crate::steering::knowledge::Knowledge;
@@ -25,17 +25,18 @@
 /// Time between two rounds of heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Balancers that each round goes to. 4 every 400 ms are some 2 KB a second, half of what control
-/// may cost a VM; news reaches 420 balancers in five rounds, and is passed on at once.
+/// Number of balancers that each round of heartbeats goes to. 4 every 400 ms are some 2 KB per
+/// second, half of what control traffic may cost a VM. An update reaches 420 balancers in five
+/// rounds, and is passed on at once.
 const HEARTBEAT_FANOUT: usize = 4;
 
-/// For how long a token counts as wanted that a heartbeat names: two rounds of them.
-const WANTED_FOR: Duration = Duration::from_millis(800);
+/// How long a token that a heartbeat names counts as wanted: two rounds of heartbeats.
+const WANTED_TOKEN_TTL: Duration = Duration::from_millis(800);
 
-/// Balancers named in a heartbeat.
-const PEERS_TOLD: usize = 4;
+/// Number of balancers named in a heartbeat.
+const PEERS_PER_HEARTBEAT: usize = 4;
 
-/// `KnowledgeKeeper` decides when to ask the store and what to tell other balancers.
+/// Decides when to call the store and what to send to other balancers.
 #[derive(Debug)]
 pub struct KnowledgeKeeper {
     zone: ZoneName,
@@ -45,17 +46,18 @@
     store: StoreLink,
     exchange: KeeperExchange,
     next_heartbeat: Instant,
-    /// Whether the next heartbeats ask those that know more to answer at once.
+    /// Whether the next heartbeats ask balancers that know more to answer at once.
     asks: bool,
-    news: KeeperNews,
-    /// Whether a balancer was heard that knows everything.
+    updates: KeeperUpdates,
+    /// Whether a balancer was heard that has a configuration and has read all backend servers.
     hears_complete: bool,
-    /// Until when packets are likely to wait at other balancers for entries that are not known here either.
+    /// Until when packets are likely to wait at other balancers for entries that are not known here
+    /// either.
     wanted_elsewhere_until: Option<Instant>,
 }
 
 impl KnowledgeKeeper {
-    /// `new` knows nothing but the balancers that the settings name.
+    /// Creates a keeper that knows only the balancers that the settings name.
     #[must_use]
     pub fn new(options: &EntryOptions, now: Instant) -> Self {
         let EntryOptions { peer_address: own, seeds, seed, is_first_start, .. } = options;
@@ -73,74 +75,75 @@
             exchange: KeeperExchange::new(options.link_mbps),
             next_heartbeat: now,
             asks: true,
-            news: KeeperNews::default(),
+            updates: KeeperUpdates::default(),
             hears_complete: false,
             wanted_elsewhere_until: None,
         }
     }
 
-    /// `take_decisions` gives what was learned since the last call.
+    /// Returns what was learned since the last call.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
-        self.news.take_decisions()
+        self.updates.take_decisions()
     }
 
-    /// `peer_count` gives the number of balancers that were heard of.
+    /// Returns the number of known balancers.
     #[must_use]
     pub fn peer_count(&self) -> usize {
         self.peers.len()
     }
 
-    /// `is_watching` tells whether this balancer follows the store.
+    /// Reports whether this balancer follows the store.
     #[must_use]
     pub fn is_watching(&self) -> bool {
         self.role.is_watching()
     }
 
-    /// `on_tick` gives what is due; to be called several times a second, and after each news.
+    /// Returns the actions that are due. To be called several times a second, and after each
+    /// update.
     pub fn on_tick(
         &mut self,
         knowledge: &mut Knowledge,
         report: &BalancerReport,
         now: Instant,
     ) -> Vec<KeeperAction> {
-        self.postpone_missing(knowledge);
-        self.settle_contests(knowledge, now);
-        self.news.note_suspects(&report.health.suspects);
+        self.extend_missing_deadlines(knowledge);
+        self.resolve_conflicts(knowledge, now);
+        self.updates.record_suspects(&report.health.suspects);
         self.step_role(knowledge, now);
         let packets_wait = !report.wanted.is_empty()
             || self.wanted_elsewhere_until.is_some_and(|until| until > now);
-        let mut actions = self.calls(knowledge, packets_wait, now);
-        actions.extend(self.exchange.on_tick(knowledge, &mut self.news, now));
+        let mut actions = self.store_calls(knowledge, packets_wait, now);
+        actions.extend(self.exchange.on_tick(knowledge, &mut self.updates, now));
 
-        if self.news.is_to_tell() || self.next_heartbeat <= now {
+        if self.updates.is_notification_due() || self.next_heartbeat <= now {
             for peer in self.peers.forget_silent(now) {
-                self.news.note(Decision::PeerLost { peer });
+                self.updates.record(Decision::PeerLost { peer });
             }
-            self.news.note_certainty(knowledge, knowledge.is_certain(now));
+            self.updates.record_certainty(knowledge, knowledge.is_certain(now));
             actions.extend(self.heartbeats(knowledge, report, now));
         }
         actions
     }
 
-    /// `on_pause` takes in that the process stood still: others may know more by now.
+    /// Handles that the process was paused: other balancers may know more by now.
     pub fn on_pause(&mut self, now: Instant) {
-        self.news.tell_if(true);
+        self.updates.notify_if(true);
         self.asks = true;
         self.peers.unsettle(now);
     }
 
-    /// `zone_members` gives the balancers of this availability zone.
+    /// Returns the balancers of this availability zone.
     #[must_use]
     pub fn zone_members(&self, now: Instant) -> ZoneMembers {
         self.peers.zone_members(&self.zone, now)
     }
 
-    /// `on_seeds` takes in that the settings name other balancers than before.
+    /// Replaces the balancers that the settings name.
     pub fn on_seeds(&mut self, seeds: &[SocketAddrV4]) {
         self.peers.set_seeds(seeds);
     }
 
-    /// `next_due` gives when [`Self::on_tick`] has something to do at the latest.
+    /// Returns when [`Self::on_tick`] has to be called at the latest.
     #[must_use]
     pub fn next_due(&self) -> Instant {
         let others = self.role.next_due().into_iter().chain(self.exchange.next_due());
@@ -157,8 +160,8 @@
             has_zones: knowledge.contacts.hears_others(TELL_WITHIN, now),
             page_time: self.store.page_time(),
             hears_complete: self.hears_complete,
-            is_being_told: self.exchange.is_being_told(now),
-            // Asked for only by a follower that may give up.
+            is_being_told: self.exchange.is_receiving_backends(now),
+            // Needed only by a follower that may give up its role.
             recent_peers: if was_watching { self.peers.recent_count(now) } else { 0 },
             draw: self.draw.unit(),
         };
@@ -166,36 +169,37 @@
         self.role.step(state, now);
         let watching = self.role.is_watching();
         if watching != was_watching {
-            self.news.tell_if(watching);
+            self.updates.notify_if(watching);
             if watching {
                 self.store.begin(knowledge, now);
             }
             let others = self.role.others();
-            self.news.note(Decision::WatchRole { watching, others });
+            self.updates.record(Decision::WatchRole { watching, others });
         }
     }
 
-    /// Believes in backend servers that a restored store still shows once it has settled, and tells others: they wait for the same
-    /// confirmation of the store, and have it by this word.
-    fn settle_contests(&mut self, knowledge: &mut Knowledge, now: Instant) {
+    /// Applies the entries that a restored store still shows once it has settled, and notifies
+    /// other balancers. They wait for the same confirmation by the store, and receive it with that
+    /// heartbeat.
+    fn resolve_conflicts(&mut self, knowledge: &mut Knowledge, now: Instant) {
         let confirmed_at = knowledge.confirmed_at();
-        let admitted = knowledge.directory.settle_contests(confirmed_at, now);
+        let admitted = knowledge.directory.resolve_conflicts(confirmed_at, now);
 
-        self.news.tell_if(!admitted.is_empty());
+        self.updates.notify_if(!admitted.is_empty());
         for instance in admitted {
-            self.news.note_backend(knowledge, instance, NewsSource::Store);
+            self.updates.record_backend(knowledge, instance, NewsSource::Store);
         }
     }
 
-    /// Entries that are missing have time to return from the store's last failure on: it may have gone
-    /// away again before it could take them back.
-    fn postpone_missing(&self, knowledge: &mut Knowledge) {
+    /// Extends the deadlines of missing entries. Their time to return counts from the store's last
+    /// failure, since the store may have been away again before they could return.
+    fn extend_missing_deadlines(&self, knowledge: &mut Knowledge) {
         if let Some(at) = self.store.settles_at() {
             knowledge.settle_at(at);
         }
     }
 
-    fn calls(
+    fn store_calls(
         &mut self,
         knowledge: &Knowledge,
         packets_wait: bool,
@@ -217,7 +221,7 @@
         report: &BalancerReport,
         now: Instant,
     ) -> Vec<KeeperAction> {
-        self.news.on_told();
+        self.updates.on_notified();
         self.next_heartbeat = now + HEARTBEAT_INTERVAL;
         let is_ignorant = !knowledge.is_complete() && !knowledge.is_certain(now);
         let asks = std::mem::take(&mut self.asks) || is_ignorant;
@@ -254,7 +258,7 @@
                 self.store.page_time(),
                 now,
             ),
-            peers: self.peers.sample(PEERS_TOLD, draw, now),
+            peers: self.peers.sample(PEERS_PER_HEARTBEAT, draw, now),
             evacuations: knowledge.evacuated.report(),
             health: report.map(|report| report.health.clone()).unwrap_or_default(),
             demands: report.map(|report| report.demands.clone()),
@@ -262,7 +266,7 @@
         }
     }
 
-    /// `on_message` takes a message of another balancer in.
+    /// Handles a message of another balancer.
     pub fn on_message(
         &mut self,
         knowledge: &mut Knowledge,
@@ -272,7 +276,7 @@
     ) -> Vec<KeeperAction> {
         let is_new = self.peers.on_heard(sender, now);
         if is_new {
-            self.news.note(Decision::PeerFound { peer: sender });
+            self.updates.record(Decision::PeerFound { peer: sender });
         }
 
         match message {
@@ -281,8 +285,8 @@
             }
             message => {
                 let missing_until = self.store.missing_until(now);
-                let Self { exchange, news, .. } = self;
-                exchange.on_message(knowledge, news, (sender, message), missing_until, now)
+                let Self { exchange, updates, .. } = self;
+                exchange.on_message(knowledge, updates, (sender, message), missing_until, now)
             }
         }
     }
@@ -307,11 +311,11 @@
             self.peers.on_told(*peer, now);
         }
         for sighting in &heartbeat.watchers {
-            self.news.tell_if(self.role.on_sighting(sighting, now));
+            self.updates.notify_if(self.role.on_sighting(sighting, now));
         }
         let knows_evacuations = heartbeat.evacuations.is_some();
         if let Some(report) = heartbeat.evacuations.clone() {
-            self.news.take_evacuations(knowledge, report, NewsSource::Peer(sender), now);
+            self.updates.apply_evacuations(knowledge, report, NewsSource::Peer(sender), now);
         }
 
         let mut actions = Vec::new();
@@ -319,19 +323,19 @@
             || heartbeat.complete_until < knowledge.directory.changed_at()
             || !knows_evacuations && knowledge.evacuated.is_known();
         if heartbeat.asks && (is_new || knows_less) {
-            // One that has just started, or woken, learns at once whom it can ask.
+            // A balancer that has just started or resumed learns at once whom it can ask.
             let answer = self.heartbeat(knowledge, None, false, now);
             actions.push(KeeperAction::Tell(sender, PeerMessage::Heartbeat(answer)));
         }
-        let told = wanted_message(&knowledge.directory, &heartbeat.wanted, now);
-        if told.is_none() && !heartbeat.wanted.is_empty() {
-            self.wanted_elsewhere_until = Some(now + WANTED_FOR);
+        let wanted_entries = wanted_message(&knowledge.directory, &heartbeat.wanted, now);
+        if wanted_entries.is_none() && !heartbeat.wanted.is_empty() {
+            self.wanted_elsewhere_until = Some(now + WANTED_TOKEN_TTL);
         }
-        actions.extend(told.map(|message| KeeperAction::Tell(sender, message)));
-        let Self { exchange, news, .. } = self;
+        actions.extend(wanted_entries.map(|message| KeeperAction::Tell(sender, message)));
+        let Self { exchange, updates, .. } = self;
         if exchange.knows_more(knowledge, heartbeat) {
             knowledge.note_behind(now);
-            let pulls = exchange.pulls(knowledge, news, (sender, heartbeat), now);
+            let pulls = exchange.pull_updates(knowledge, updates, (sender, heartbeat), now);
             if !pulls.is_empty() {
                 self.role.on_pull_sent(now);
             }
@@ -341,7 +345,8 @@
 
         let compares = exchange.compare(knowledge, (sender, heartbeat), now);
         actions.extend(compares.map(|message| KeeperAction::Tell(sender, message)));
-        // Nothing has changed after what is known here, so it is complete as far as the peer's is.
+        // Nothing has changed after what is known here, so it is complete as far as the peer's
+        // knowledge is.
         let directory = &mut knowledge.directory;
         directory.complete(heartbeat.complete_until);
         if heartbeat.version == knowledge.routes.version
@@ -354,7 +359,7 @@
         actions
     }
 
-    /// `on_routes_reply` takes the store's answer about the configuration in.
+    /// Handles a reply of the store about the configuration.
     pub fn on_routes_reply(
         &mut self,
         knowledge: &mut Knowledge,
@@ -362,16 +367,16 @@
         now: Instant,
     ) {
         let was_failing = self.store.is_kind_failing(StoreKind::Configuration);
-        let news = self.store.on_routes_reply(reply, now);
+        let updates = self.store.on_routes_reply(reply, now);
 
-        self.note_link(StoreKind::Configuration, was_failing);
-        for routes in news {
-            self.news.take_routes(knowledge, routes, NewsSource::Store);
+        self.record_link_state(StoreKind::Configuration, was_failing);
+        for routes in updates {
+            self.updates.apply_routes(knowledge, routes, NewsSource::Store);
         }
         self.confirm(knowledge);
     }
 
-    /// `on_evacuations_reply` takes the store's answer about evacuated zones in.
+    /// Handles a reply of the store about evacuated zones.
     pub fn on_evacuations_reply(
         &mut self,
         knowledge: &mut Knowledge,
@@ -381,33 +386,33 @@
         let was_failing = self.store.is_kind_failing(StoreKind::Evacuations);
         let report = self.store.on_evacuations_reply(knowledge, reply, now);
 
-        self.note_link(StoreKind::Evacuations, was_failing);
+        self.record_link_state(StoreKind::Evacuations, was_failing);
         if let Some(report) = report {
-            self.news.take_evacuations(knowledge, report, NewsSource::Store, now);
+            self.updates.apply_evacuations(knowledge, report, NewsSource::Store, now);
         }
         self.confirm(knowledge);
     }
 
-    /// Takes in that the store has confirmed what is known.
+    /// Records that the store has confirmed the knowledge.
     fn confirm(&mut self, knowledge: &mut Knowledge) {
         if let Some(at) = self.store.answered_at() {
             knowledge.confirm(Some(at));
-            self.news.tell_if(self.role.on_answer(at));
+            self.updates.notify_if(self.role.on_answer(at));
         }
     }
 
-    fn note_link(&mut self, kind: StoreKind, was_failing: bool) {
+    fn record_link_state(&mut self, kind: StoreKind, was_failing: bool) {
         let is_failing = self.store.is_kind_failing(kind);
         for decision in self.store.take_decisions() {
-            self.news.note(decision);
+            self.updates.record(decision);
         }
 
         if was_failing != is_failing {
-            self.news.note(Decision::StoreLink { kind, answers: !is_failing });
+            self.updates.record(Decision::StoreLink { kind, answers: !is_failing });
         }
     }
 
-    /// `on_backends_reply` takes the store's answer about backend servers in.
+    /// Handles a reply of the store about backend servers.
     pub fn on_backends_reply(
         &mut self,
         knowledge: &mut Knowledge,
@@ -420,14 +425,14 @@
         let had_page = self.store.page_time().is_some();
         let changed = self.store.on_backends_reply(knowledge, reply, now);
 
-        self.note_link(StoreKind::Backends, was_failing);
-        // Others leave a long list to those that read it faster.
-        self.news.tell_if(!had_page && self.store.page_time().is_some());
+        self.record_link_state(StoreKind::Backends, was_failing);
+        // Other balancers leave the reading of a long list to those that read it faster.
+        self.updates.notify_if(!had_page && self.store.page_time().is_some());
         let is_complete_now = knowledge.directory.is_complete() != was_complete;
         let is_new_era = knowledge.directory.changed_at().era > era;
-        self.news.tell_if(is_complete_now || is_new_era || !changed.is_empty());
+        self.updates.notify_if(is_complete_now || is_new_era || !changed.is_empty());
         for instance in changed {
-            self.news.note_backend(knowledge, instance, NewsSource::Store);
+            self.updates.record_backend(knowledge, instance, NewsSource::Store);
         }
         self.confirm(knowledge);
     }
--- a/crates/valvestage-policy/src/steering/knowledge/lapse.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/lapse.rs
@@ -1,7 +1,8 @@
-//! Entries that lapse while their backend servers live.
+//! Entries that lapse while their backend servers are alive.
 //!
-//! An entry goes when its backend server has left, has died, or has been kept from the store. In the last
-//! case it returns, and the flows there go on meanwhile.
+//! An entry is removed from the store when its backend server has left, has died, or could not
+//! reach the store to renew it. In the last case the entry returns, and the flows of the backend
+//! server go on meanwhile.
 
 use std::time::{Duration, Instant};
 
@@ -13,84 +14,90 @@
 use crate::steering::health::backend_health::BackendHealth;
 use crate::steering::packets::flow_tracker::EndedBackend;
 
-/// Entries that lapsed while their backend servers could not reach the store return within about 2 s; one
-/// that is missing after that is gone. Confirmations take up to 0.3 s more.
+/// Time within which lapsed entries return: about 2 s after a backend server could not reach the
+/// store, and up to 0.3 s more until the confirmation. An entry that is missing after that is gone.
 pub(in crate::steering) const RETURN_TIME: Duration = Duration::from_millis(2_300);
 
-/// `LapseJudge` tells lapses from ends, by what is known at one moment.
+/// Distinguishes lapsed entries from ended backend servers, by what is known at one moment.
 pub(in crate::steering) struct LapseJudge<'a> {
     /// Availability zone of this balancer.
     pub own_zone: &'a ZoneName,
-    /// What is known of entries, and of the store's last confirmation.
+    /// The known entries, and the last confirmation by the store.
     pub knowledge: &'a Knowledge,
-    /// Signs of life.
+    /// Signs of life of backend servers.
     pub health: &'a BackendHealth,
-    /// The moment.
+    /// The moment for which the questions are answered.
     pub now: Instant,
 }
 
 impl LapseJudge<'_> {
-    /// `is_gone` tells whether the entry of a backend server is gone.
+    /// Reports whether the entry of a backend server is gone.
     pub(in crate::steering) fn is_gone(&self, instance: InstanceId) -> bool {
         self.knowledge.directory.get(instance).is_some_and(BackendEntry::is_gone)
     }
 
-    /// `has_ended` tells whether a backend server has ended, so that its flows can be. One whose entry is
-    /// gone has not if it may return and either showed life shortly before, or shared a cut with this balancer.
+    /// Reports whether a backend server has ended, so that its flows can be ended. A backend server
+    /// whose entry is gone has not ended as long as the entry may return and the backend server
+    /// either showed life shortly before or shared a network partition with this balancer.
     ///
-    /// Its time does not run while the store is away, which it could not return to. After a cut this keeps the flows in the zone
-    /// that was cut off until the entries are back.
+    /// The time to return does not run while the store is away, since no entry can return then.
+    /// After a partition this keeps the flows in the zone that was cut off until its entries are
+    /// back.
     pub(in crate::steering) fn has_ended(&self, instance: InstanceId) -> bool {
         let entry = self.knowledge.directory.get(instance);
 
         entry.is_some_and(|entry| match entry.phase {
             BackendPhase::Gone { since, end: BackendEnd::Lapsed } => {
-                let may_live = self.may_return(since) && self.may_live(entry, since);
-                !may_live && !self.is_in_doubt(entry, since)
+                let may_be_alive = self.may_return(since) && self.may_be_alive(entry, since);
+                !may_be_alive && !self.is_inconclusive(entry, since)
             }
-            // One that started after the lapse has no signs of life of its own.
+            // A balancer that started after the lapse has no signs of life of its own to go by.
             BackendPhase::Gone { since, end: BackendEnd::LapsedUnseen } => {
-                !self.may_return(since) && !self.is_in_doubt(entry, since)
+                !self.may_return(since) && !self.is_inconclusive(entry, since)
             }
             BackendPhase::Gone { .. } => true,
             BackendPhase::Ready | BackendPhase::Draining | BackendPhase::Unusable => false,
         })
     }
 
-    /// `lapsed_in_doubt` tells whether the entry of a backend server has lapsed and nothing can be concluded from that.
+    /// Reports whether the entry of a backend server has lapsed and nothing can be concluded from
+    /// that.
     pub(in crate::steering) fn lapsed_in_doubt(&self, instance: InstanceId) -> bool {
         let entry = self.knowledge.directory.get(instance);
 
         entry.is_some_and(|entry| match entry.phase {
             BackendPhase::Gone { since, .. } => {
-                entry.has_lapsed() && self.is_in_doubt(entry, since)
+                entry.has_lapsed() && self.is_inconclusive(entry, since)
             }
             _ => false,
         })
     }
 
-    /// Whether nothing can be concluded from the lapse of an entry, however long ago it is. The backend server may go on serving
-    /// callers through other balancers, also those of flows that this one has served before.
-    fn is_in_doubt(&self, entry: &BackendEntry, lapsed_at: Instant) -> bool {
+    /// Reports whether nothing can be concluded from the lapse of an entry, however long ago it
+    /// was. The backend server may go on serving callers through other balancers, including callers
+    /// of flows that this balancer served before.
+    fn is_inconclusive(&self, entry: &BackendEntry, lapsed_at: Instant) -> bool {
         self.health.shows_life_after(entry.instance, lapsed_at)
             || self.knowledge.is_behind(self.now)
-            || self.may_have_lapsed_in_cut(entry, lapsed_at)
+            || self.may_have_lapsed_in_partition(entry, lapsed_at)
     }
 
-    /// Whether the zone of a backend server, or this one, was cut off when its entry lapsed, and the entry has not had the time to
-    /// return since: the time begins when balancers on the other side of the cut are heard again.
-    fn may_have_lapsed_in_cut(&self, entry: &BackendEntry, lapsed_at: Instant) -> bool {
+    /// Reports whether the zone of a backend server, or the zone of this balancer, was partitioned
+    /// when the entry lapsed, and the entry has not had the time to return since. That time begins
+    /// when balancers on the other side of the partition are heard again.
+    fn may_have_lapsed_in_partition(&self, entry: &BackendEntry, lapsed_at: Instant) -> bool {
         match self.reach(&entry.zone) {
             ZoneReach::Unknown => false,
             ZoneReach::Silent => true,
-            ZoneReach::Since(joined_at) => {
-                let was_cut = joined_at > self.silent_from(lapsed_at);
-                was_cut && !self.knowledge.has_confirmed_for(RETURN_TIME, joined_at)
+            ZoneReach::Since(heard_since) => {
+                let was_partitioned = heard_since > self.silent_since(lapsed_at);
+                was_partitioned && !self.knowledge.has_confirmed_for(RETURN_TIME, heard_since)
             }
         }
     }
 
-    /// `reach` tells whether the other side of a cut of a zone can be reached: that zone, or from this one any other.
+    /// Returns whether the other side of a partition of a zone can be reached: that zone itself, or
+    /// any other zone if it is the zone of this balancer.
     pub(in crate::steering) fn reach(&self, zone: &ZoneName) -> ZoneReach {
         let contacts = &self.knowledge.contacts;
 
@@ -101,52 +108,58 @@
         }
     }
 
-    /// `ended` gives the flows of an incarnation that has ended. Where another one has started at its address under its name,
-    /// flows of the last moments may be there already.
+    /// Returns which flows of an ended incarnation to end. If a successor has started at its
+    /// address under its name, the most recent flows may already be at the successor.
     pub(in crate::steering) fn ended(&self, instance: InstanceId) -> EndedBackend {
         let directory = &self.knowledge.directory;
         let since = match directory.get(instance).map(|entry| entry.phase) {
             Some(BackendPhase::Gone { since, .. }) => since,
             _ => self.now,
         };
-        let has_heir = directory.heir(instance).is_some();
-        let heard_before = self.knowledge.heard_before(since);
-        let known_within = self.knowledge.entry_times().birth_known_within();
-        let seen_before = has_heir.then(|| heard_before.checked_sub(known_within)).flatten();
+        let has_successor = directory.heir(instance).is_some();
+        let updates_missing_since = self.knowledge.updates_missing_since(since);
+        let known_within = self.knowledge.entry_times().start_known_within();
+        let seen_before =
+            has_successor.then(|| updates_missing_since.checked_sub(known_within)).flatten();
 
         EndedBackend { instance, seen_before }
     }
 
-    /// Whether an entry may return that lapsed at a time.
+    /// Reports whether an entry that lapsed at a time may return.
     fn may_return(&self, lapsed_at: Instant) -> bool {
         let is_recent = self.now.saturating_duration_since(lapsed_at) < RETURN_TIME;
 
         is_recent || !self.knowledge.is_settled(self.now)
     }
 
-    /// Whether a backend server may live although its entry has lapsed.
-    fn may_live(&self, entry: &BackendEntry, lapsed_at: Instant) -> bool {
-        let alive_from = self.silent_from(lapsed_at);
+    /// Reports whether a backend server may be alive although its entry has lapsed.
+    fn may_be_alive(&self, entry: &BackendEntry, lapsed_at: Instant) -> bool {
+        let alive_from = self.silent_since(lapsed_at);
         let was_alive = self.health.shows_life_since(entry.instance, alive_from);
-        let shared_cut = entry.zone == *self.own_zone && self.knowledge.was_out_of_touch(lapsed_at);
+        let shared_partition =
+            entry.zone == *self.own_zone && self.knowledge.was_disconnected_from_store(lapsed_at);
 
-        was_alive || shared_cut || self.is_open_question(entry, alive_from)
+        was_alive || shared_partition || self.is_undetermined(entry, alive_from)
     }
 
-    /// From when on a backend server was silent whose entry lapsed at a time, if it is dead.
-    fn silent_from(&self, lapsed_at: Instant) -> Instant {
+    /// Returns since when a backend server whose entry lapsed at a time has been silent, if it is
+    /// dead.
+    fn silent_since(&self, lapsed_at: Instant) -> Instant {
         let silence = self.knowledge.entry_times().shortest_lapse();
 
         lapsed_at.checked_sub(silence).unwrap_or(lapsed_at)
     }
 
-    /// Whether nothing speaks for or against the life of a backend server: its entry cannot return now, since the store is
-    /// away, or this balancer started too late to see whether it was silent before the lapse. A flow that has just come from
-    /// another balancer goes on with its first packet; the first copy of it that its caller sends shows the end, 200 ms later.
-    fn is_open_question(&self, entry: &BackendEntry, alive_from: Instant) -> bool {
+    /// Reports whether nothing speaks for or against the life of a backend server: no sign of life
+    /// was seen, and either its entry cannot return now because the store is away, or this balancer
+    /// started too late to see whether the backend server was silent before the lapse. The first
+    /// packet of a flow that has just moved here from another balancer is forwarded. If the backend
+    /// server is dead, the caller's first retransmission shows it 200 ms later.
+    fn is_undetermined(&self, entry: &BackendEntry, alive_from: Instant) -> bool {
         let is_unseen = !self.health.shows_anything_since(entry.instance, alive_from);
         let knowledge = self.knowledge;
 
-        is_unseen && !(knowledge.is_settled(self.now) && knowledge.has_seen_since(alive_from))
+        is_unseen
+            && !(knowledge.is_settled(self.now) && knowledge.has_seen_packets_since(alive_from))
     }
 }
--- a/crates/valvestage-policy/src/steering/knowledge/store_restores.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/store_restores.rs
@@ -1,12 +1,14 @@
-//! What stays known of backend servers when the store is restored from an older copy.
+//! What stays known of backend servers after the store is restored from a backup.
 //!
-//! The copy shows some entries as they were before. Until each backend server that lives has written its entry again, and those of the
-//! others have lapsed, an entry of the copy proves nothing against what is known of a former era:
+//! The backup shows some entries as they were before. Until each live backend server has written
+//! its entry again, and the entries of the others have lapsed, an entry from the backup proves
+//! nothing against what is known from an earlier era:
 //!
-//! - a backend server that is known as leaving gets no new flows;
-//! - the entry of a backend server that has ended, or whose name or address has another one by now, is contested: it is left out until
-//!   the store has settled, and admitted if it is still there then;
-//! - entries that the copy lacks count as missing, and may return.
+//! - A backend server that is known to be draining gets no new flows.
+//! - The entry of a backend server that has ended, or whose name or address another one has by now,
+//!   is conflicting: it is left out until the store has settled, and applied if it is still there
+//!   then.
+//! - Entries that the backup lacks count as missing, and may return.
 
 use std::time::Instant;
 
@@ -18,85 +20,88 @@
 use super::backend_name::BackendName;
 
 impl BackendDirectory {
-    /// Returns where the store stood when it was first listed in its present era, as far as is known.
+    /// Returns the lowest known position of the store at a list in its present era.
     #[must_use]
     pub fn era_head(&self) -> StorePosition {
         self.era_head
     }
 
-    /// Records where the store stood at a list, here or at another balancer.
+    /// Records the position of the store at a list, read by this balancer or by a peer.
     pub fn note_listed(&mut self, position: StorePosition, now: Instant) {
         if position.era > self.era_head.era {
             self.era_head = position;
-            self.contested.clear();
-            self.era_settles_at = Some(now + self.times().copy_settles_within());
+            self.conflicting.clear();
+            self.era_settles_at = Some(now + self.times().backup_settles_within());
         } else if position.era == self.era_head.era && position < self.era_head {
             self.era_head = position;
         }
     }
 
-    /// Admits the entries that are still contested once the store has settled and has confirmed since that nothing else is the
-    /// case. Returns the backend servers of which something else is believed.
-    pub fn settle_contests(
+    /// Applies the entries that are still conflicting once the store has settled and has confirmed
+    /// the knowledge since. Returns the incarnations whose known state changed.
+    pub fn resolve_conflicts(
         &mut self,
         confirmed_at: Option<Instant>,
         now: Instant,
     ) -> Vec<InstanceId> {
         let is_confirmed = self.era_settles_at.is_none_or(|at| confirmed_at >= Some(at));
-        if self.contested.is_empty() || self.is_unsettled(now) || !is_confirmed {
+        if self.conflicting.is_empty() || self.is_unsettled(now) || !is_confirmed {
             return Vec::new();
         }
 
-        let contested = std::mem::take(&mut self.contested);
-        contested.into_values().flat_map(|entry| self.admit(entry, now)).collect()
+        let conflicting = std::mem::take(&mut self.conflicting);
+        conflicting.into_values().flat_map(|entry| self.admit(entry, now)).collect()
     }
 
-    /// Returns the entries that are left out for now.
+    /// Returns the conflicting entries, which are left out for now.
     pub fn contested(&self) -> impl Iterator<Item = &BackendEntry> {
-        self.contested.values()
+        self.conflicting.values()
     }
 
-    /// Returns the backend servers of the contested entries of a name.
+    /// Returns the incarnations of a name that have conflicting entries.
     pub fn contested_births(&self, name: BackendName) -> impl Iterator<Item = InstanceId> {
-        let of_name = self.contested.values().filter(move |entry| entry.name == name);
+        let of_name = self.conflicting.values().filter(move |entry| entry.name == name);
 
         of_name.map(|entry| entry.instance)
     }
 
-    /// Ends the contests of entries that the store does not have any more at a position. Returns their backend servers.
+    /// Drops the conflicting entries that the store no longer has at a position. Returns their
+    /// incarnations.
     pub(in crate::steering) fn end_contested(
         &mut self,
         has_gone: impl Fn(&BackendEntry) -> bool,
         at: StorePosition,
         now: Instant,
     ) -> Vec<InstanceId> {
-        let is_meant = |entry: &BackendEntry| has_gone(entry) && entry.position <= at;
+        let is_selected = |entry: &BackendEntry| has_gone(entry) && entry.position <= at;
         let ended: Vec<_> =
-            self.contested.values().filter(|entry| is_meant(entry)).cloned().collect();
-        self.contested.retain(|_, entry| !is_meant(entry));
+            self.conflicting.values().filter(|entry| is_selected(entry)).cloned().collect();
+        self.conflicting.retain(|_, entry| !is_selected(entry));
 
         let instances = ended.iter().map(|entry| entry.instance).collect();
         for entry in ended {
-            // Peers have it among their contested entries, too, and learn of its end by this position.
+            // The entries conflict at the peers as well, which learn of the removal by this
+            // position.
             let phase = BackendPhase::Gone { since: now, end: BackendEnd::Superseded };
             self.put(BackendEntry { position: at, phase, ..entry });
         }
         instances
     }
 
-    /// Applies what former eras of the store showed to an entry of a later one; none if it is contested.
+    /// Reconciles an entry with what earlier eras of the store showed. Returns None if the entry is
+    /// conflicting.
     pub(super) fn reconcile_eras(
         &mut self,
         mut entry: BackendEntry,
         now: Instant,
     ) -> Option<BackendEntry> {
-        self.drop_contested(&entry);
+        self.drop_outdated_conflicts(&entry);
         if entry.is_gone() {
             return Some(entry);
         }
-        if self.is_unsettled(now) && self.is_contested(&entry) {
-            self.note_change(entry.position);
-            self.contested.insert(entry.instance, entry);
+        if self.is_unsettled(now) && self.is_conflicting(&entry) {
+            self.record_change(entry.position);
+            self.conflicting.insert(entry.instance, entry);
             return None;
         }
 
@@ -105,65 +110,72 @@
             if known.phase == BackendPhase::Draining {
                 entry.phase = BackendPhase::Draining;
             }
-            // The copy says what was left of the cold time when it was made.
+            // The backup says how much of the slow start was left when the backup was made.
             entry.cold_until = known.cold_until;
         }
         Some(entry)
     }
 
-    /// Returns whether a peer tells of an entry of a former era which may be written again in this one.
-    pub(super) fn may_be_written_again(&self, told: &BackendEntry, now: Instant) -> bool {
-        !told.is_gone() && told.position.era < self.read_until().era && self.is_unsettled(now)
+    /// Reports whether an entry of an earlier era that a peer reports may be written again in this
+    /// era.
+    pub(super) fn may_be_written_again(&self, reported: &BackendEntry, now: Instant) -> bool {
+        !reported.is_gone()
+            && reported.position.era < self.read_until().era
+            && self.is_unsettled(now)
     }
 
-    /// Marks a backend server as leaving that a peer knows as leaving, or as ended, and that is known as ready from an older copy
-    /// of the store; false if that is no news. It may still serve the flows that it has.
-    pub(super) fn admit_told_departure(&mut self, told: &BackendEntry, now: Instant) -> bool {
+    /// Marks a backend server as draining that is known as ready from a backup of the store, if a
+    /// peer knows it as draining or ended. Returns false if nothing changed. The backend server may
+    /// still serve its open flows.
+    pub(super) fn apply_peer_drain(&mut self, reported: &BackendEntry, now: Instant) -> bool {
         if !self.is_unsettled(now) {
             return false;
         }
-        let Some(known) = self.entries.get(told.instance) else { return false };
+        let Some(known) = self.entries.get(reported.instance) else { return false };
         let is_from_copy =
-            told.position.era < known.position.era || told.position == known.position;
-        let departs = told.phase == BackendPhase::Draining || has_ended_for_good(told);
+            reported.position.era < known.position.era || reported.position == known.position;
+        let departs = reported.phase == BackendPhase::Draining || has_ended_for_good(reported);
         if !is_from_copy || !departs || known.phase != BackendPhase::Ready {
             return false;
         }
 
-        self.entries.change(told.instance, |known| known.phase = BackendPhase::Draining);
+        self.entries.change(reported.instance, |known| known.phase = BackendPhase::Draining);
         true
     }
 
-    /// Returns when the contests are decided; none if nothing is contested.
+    /// Returns when the conflicts are resolved. None if no entry is conflicting.
     #[must_use]
     pub fn contests_end_at(&self) -> Option<Instant> {
-        self.era_settles_at.filter(|_| !self.contested.is_empty())
+        self.era_settles_at.filter(|_| !self.conflicting.is_empty())
     }
 
-    /// Returns whether the store may still show entries of an older copy.
+    /// Reports whether the store may still show entries that stem only from the backup.
     pub(super) fn is_unsettled(&self, now: Instant) -> bool {
         self.era_settles_at.is_some_and(|at| at > now)
     }
 
-    /// A later entry under the name, or at the address, of a contested one shows that it was an older one.
-    fn drop_contested(&mut self, entry: &BackendEntry) {
-        let is_followed = |contested: &BackendEntry| {
-            let is_in_place = contested.instance == entry.instance
+    /// Drops the conflicting entries that a later entry under their name or at their address shows
+    /// to be outdated.
+    fn drop_outdated_conflicts(&mut self, entry: &BackendEntry) {
+        let is_followed = |conflicting: &BackendEntry| {
+            let is_in_place = conflicting.instance == entry.instance
                 || !entry.is_gone()
-                    && (contested.name == entry.name || contested.address == entry.address);
-            is_in_place && contested.position < entry.position
+                    && (conflicting.name == entry.name || conflicting.address == entry.address);
+            is_in_place && conflicting.position < entry.position
         };
 
-        self.contested.retain(|_, contested| !is_followed(contested));
+        self.conflicting.retain(|_, conflicting| !is_followed(conflicting));
     }
 
-    /// Whether an entry was written after the store was listed in its present era, so that it is not of the copy.
+    /// Reports whether an entry was written after the store was first listed in its present era, so
+    /// that it does not stem from the backup.
     pub(super) fn is_written_since_restore(&self, entry: &BackendEntry) -> bool {
         entry.position > self.era_head && entry.position.era == self.era_head.era
     }
 
-    /// Whether an entry may be of the copy, and a former era shows that its backend server has ended or has another one in its place.
-    fn is_contested(&self, entry: &BackendEntry) -> bool {
+    /// Reports whether an entry may stem from the backup although an earlier era shows that its
+    /// backend server has ended or was replaced at its name or address.
+    fn is_conflicting(&self, entry: &BackendEntry) -> bool {
         if self.is_written_since_restore(entry) {
             return false;
         }
@@ -175,12 +187,12 @@
             Some(known) if !known.is_gone() => return false,
             _ => {}
         }
-        self.in_place_of(entry)
+        self.with_name_or_address_of(entry)
             .any(|other| other.instance != entry.instance && is_former(other) && !other.is_gone())
     }
 }
 
-/// Whether an incarnation never takes flows again, whatever an older copy shows.
+/// Reports whether an incarnation never takes flows again, whatever a backup shows.
 fn has_ended_for_good(entry: &BackendEntry) -> bool {
     matches!(entry.phase, BackendPhase::Gone { end: BackendEnd::Left | BackendEnd::Superseded, .. })
 }
--- a/crates/valvestage-policy/src/steering/knowledge/zone_contacts.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/zone_contacts.rs
@@ -1,67 +1,69 @@
 //! Since when balancers of the other availability zones are heard.
 //!
-//! A zone that is cut off shows it by the silence of its balancers. What is learned of its backend servers meanwhile, and just
-//! after it, says where the cut was, not which of them live.
+//! A zone that is partitioned shows it by the silence of its balancers. What is learned of its
+//! backend servers during the partition, and just after it, shows where the partition was, not
+//! which of them are alive.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use valvestage_core::ids::ZoneName;
 
-/// Silence from which on a zone may have been cut off. The shortest cut in which entries lapse lasts for two heartbeats of backend
-/// servers, 1.5 s; four balancers of all are told by each one every 0.4 s.
-const SILENCE: Duration = Duration::from_millis(1_500);
+/// Silence after which a zone may have been partitioned. The shortest partition in which entries
+/// lapse lasts for two heartbeats of backend servers, 1.5 s. Each balancer sends heartbeats to four
+/// others every 0.4 s.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// `ZoneReach` says whether an availability zone can be reached, as far as its balancers show.
+/// Whether an availability zone can be reached, as far as its balancers show.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ZoneReach {
-    /// No balancer of another zone was ever heard, so that nothing is known of cuts.
+    /// No balancer of another zone was ever heard, so nothing is known of partitions.
     Unknown,
-    /// The zone says nothing.
+    /// No balancer of the zone was heard lately.
     Silent,
-    /// Its balancers are heard without a break since a time.
+    /// Balancers of the zone have been heard without a break since this time.
     Since(Instant),
 }
 
-/// `ZoneContact` is how one zone, or any other one, is heard.
+/// When one zone, or any other zone, was heard.
 #[derive(Debug, Clone, Copy)]
 struct ZoneContact {
     /// When it was first heard after the last silence. Not after `heard_at`.
-    joined_at: Instant,
+    heard_since: Instant,
     heard_at: Instant,
 }
 
 impl ZoneContact {
     fn on_heard(&mut self, now: Instant) {
         if self.is_silent(now) {
-            self.joined_at = now;
+            self.heard_since = now;
         }
         self.heard_at = now;
     }
 
     fn is_silent(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.heard_at) > SILENCE
+        now.saturating_duration_since(self.heard_at) > SILENCE_TIMEOUT
     }
 
     fn reach(&self, now: Instant) -> ZoneReach {
-        if self.is_silent(now) { ZoneReach::Silent } else { ZoneReach::Since(self.joined_at) }
+        if self.is_silent(now) { ZoneReach::Silent } else { ZoneReach::Since(self.heard_since) }
     }
 }
 
-/// `ZoneContacts` holds how the other availability zones are heard.
+/// When the other availability zones were heard.
 #[derive(Debug, Default)]
 pub struct ZoneContacts {
     zones: HashMap<ZoneName, ZoneContact>,
-    /// Any of them.
-    any: Option<ZoneContact>,
+    /// Contact with any of the other zones.
+    any_zone: Option<ZoneContact>,
 }
 
 impl ZoneContacts {
-    /// `on_heard` takes in that a balancer of another zone has spoken.
+    /// Records that a balancer of another zone was heard.
     pub fn on_heard(&mut self, zone: &ZoneName, now: Instant) {
-        let first = ZoneContact { joined_at: now, heard_at: now };
+        let first = ZoneContact { heard_since: now, heard_at: now };
 
-        self.any.get_or_insert(first).on_heard(now);
+        self.any_zone.get_or_insert(first).on_heard(now);
         match self.zones.get_mut(zone) {
             Some(contact) => contact.on_heard(now),
             None => {
@@ -70,25 +72,27 @@
         }
     }
 
-    /// `hears_others` tells whether any other zone was heard in the time before now.
+    /// Reports whether any other zone was heard within the given time before now.
     #[must_use]
     pub fn hears_others(&self, within: Duration, now: Instant) -> bool {
-        self.any.is_some_and(|contact| now.saturating_duration_since(contact.heard_at) < within)
+        self.any_zone
+            .is_some_and(|contact| now.saturating_duration_since(contact.heard_at) < within)
     }
 
-    /// `reach` tells whether another zone can be reached from here.
+    /// Returns whether another zone can be reached from here.
     #[must_use]
     pub fn reach(&self, zone: &ZoneName, now: Instant) -> ZoneReach {
         match self.zones.get(zone) {
             Some(contact) => contact.reach(now),
-            None if self.any.is_some() => ZoneReach::Silent,
+            None if self.any_zone.is_some() => ZoneReach::Silent,
             None => ZoneReach::Unknown,
         }
     }
 
-    /// `reach_of_others` tells whether any other zone can be reached: where none can, this one is cut off itself.
+    /// Returns whether any other zone can be reached. If none can, the zone of this balancer is the
+    /// one that is cut off.
     #[must_use]
     pub fn reach_of_others(&self, now: Instant) -> ZoneReach {
-        self.any.map_or(ZoneReach::Unknown, |contact| contact.reach(now))
+        self.any_zone.map_or(ZoneReach::Unknown, |contact| contact.reach(now))
     }
 }
--- a/crates/valvestage-policy/tests/steering/keepers.rs
+++ b/crates/valvestage-policy/tests/steering/keepers.rs
@@ -1,11 +1,11 @@
-//! Balancers keep each other up to date.
+//! Balancers keep each other up to date, with few calls to the store.
 
 use valvestage_policy::steering::{BackendEntry, BackendPhase, Decision, EntryPolicy};
 
 use crate::deployment::Deployment;
 use crate::fixtures::{HOME, backend, millis, routes};
 
-/// A deployment in which every balancer knows a configuration and four backend servers.
+/// Creates a deployment in which every balancer knows a configuration and four backend servers.
 fn settled(count: usize) -> Deployment {
     let mut deployment = Deployment::new(count);
     deployment.store.put_routes(routes(3, &[(443, "core")]));
@@ -64,9 +64,9 @@
 fn a_drain_is_everywhere_within_a_moment() {
     let mut deployment = settled(30);
 
-    let mut leaving = backend(2, "core", HOME);
-    leaving.phase = BackendPhase::Draining;
-    deployment.store.put_backend(leaving);
+    let mut draining = backend(2, "core", HOME);
+    draining.phase = BackendPhase::Draining;
+    deployment.store.put_backend(draining);
     let took = deployment.run_until(|now| {
         now.nodes
             .iter()
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_balancer_whom_the_store_turns_away_stays_up_to_date() {
+fn a_balancer_that_the_store_refuses_stays_up_to_date() {
     let mut deployment = settled(8);
     deployment.cut_from_store = vec![5];
 
@@ -130,7 +130,7 @@
     deployment.store_down = true;
     deployment.run(millis(4_000));
 
-    // They lapse during the outage; the store returns, and 1.5 s later so do they.
+    // They lapse during the outage. The store returns, and 1.5 s later so do they.
     for instance in 1..=3 {
         deployment.store.delete_backend(instance);
     }
@@ -150,7 +150,7 @@
         assert!(!node.knowledge().directory.get(1).unwrap().is_gone());
         assert!(!node.knowledge().directory.get(2).unwrap().is_gone());
     }
-    assert!(all_know_gone(&deployment, 3), "the third one has not returned");
+    assert!(all_know_gone(&deployment, 3), "entry 3 did not return and should be gone");
 }
 
 #[test]
@@ -172,7 +172,7 @@
     }
 }
 
-/// The entry of a backend server that lives lapses; the store is back.
+/// Lets the entry of a live backend server lapse in a store outage that ends now.
 fn lapse_in_an_outage(deployment: &mut Deployment) {
     deployment.store_down = true;
     deployment.run(millis(4_000));
@@ -187,7 +187,7 @@
     deployment.run(millis(500));
 
     // Its backend server could not write it in that moment, and the next outage is longer than the
-    // time in which it returns.
+    // time within which entries return.
     deployment.store_down = true;
     for _ in 0..5_000 {
         deployment.run(millis(1));
@@ -206,15 +206,15 @@
 }
 
 #[test]
-fn a_balancer_that_is_cut_off_takes_no_missing_entry_for_gone() {
+fn an_isolated_balancer_keeps_missing_entries() {
     let mut deployment = settled(8);
     lapse_in_an_outage(&mut deployment);
     deployment.run(millis(1_500));
 
-    // They all know that it is missing. One hears nothing more while it returns.
-    let cut = 5;
-    deployment.cut_from_store = vec![cut];
-    deployment.cut_from_peers = vec![cut];
+    // All balancers know that it is missing. One of them hears nothing more while it returns.
+    let isolated = 5;
+    deployment.cut_from_store = vec![isolated];
+    deployment.cut_from_peers = vec![isolated];
     deployment.store.put_backend(backend(1, "core", HOME));
     for _ in 0..6_000 {
         deployment.run(millis(1));
@@ -227,13 +227,13 @@
 }
 
 #[test]
-fn an_entry_whose_return_watches_do_not_show_yet_is_not_gone() {
+fn an_entry_whose_return_is_not_in_the_watches_yet_is_not_gone() {
     let mut deployment = settled(8);
     lapse_in_an_outage(&mut deployment);
     deployment.store.watched_until = Some(deployment.store.revision);
     deployment.run(millis(1_500));
 
-    // It returns in time, and watches tell of it much later.
+    // It returns in time, and watches show it much later.
     deployment.store.put_backend(backend(1, "core", HOME));
     for _ in 0..6_000 {
         deployment.run(millis(1));
@@ -241,7 +241,7 @@
     }
     let calls = deployment.store.calls;
     deployment.run(millis(10_000));
-    assert!(deployment.store.calls - calls <= 2 * 2 * 8, "nobody lists it again and again");
+    assert!(deployment.store.calls - calls <= 2 * 2 * 8, "the store is listed again and again");
 }
 
 fn assert_not_gone(deployment: &Deployment, instance: u64) {
@@ -266,26 +266,28 @@
 }
 
 #[test]
-fn one_that_was_cut_off_brings_nothing_back() {
-    // When it is heard again, and when it last tried the store, depends on the length of the cut.
+fn a_balancer_that_was_isolated_brings_no_gone_entry_back() {
+    // When it is heard again, and when it last called the store, depends on the length of the
+    // partition.
     for step in 0..8 {
-        brings_nothing_back_after(70_000 + step * 300);
+        check_nothing_returns_after(70_000 + step * 300);
     }
 }
 
-fn brings_nothing_back_after(cut_ms: u64) {
+fn check_nothing_returns_after(partition_ms: u64) {
     let mut deployment = settled(8);
     deployment.cut_from_store = vec![3];
     deployment.cut_from_peers = vec![3];
     deployment.run(millis(1_000));
     deployment.store.delete_backend(4);
     deployment.store.put_routes(routes(8, &[(443, "core")]));
-    // Long enough for the others to forget that the backend server ever was.
-    deployment.run(millis(cut_ms));
+    // Long enough for the others to forget the backend server.
+    deployment.run(millis(partition_ms));
 
     deployment.cut_from_store.clear();
     deployment.cut_from_peers.clear();
-    // An entry that may have lapsed has 3.1 s from its last failed call; a heartbeat comes 0.4 s later.
+    // An entry that may have lapsed has 3.1 s from the last failed call to return. A heartbeat
+    // comes 0.4 s later.
     for _ in 0..350 {
         deployment.run(millis(10));
         let others = deployment.nodes.iter().flatten().enumerate().filter(|(node, _)| *node != 3);
@@ -300,7 +302,7 @@
 }
 
 #[test]
-fn messages_a_balancer_do_not_grow_with_the_deployment() {
+fn messages_per_balancer_do_not_grow_with_the_deployment() {
     let rate = |count: usize| {
         let mut deployment = settled(count);
         let before = deployment.messages;
@@ -318,7 +320,7 @@
     deployment.store.delete_backend(4);
     deployment.run(millis(3_000));
 
-    // Flows that were on it still come, and are to be told at once.
+    // Packets of its flows still arrive, and their callers should be sent resets at once.
     deployment.start(6);
     let took = deployment.run_until(|now| {
         now.node(6).knowledge().directory.get(4).is_some_and(BackendEntry::is_gone)
@@ -327,7 +329,7 @@
 }
 
 #[test]
-fn a_balancer_that_starts_among_others_calls_the_store_for_nothing() {
+fn a_balancer_that_starts_among_others_does_not_call_the_store() {
     let mut deployment = settled(8);
     deployment.cut_from_store = (0..7).collect();
     deployment.run(millis(10));
@@ -339,7 +341,7 @@
 }
 
 #[test]
-fn an_outage_of_the_store_does_not_make_all_of_them_call_it() {
+fn few_balancers_call_the_store_during_its_outage() {
     let mut deployment = settled(90);
     deployment.store_down = true;
 
@@ -355,7 +357,7 @@
 }
 
 #[test]
-fn a_store_that_answers_only_some_of_them_is_enough() {
+fn a_store_that_answers_only_some_balancers_is_enough() {
     let mut deployment = settled(30);
     deployment.cut_from_store = (0..25).collect();
 
@@ -413,7 +415,7 @@
 }
 
 #[test]
-fn a_herd_that_starts_before_many_backend_servers_is_ready_soon() {
+fn balancers_that_start_together_before_many_backend_servers_are_ready_soon() {
     let mut deployment = Deployment::new(60);
     deployment.store.put_routes(routes(3, &[(443, "core")]));
     for instance in 1..=1_500 {
@@ -427,13 +429,13 @@
     let before = deployment.messages;
     let took = deployment.run_until(|now| now.nodes.iter().flatten().all(EntryPolicy::is_ready));
     assert!(took <= millis(400), "{took:?}");
-    // All that is known has some 50 datagrams.
+    // All that is known takes some 50 datagrams.
     let each = (deployment.messages - before) / 60;
     assert!(each <= 120, "{each} messages from each balancer");
 }
 
 #[test]
-fn a_herd_in_several_zones_leaves_few_followers_soon() {
+fn balancers_that_start_together_in_several_zones_soon_leave_few_followers() {
     const COUNT: usize = 240;
     let mut deployment = Deployment::across_zones(COUNT, 3);
     deployment.store.put_routes(routes(3, &[(443, "core")]));
@@ -450,12 +452,12 @@
     deployment.run(millis(5_000));
     let calls = deployment.store.calls - before;
     assert!(deployment.watchers() <= 4, "{} followers", deployment.watchers());
-    // Two of them, each with a watch of 1.5 s for either kind, and one that comes or goes.
+    // Two followers, each with a watch of 1.5 s for either kind, and one that comes or goes.
     assert!(calls <= 30, "{calls} calls in 5 s");
 }
 
 #[test]
-fn one_that_starts_after_an_outage_does_not_make_lapsed_entries_gone() {
+fn a_balancer_that_starts_after_an_outage_does_not_make_lapsed_entries_gone() {
     let mut deployment = settled(8);
     deployment.store_down = true;
     deployment.run(millis(4_000));
@@ -463,7 +465,8 @@
     deployment.store.delete_backend(2);
     deployment.store_down = false;
 
-    // It reads the list without the lapsed entries, and others hear of a newer state from it.
+    // It reads the list without the lapsed entries, and the others learn from it that there is a
+    // newer state.
     deployment.cut_from_peers = vec![6];
     deployment.start(6);
     deployment.run_until(|now| now.node(6).is_ready());
@@ -477,16 +480,17 @@
     }
     deployment.store.put_backend(backend(1, "core", HOME));
     deployment.run(millis(6_000));
-    assert!(all_know_gone(&deployment, 2), "it has not returned");
+    assert!(all_know_gone(&deployment, 2), "entry 2 did not return and should be gone");
     for node in deployment.nodes.iter().flatten() {
         assert!(!node.knowledge().directory.get(1).unwrap().is_gone());
     }
 }
 
-/// Pattern: a link that carries one way. A follower that hears nobody goes on telling of what it knows, and answers
-/// no question; balancers that asked it at each of its heartbeats had a configuration 3 s late.
+/// Guards against waiting for a balancer behind a link that carries one way only. A follower that
+/// receives nothing still announces its knowledge and answers no requests. Balancers that request
+/// from it at each of its heartbeats get a configuration 3 s late.
 #[test]
-fn one_that_answers_nobody_keeps_no_other_from_a_new_configuration() {
+fn a_follower_that_receives_nothing_does_not_delay_a_new_configuration() {
     for step in 0..20 {
         for follower in 0..2 {
             let mut deployment = settled(4);
