--- a/crates/valvestage-policy/src/steering/packets.rs
+++ b/crates/valvestage-policy/src/steering/packets.rs
@@ -1,19 +1,19 @@
-//! Packets of callers, in the way that they take: what is known of one, what its flow has shown, and the verdict.
+//! Handling of caller packets: parsing results, per-flow state and the resulting verdicts.
 //!
 //! | module | contents |
 //! |---|---|
-//! | [`caller_packet`] | what is known of one packet, and what is done with it |
-//! | [`steering_policy`] | what is done with each packet |
-//! | `opening_packets` | packets that ask to open a flow, and copies of them |
-//! | `flow_ends` | whether the flow of a packet is over |
-//! | `flow_backend` | the backend server that a packet of an open flow is for |
-//! | [`held_packets`] | packets that wait until enough is known to decide about them |
-//! | [`wanted_tokens`] | tokens for which other balancers are asked |
-//! | `packet_verdicts` | verdicts that several steps come to |
-//! | [`flow_record`] | what the packets of one flow have shown so far |
-//! | [`flow_tracker`] | all flows that are known |
-//! | [`flow_reset`] | telling a caller that its flow is over |
-//! | `flow_ender` | which callers are told unasked |
+//! | [`caller_packet`] | the fields of one packet, and the verdict on it |
+//! | [`steering_policy`] | the decision for each packet |
+//! | `opening_packets` | opening packets and their retransmissions |
+//! | `flow_ends` | whether the flow of a packet has ended |
+//! | `flow_backend` | the backend server of an open flow |
+//! | [`held_packets`] | packets held until enough is known to decide about them |
+//! | [`wanted_tokens`] | unresolved tokens that other balancers are asked about |
+//! | `packet_verdicts` | verdicts that several steps share |
+//! | [`flow_record`] | the state of one flow, as seen in its packets |
+//! | [`flow_tracker`] | the records of all known flows |
+//! | [`flow_reset`] | the reset that ends a flow at its caller |
+//! | `flow_ender` | resets that are sent without a packet to answer |
 
 pub mod caller_packet;
 pub(in crate::steering) mod flow_backend;
--- a/crates/valvestage-policy/src/steering/packets/caller_packet.rs
+++ b/crates/valvestage-policy/src/steering/packets/caller_packet.rs
@@ -1,81 +1,85 @@
-//! What is known of one packet of a caller, and what is done with it.
+//! One packet of a caller, and the verdict on it.
 
 use std::net::SocketAddrV4;
 
 use valvestage_core::ids::{InstanceId, ShortToken};
 
-/// `FlowAddresses` names a flow: every packet of it carries them.
+/// Address pair that identifies a flow; every packet of the flow carries it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FlowAddresses {
     /// Address and port of the caller.
     pub caller: SocketAddrV4,
-    /// Address and port of the service, as the caller has it.
+    /// Address and port of the service, as the caller addresses it.
     pub service: SocketAddrV4,
 }
 
-/// `CallerPacket` is one packet that a caller sent.
+/// One packet that a caller sent, reduced to the fields that steering needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerPacket {
-    /// Its flow.
+    /// Flow that the packet belongs to.
     pub flow: FlowAddresses,
-    /// Asks to open the flow.
+    /// Whether the packet asks to open the flow.
     pub opening: bool,
-    /// Ends what the caller sends.
+    /// Whether the packet ends the caller's side of the flow; the backend server may still send.
     pub closing: bool,
-    /// Ends the flow at once.
+    /// Whether the packet aborts the flow in both directions.
     pub reset: bool,
-    /// The token last sent to the caller on this flow; 0 if none was.
+    /// Token last sent to the caller on this flow; 0 if there was none.
     pub token: ShortToken,
-    /// Number of the first byte.
+    /// Sequence number of the first data byte.
     pub sequence: u32,
-    /// Number of the byte that the caller expects next; on an opening packet, how many copies of it
-    /// were sent before.
+    /// Sequence number of the byte that the caller expects next. On an opening packet: how many
+    /// copies of the packet were sent before.
     pub acknowledged: u32,
-    /// Bytes of data.
+    /// Length of the data in bytes.
     pub data_length: u32,
 }
 
-/// `PacketVerdict` says what is done with a packet.
+/// Verdict on one packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PacketVerdict {
-    /// It goes to a backend server.
+    /// The packet is forwarded to a backend server.
     Forward {
-        /// The incarnation that is meant.
+        /// Incarnation of the backend server that is addressed.
         instance: InstanceId,
-        /// The number by which the packet names it; a backend server of another number at the same address ignores it.
+        /// Number by which the packet names the backend server; a backend server with another
+        /// number at the same address ignores the packet.
         number: u64,
-        /// Where it listens.
+        /// Address where the backend server listens.
         address: SocketAddrV4,
-        /// The token that the answers are to carry.
+        /// Token that the answers are to carry.
         token: ShortToken,
     },
-    /// The caller is told that the flow is over.
+    /// The caller is sent a reset, which ends the flow.
     Reset(ResetReason),
-    /// Nothing is done; the caller sends it again.
+    /// The packet is dropped; the caller retransmits it.
     Drop(DropReason),
 }
 
-/// `ResetReason` says why a caller is told that its flow is over.
+/// Reason why a flow is reset.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ResetReason {
-    /// No route leads from this address.
+    /// The service address has no route.
     NoRoute,
     /// No backend server of the service can take the flow.
     NoBackend,
-    /// Those that could take it are in regions to which the address does not lead.
+    /// The backend servers that could take the flow are in regions that the service address does
+    /// not serve.
     NoBackendInRegion,
-    /// Those that could take it are in availability zones that are evacuated.
+    /// The backend servers that could take the flow are in availability zones that are being
+    /// evacuated.
     ZonesEvacuated,
-    /// Those that could take it have just started, and bear no more at the moment.
+    /// The backend servers that could take the flow have just started and have reached their
+    /// request limit for the moment.
     BackendsCold,
     /// The backend server of the flow has ended.
     BackendGone,
-    /// The backend server of the flow seems dead.
+    /// The backend server of the flow is suspected to be dead.
     BackendSilent,
 }
 
 impl ResetReason {
-    /// `name` gives the reason as logs and metrics have it.
+    /// Returns the reason as it is written in logs and metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -90,30 +94,32 @@
     }
 }
 
-/// `DropReason` says why a packet is dropped.
+/// Reason why a packet is dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum DropReason {
     /// Routes or backend servers are not known yet.
     NotReady,
-    /// No route leads from this address, as far as an uncertain configuration tells.
+    /// The service address has no route in the known configuration, which may be out of date.
     NoRoute,
-    /// The flow belongs to no backend server that is known.
+    /// The token and the flow record name no backend server that is known.
     UnknownToken,
-    /// A copy of an opening packet whose first one went to a backend server that gets no new flows any more, and nobody else
-    /// may take it: the first one may be answered yet.
+    /// The packet is a copy of an opening packet whose first copy went to a backend server that
+    /// takes no new flows any more, and no other backend server can take the flow. The first copy
+    /// may still be answered, so the flow is not reset.
     NoOther,
-    /// The caller was told a moment ago that its flow is over, and sent this before.
+    /// The caller was sent a reset a moment ago, and sent this packet before it got the reset.
     AlreadyTold,
 }
 
 impl DropReason {
-    /// `may_pass` tells whether the reason may be over in a moment, so that the packet is worth holding until then.
+    /// Reports whether the reason may disappear within moments, so that holding the packet is
+    /// worthwhile.
     #[must_use]
     pub fn may_pass(self) -> bool {
         matches!(self, Self::NotReady | Self::UnknownToken)
     }
 
-    /// `name` gives the reason as logs and metrics have it.
+    /// Returns the reason as it is written in logs and metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
--- a/crates/valvestage-policy/src/steering/packets/flow_backend.rs
+++ b/crates/valvestage-policy/src/steering/packets/flow_backend.rs
@@ -1,4 +1,4 @@
-//! The backend server that a packet of an open flow is for.
+//! Lookup of the backend server that a packet of an open flow belongs to.
 
 use valvestage_core::ids::InstanceId;
 
@@ -7,8 +7,9 @@
 use crate::steering::knowledge::Knowledge;
 use crate::steering::knowledge::backend_entry::BackendEntry;
 
-/// `instance_of` gives the backend server of a flow. Before it is open the token goes before the record: a copy of
-/// the opening packet may have gone to another one than the one that the caller took.
+/// Returns the backend server of a flow. Before the flow is open, the token takes precedence over
+/// the record: the caller may have accepted the answer of a backend server that got another copy of
+/// the opening packet.
 pub(in crate::steering) fn instance_of(
     flows: &FlowTracker,
     knowledge: &Knowledge,
@@ -25,8 +26,9 @@
     named.or(record.map(|record| record.instance))
 }
 
-/// `present_birth` gives where a flow of an incarnation goes on. If another process has started under its name, that one alone
-/// knows whether the flow was opened there, unless it runs another service than those before it did.
+/// Returns the incarnation that continues the flows of `instance`. If another process has started
+/// under the same name, only that process knows whether it has the flow, so the packet goes there,
+/// unless it runs another service than its predecessors.
 pub(in crate::steering) fn present_birth(
     knowledge: &Knowledge,
     packet: &CallerPacket,
--- a/crates/valvestage-policy/src/steering/packets/flow_ender.rs
+++ b/crates/valvestage-policy/src/steering/packets/flow_ender.rs
@@ -1,9 +1,10 @@
-//! Which callers are told that their flows are over, and when.
+//! Resets that are sent to callers without a packet to answer.
 //!
-//! A reset that only answers packets comes too late for a flow that rests: its caller has then sent the next
-//! request on it, and may not send that again if it is not idempotent. And a caller whose request was
-//! acknowledged before its backend server died sends nothing more, and waits until its deadline. So when a
-//! backend server has ended, or is given up, the flows there are told without being asked.
+//! A reset that only answers packets comes too late for an idle flow: by then the caller has sent
+//! its next request, which it cannot repeat if the request is not idempotent. And a caller whose
+//! request was acknowledged before its backend server died sends nothing more and waits until its
+//! deadline. Therefore, when a backend server has ended or is declared dead, its flows are reset
+//! proactively.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -15,52 +16,56 @@
 use super::flow_tracker::{EndedBackend, FlowSelection, FlowTracker};
 use crate::steering::knowledge::lapse::LapseJudge;
 
-/// Flows told in one round of 100 ms at most. At the size to design for a balancer has 6,200 flows, some 900
-/// of them in one availability zone: if all of that is lost they are told within 1.5 s, in bursts of 2.3 KB.
+/// Maximum number of resets per round of 100 ms. At the design size a balancer has 6,200 flows,
+/// some 900 of them in one availability zone: if the whole zone is lost, they are reset within 1.5
+/// s, in bursts of 2.3 KB.
 const TOLD_PER_ROUND: usize = 64;
 
-/// A caller that was told is not told again for packets that it sent before it knew. Callers send again after
-/// 200 ms, and then the reset was lost.
+/// Time for which no further reset is sent on a flow, since packets may still arrive that the
+/// caller sent before it got the reset. Callers retransmit after 200 ms, so a packet after that
+/// time means that the reset was lost.
 const TELL_AGAIN_AFTER: Duration = Duration::from_millis(150);
 
-/// `EndedFlow` is a flow whose caller is to be told.
+/// Flow whose caller is to be sent a reset.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::steering) struct EndedFlow {
-    /// What the caller is sent.
+    /// Reset to send to the caller.
     pub reset: FlowReset,
-    /// Its backend server.
+    /// Backend server of the flow.
     pub instance: InstanceId,
-    /// Why it is over.
+    /// Reason for the reset.
     pub reason: ResetReason,
 }
 
-/// `FlowEnder` collects ended backend servers, and tells the callers of their flows within a budget.
+/// Collects ended backend servers and issues the resets of their flows at a limited rate.
 #[derive(Debug, Default)]
 pub(in crate::steering) struct FlowEnder {
-    /// Backend servers whose entries are gone, whose flows were not told yet; some may have lapsed only.
+    /// Backend servers whose entries are gone and whose flows are not reset yet; some of the
+    /// entries may only have lapsed.
     gone: Vec<InstanceId>,
-    /// Backend servers that were given up since the last round.
+    /// Backend servers that were declared dead since the last round.
     silent: Vec<InstanceId>,
-    /// Flows to be told; their records are dropped already.
+    /// Flows to reset; their records are removed already.
     due: VecDeque<EndedFlow>,
-    /// Callers that were told, until when they are not told again.
+    /// Flows that were reset lately, each with the time until which no further reset is sent.
     told: HashMap<FlowAddresses, Instant>,
 }
 
 impl FlowEnder {
-    /// `on_gone` takes in that the entries of some backend servers are gone.
+    /// Records that the entries of some backend servers are gone.
     pub(in crate::steering) fn on_gone(&mut self, instances: Vec<InstanceId>) {
         self.gone.extend(instances);
     }
 
-    /// `on_given_up` takes in that the open flows of a backend server are being ended.
+    /// Records that a backend server was declared dead, so that its idle flows are reset in the
+    /// next round.
     pub(in crate::steering) fn on_given_up(&mut self, instance: InstanceId) {
         if !self.silent.contains(&instance) {
             self.silent.push(instance);
         }
     }
 
-    /// `round` gives the flows whose callers are to be told now.
+    /// Returns the flows whose callers are to be sent a reset now, at most [`TOLD_PER_ROUND`].
     pub(in crate::steering) fn round(
         &mut self,
         flows: &mut FlowTracker,
@@ -77,7 +82,8 @@
         ended
     }
 
-    /// Takes the flows of those backend servers that have ended, and forgets those that have returned.
+    /// Queues resets for the flows of the gone backend servers that have ended, and drops those
+    /// backend servers whose entries have returned.
     fn collect_gone(&mut self, flows: &mut FlowTracker, judge: &LapseJudge<'_>) {
         self.gone.retain(|instance| judge.is_gone(*instance));
         let ended = self.gone.extract_if(.., |instance| judge.has_ended(*instance));
@@ -86,8 +92,8 @@
         self.collect(flows, &ended, ResetReason::BackendGone, FlowSelection::Open);
     }
 
-    /// Takes the resting flows of backend servers that were given up. Those that wait for an answer may still
-    /// get it; they are told when they send again.
+    /// Queues resets for the idle flows of backend servers that were declared dead. Flows that wait
+    /// for an answer may still get it; they are reset when the caller retransmits.
     fn collect_silent(&mut self, flows: &mut FlowTracker) {
         let silent: Vec<_> =
             std::mem::take(&mut self.silent).into_iter().map(EndedBackend::all_of).collect();
@@ -112,17 +118,17 @@
         self.due.extend(ended);
     }
 
-    /// `on_told` takes in that a caller is being told.
+    /// Records that a reset is being sent on a flow.
     pub(in crate::steering) fn on_told(&mut self, flow: FlowAddresses, now: Instant) {
         self.told.insert(flow, now + TELL_AGAIN_AFTER);
     }
 
-    /// `is_told` tells whether a caller was told a moment ago.
+    /// Reports whether a reset was sent on a flow within the last [`TELL_AGAIN_AFTER`].
     pub(in crate::steering) fn is_told(&self, flow: &FlowAddresses, now: Instant) -> bool {
         self.told.get(flow).is_some_and(|until| *until > now)
     }
 
-    /// `forget` drops what is over.
+    /// Drops the records of resets that are older than [`TELL_AGAIN_AFTER`].
     pub(in crate::steering) fn forget(&mut self, now: Instant) {
         self.told.retain(|_, until| *until > now);
     }
--- a/crates/valvestage-policy/src/steering/packets/flow_ends.rs
+++ b/crates/valvestage-policy/src/steering/packets/flow_ends.rs
@@ -1,4 +1,4 @@
-//! Whether the flow of a packet is over.
+//! Decides whether the flow of a packet has ended.
 
 use std::time::Instant;
 
@@ -11,12 +11,13 @@
 use crate::steering::knowledge::zone_contacts::ZoneReach;
 
 impl SteeringPolicy {
-    /// Why the flow of a packet is over; none if it is not.
+    /// Returns why the flow of a packet has ended, or `None` if it has not.
     ///
-    /// Where nobody can tell whether its backend server lives, the answer to one more packet shows that it does, and the next copy
-    /// of the packet that it does not. That is so where an entry lapsed in a cut, and for a backend server of another zone that
-    /// seems dead: the zone may have been cut off until a moment ago. A reset would end flows that go on through balancers at the
-    /// other side of the cut.
+    /// Where no balancer can tell whether the backend server is alive, the packet is forwarded as a
+    /// probe: an answer to it shows that the backend server is alive, and a retransmission of it
+    /// that it is not. That is so if the entry lapsed during a network partition, and for a
+    /// suspected backend server in another zone, which may have been cut off until a moment ago. A
+    /// reset would end flows that go on through balancers on the other side of the partition.
     pub(super) fn over_because(
         &mut self,
         knowledge: &Knowledge,
@@ -47,7 +48,8 @@
         if is_away && !self.flows.misses_probe(packet, not_before, now) {
             return None;
         }
-        // Flows that rest here may go on elsewhere while their zone is cut off.
+        // Flows that are idle here may be in use through other balancers while their zone is cut
+        // off.
         if !(is_away && reach == ZoneReach::Silent) {
             self.ender.on_given_up(instance);
         }
--- a/crates/valvestage-policy/src/steering/packets/flow_record.rs
+++ b/crates/valvestage-policy/src/steering/packets/flow_record.rs
@@ -1,4 +1,4 @@
-//! What the packets of one flow have shown so far.
+//! State of one flow, as seen in the packets of its caller.
 
 use std::time::{Duration, Instant};
 
@@ -9,56 +9,59 @@
 use crate::steering::health::flow_request::{EndedRequest, FlowRequest};
 use crate::steering::placement::flow_placer::ANSWER_TIME;
 
-/// Time without a packet after which an answer that has begun seems whole: several round trips.
+/// Time without a packet after which an answer that has begun is considered complete: several round
+/// trips.
 const REST_TIME: Duration = Duration::from_millis(100);
 
-/// `FlowRecord` is what one balancer saw of a flow.
+/// Record of what one balancer has seen of a flow.
 #[derive(Debug, Clone)]
 pub struct FlowRecord {
-    /// The backend server of the flow.
+    /// Backend server of the flow.
     pub instance: InstanceId,
-    /// Whether the caller has answered the backend server's answer to its opening packet.
+    /// Whether the caller has acknowledged the backend server's answer to its opening packet.
     pub open: bool,
-    /// Whether the caller has ended its side.
+    /// Whether the caller has ended its side of the flow.
     pub closing: bool,
-    /// Since when something that the caller sent has no answer; none while nothing is under way.
+    /// Since when something that the caller sent is unanswered; `None` while nothing is under way.
     pub waiting_since: Option<Instant>,
-    /// When the first packet came that this balancer saw.
+    /// When this balancer saw the first packet of the flow.
     pub first_packet: Instant,
-    /// When the last packet came.
+    /// When this balancer saw the last packet of the flow.
     pub last_packet: Instant,
-    /// Number after the last byte that the caller sent.
+    /// Sequence number after the last byte that the caller sent.
     sent_until: u32,
-    /// Number of the byte that the caller expects next.
+    /// Sequence number of the byte that the caller expects next.
     acknowledged: u32,
-    /// When a packet was sent on to see whether the backend server lives, which seems dead; none since its last answer.
+    /// When a packet was forwarded as a probe to a backend server that is suspected to be dead;
+    /// `None` if there was none since the last answer.
     probed_at: Option<Instant>,
-    /// The request whose outcome is still to be judged; none if it was, or none was seen to begin.
+    /// Request whose outcome is still open; `None` if the outcome is known, or the start of the
+    /// request was not seen.
     request: Option<FlowRequest>,
 }
 
-/// `FlowSign` is what a packet shows about the backend server of its flow.
+/// What a packet shows about the liveness of the backend server of its flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FlowSign {
-    /// It has answered since the packet before.
+    /// The backend server has answered since the packet before.
     Alive(AnswerSign),
-    /// The caller sends something again: an answer is missing since the time given.
+    /// The caller retransmits: an answer is missing since the time given.
     Unanswered(Instant),
-    /// Nothing.
+    /// The packet shows nothing about the backend server.
     Neutral,
 }
 
-/// `AnswerSign` is what an answer shows.
+/// What an answer of a backend server shows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AnswerSign {
-    /// Whether it answered an opening packet; otherwise a request.
+    /// Whether the answer is to an opening packet; otherwise it is to a request.
     pub opening: bool,
-    /// Since when the answer was awaited; none if more came than was asked for.
+    /// Since when the answer was awaited; `None` if more data came than was asked for.
     pub since: Option<Instant>,
 }
 
 impl FlowRecord {
-    /// `open_at` starts the record of a flow with its opening packet.
+    /// Starts the record of a flow with its opening packet.
     #[must_use]
     pub fn open_at(instance: InstanceId, now: Instant) -> Self {
         Self {
@@ -75,7 +78,7 @@
         }
     }
 
-    /// `taken_over` starts the record of a flow that was opened through another balancer.
+    /// Starts the record of a flow that was opened through another balancer.
     #[must_use]
     pub fn taken_over(instance: InstanceId, packet: &CallerPacket, now: Instant) -> Self {
         Self {
@@ -92,7 +95,7 @@
         }
     }
 
-    /// `observe` takes a further packet in.
+    /// Updates the record with a further packet, and returns what the packet shows.
     pub fn observe(&mut self, packet: &CallerPacket, now: Instant) -> FlowSign {
         self.last_packet = now;
         if packet.opening {
@@ -105,7 +108,7 @@
         sign
     }
 
-    /// A copy of the opening packet: nothing has answered the one before.
+    /// Handles a copy of the opening packet: the first copy is unanswered so far.
     fn observe_opening(&mut self) -> FlowSign {
         match self.waiting_since {
             Some(since) if !self.open => FlowSign::Unanswered(since),
@@ -113,7 +116,7 @@
         }
     }
 
-    /// What the caller has received since the packet before.
+    /// Returns what the acknowledgement number shows about answers since the packet before.
     fn observe_answer(&mut self, packet: &CallerPacket) -> FlowSign {
         let opened = !self.open;
         let advanced = opened || is_after(packet.acknowledged, self.acknowledged);
@@ -124,8 +127,9 @@
         if opened {
             self.sent_until = packet.sequence;
         }
-        // Callers acknowledge every second packet. What a new request acknowledges may have been
-        // received long before it, and says nothing of the backend server now.
+        // Callers acknowledge every second packet. The answer that a new request acknowledges may
+        // have been received long before the request was sent, so it says nothing about the backend
+        // server now.
         let is_stale = !opened && self.waiting_since.is_none() && packet.data_length > 0;
         self.open = true;
         self.probed_at = None;
@@ -136,7 +140,7 @@
         FlowSign::Alive(AnswerSign { opening: opened, since: self.waiting_since.take() })
     }
 
-    /// What the caller sends, for the first time or again.
+    /// Handles the data of a packet, whether new or retransmitted.
     fn observe_data(&mut self, packet: &CallerPacket, sign: FlowSign, now: Instant) -> FlowSign {
         if packet.data_length == 0 {
             return sign;
@@ -156,8 +160,8 @@
         self.waiting_since.map_or(FlowSign::Neutral, FlowSign::Unanswered)
     }
 
-    /// `end_request` gives the request that a packet ends: the caller goes on to another one, or ends
-    /// the flow. To be called before the packet is observed.
+    /// Returns the request that a packet ends, because the caller starts another one or ends the
+    /// flow. Has to be called before the packet is observed.
     pub fn end_request(&mut self, packet: &CallerPacket) -> Option<EndedRequest> {
         let begins_another = self.waiting_since.is_none() && self.has_new_data(packet);
         if packet.opening || !(begins_another || packet.closing || packet.reset) {
@@ -169,9 +173,9 @@
         self.request.take().map(|request| request.end(acknowledged))
     }
 
-    /// `end_overdue` gives the request that began at a time if it still waits for an answer, or if
-    /// its answer seems whole: long flows end a request only with their next one. None if bytes still
-    /// come, or its outcome is known.
+    /// Returns the request that began at `started` if it still waits for an answer, or if its
+    /// answer seems complete: on a long-lived flow only the next request ends a request. Returns
+    /// `None` if the answer is still arriving, or the outcome is known.
     pub fn end_overdue(&mut self, started: Instant, now: Instant) -> Option<EndedRequest> {
         let request = self.request.filter(|request| request.started == started)?;
         let rests = now.saturating_duration_since(self.last_packet) >= REST_TIME;
@@ -183,12 +187,12 @@
         Some(request.end(self.acknowledged))
     }
 
-    /// `forget_request` leaves the outcome of the request open.
+    /// Drops the request under way without an outcome.
     pub fn forget_request(&mut self) {
         self.request = None;
     }
 
-    /// `request_started` gives when the request began whose outcome is not known.
+    /// Returns when the request began whose outcome is still open.
     #[must_use]
     pub fn request_started(&self) -> Option<Instant> {
         self.request.map(|request| request.started)
@@ -200,9 +204,9 @@
         packet.data_length > 0 && is_after(end, self.sent_until)
     }
 
-    /// `misses_probe` takes in a packet that shows whether the backend server lives, which seems dead: an answer to it, or a copy of
-    /// it that is still without one, which gives true. What was sent before a time shows nothing, since it may have been lost in
-    /// a cut.
+    /// Handles a packet as a probe of a suspected backend server. Returns true if the packet is a
+    /// copy of an earlier probe that is still unanswered after `ANSWER_TIME`. A probe sent at or
+    /// before `not_before` does not count, since it may have been lost in a network partition.
     pub fn misses_probe(
         &mut self,
         packet: &CallerPacket,
@@ -224,26 +228,26 @@
         }
     }
 
-    /// `has_opened_before` tells whether the flow was there a second ago already.
+    /// Reports whether this balancer has known the flow for at least a second.
     #[must_use]
     pub fn has_opened_before(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.first_packet) >= Duration::from_secs(1)
     }
 
-    /// `reset_of` gives what ends the flow of this record at its caller.
+    /// Returns the reset that ends the flow of this record at its caller.
     #[must_use]
     pub fn reset_of(&self, flow: FlowAddresses) -> FlowReset {
         FlowReset { flow, expected: self.acknowledged }
     }
 
-    /// `is_busy` tells whether the backend server has something to do for the flow.
+    /// Reports whether something that the caller sent is still unanswered.
     #[must_use]
     pub fn is_busy(&self) -> bool {
         self.waiting_since.is_some()
     }
 }
 
-/// Byte numbers wrap around.
+/// Compares sequence numbers, which wrap around.
 fn is_after(later: u32, earlier: u32) -> bool {
     later != earlier && later.wrapping_sub(earlier) < u32::MAX / 2
 }
--- a/crates/valvestage-policy/src/steering/packets/flow_reset.rs
+++ b/crates/valvestage-policy/src/steering/packets/flow_reset.rs
@@ -1,19 +1,19 @@
-//! Telling a caller that its flow is over.
+//! The reset that ends a flow at its caller.
 
 use super::caller_packet::{CallerPacket, FlowAddresses};
 
-/// `FlowReset` is what a caller is sent to end its flow.
+/// Reset that is sent to a caller to end its flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FlowReset {
-    /// The flow.
+    /// Flow to end.
     pub flow: FlowAddresses,
-    /// Number of the byte that the caller expects next, as it last said: on an open flow it takes a reset
-    /// only near that.
+    /// Sequence number of the byte that the caller expects next, as it last acknowledged: on an
+    /// open flow it accepts a reset only close to that number.
     pub expected: u32,
 }
 
 impl From<&CallerPacket> for FlowReset {
-    /// The answer to a packet: the caller has just said what it expects.
+    /// Creates the reset that answers a packet, whose acknowledgement number is current.
     fn from(packet: &CallerPacket) -> Self {
         Self { flow: packet.flow, expected: packet.acknowledged }
     }
--- a/crates/valvestage-policy/src/steering/packets/flow_tracker.rs
+++ b/crates/valvestage-policy/src/steering/packets/flow_tracker.rs
@@ -1,4 +1,4 @@
-//! The flows that this balancer has seen packets of.
+//! Records of the flows that this balancer has seen packets of.
 
 use std::time::{Duration, Instant};
 
@@ -11,51 +11,52 @@
 use crate::steering::health::flow_request::EndedRequest;
 use crate::steering::placement::backend_load::BackendLoad;
 
-/// A flow that the caller has ended is kept for packets that come late. Senders give up resending
+/// Retention of a flow after its caller has ended it, for late packets. Senders stop retransmitting
 /// within 1.6 s.
 const KEEP_CLOSED: Duration = Duration::from_secs(2);
 
-/// A flow that never opened is forgotten: callers give up after 1.4 s.
+/// Retention of a flow that never opened. Callers give up after 1.4 s.
 const KEEP_UNOPENED: Duration = Duration::from_secs(3);
 
-/// `FlowObservation` is what a packet shows.
+/// What one packet shows about its flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FlowObservation {
-    /// About the backend server.
+    /// What the packet shows about the liveness of the backend server.
     pub sign: FlowSign,
-    /// The request that it ends.
+    /// Request that the packet ends, if any.
     pub ended: Option<EndedRequest>,
-    /// When the request began that it begins.
+    /// Start of the request that the packet begins, if any.
     pub began: Option<Instant>,
 }
 
 impl FlowObservation {
-    /// What a packet of a flow that is not known shows.
+    /// Returns the observation for a packet of an unknown flow.
     fn nothing() -> Self {
         Self { sign: FlowSign::Neutral, ended: None, began: None }
     }
 }
 
-/// `FlowSelection` says which flows are meant.
+/// Selects which flows of an ended backend server are reset.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::steering) enum FlowSelection {
-    /// Those that opened and that their callers have not ended.
+    /// Open flows that their callers have not ended.
     Open,
-    /// Those of them that wait for no answer.
+    /// Open flows, not ended by their callers, that wait for no answer.
     Resting,
 }
 
-/// `EndedBackend` is a backend server whose flows are to be told.
+/// Backend server whose flows are to be reset.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::steering) struct EndedBackend {
-    /// The incarnation.
+    /// Incarnation that has ended.
     pub instance: InstanceId,
-    /// Only flows that were seen before; none: all. Later ones may be at the process that has started under its name.
+    /// Restricts the reset to flows first seen before this time; `None` means all flows. Later
+    /// flows may belong to the process that has started under the same name.
     pub seen_before: Option<Instant>,
 }
 
 impl EndedBackend {
-    /// `all_of` means all flows of an incarnation.
+    /// Selects all flows of an incarnation.
     pub(in crate::steering) fn all_of(instance: InstanceId) -> Self {
         Self { instance, seen_before: None }
     }
@@ -66,7 +67,7 @@
     }
 }
 
-/// `FlowTracker` holds records of flows and the load that they are for each backend server.
+/// Records of all known flows, with the load that they put on each backend server.
 #[derive(Debug, Default)]
 pub struct FlowTracker {
     /// Invariant: `loads` is the sum over these records.
@@ -75,36 +76,36 @@
 }
 
 impl FlowTracker {
-    /// `get` gives the record of a flow.
+    /// Returns the record of a flow, if the flow is known.
     #[must_use]
     pub fn get(&self, flow: &FlowAddresses) -> Option<&FlowRecord> {
         self.records.get(flow)
     }
 
-    /// `len` gives the number of flows.
+    /// Returns the number of known flows.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// `is_empty` tells whether there is no flow.
+    /// Reports whether no flow is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// `load` gives the load that the flows are for a backend server.
+    /// Returns the load that the known flows put on a backend server.
     #[must_use]
     pub fn load(&self, instance: InstanceId) -> BackendLoad {
         self.loads.get(&instance).copied().unwrap_or_default()
     }
 
-    /// `loads` gives the backend servers that have flows, each with the load that these are for it.
+    /// Iterates over the backend servers that have flows, each with the load of these flows.
     pub fn loads(&self) -> impl Iterator<Item = (InstanceId, BackendLoad)> {
         self.loads.iter().map(|(instance, load)| (*instance, *load))
     }
 
-    /// `insert` adds a record, in place of an earlier one of the flow.
+    /// Adds the record of a flow, replacing an earlier one of the same flow.
     pub fn insert(&mut self, flow: FlowAddresses, record: FlowRecord) {
         self.remove(&flow);
 
@@ -112,7 +113,7 @@
         self.records.insert(flow, record);
     }
 
-    /// `observe` takes a packet of a known flow in.
+    /// Updates the record of the packet's flow, and returns what the packet shows.
     pub fn observe(&mut self, packet: &CallerPacket, now: Instant) -> FlowObservation {
         let Some(record) = self.records.get_mut(&packet.flow) else {
             return FlowObservation::nothing();
@@ -128,8 +129,8 @@
         FlowObservation { sign, ended, began }
     }
 
-    /// `end_overdue` gives the request of a flow that began at a time, with its backend server, if
-    /// it still waits for an answer or its answer seems whole.
+    /// Returns the request of a flow that began at `started`, with its backend server, if it still
+    /// waits for an answer or its answer seems complete.
     pub fn end_overdue(
         &mut self,
         flow: &FlowAddresses,
@@ -142,8 +143,8 @@
         record.end_overdue(started, now).map(|ended| (instance, ended))
     }
 
-    /// `misses_probe` takes in a packet that is to show whether the backend server of its flow lives; true if one before it has
-    /// shown that it does not.
+    /// Handles a packet as a probe of its flow's backend server. Returns true if an earlier probe
+    /// has shown that the backend server does not answer.
     pub fn misses_probe(
         &mut self,
         packet: &CallerPacket,
@@ -155,12 +156,12 @@
         record.is_some_and(|record| record.misses_probe(packet, not_before, now))
     }
 
-    /// `forget_requests` leaves the outcome of all requests under way open.
+    /// Drops all requests under way without an outcome.
     pub fn forget_requests(&mut self) {
         self.records.values_mut().for_each(FlowRecord::forget_request);
     }
 
-    /// `remove` forgets a flow.
+    /// Removes a flow, and its load from its backend server.
     pub fn remove(&mut self, flow: &FlowAddresses) {
         let Some(record) = self.records.remove(flow) else {
             return;
@@ -174,7 +175,7 @@
         }
     }
 
-    /// `take_at` forgets flows of some backend servers, and gives how to tell their callers, each with its
+    /// Removes the selected flows of some backend servers, and returns the reset of each, with its
     /// backend server.
     pub(in crate::steering) fn take_at(
         &mut self,
@@ -191,7 +192,7 @@
         let mut taken: Vec<_> =
             taken.map(|(flow, record)| (record.reset_of(*flow), record.instance)).collect();
 
-        // The same order on every run, so that a simulated seed repeats itself.
+        // Sorted, so that a simulation with the same seed repeats exactly.
         taken.sort_unstable_by_key(|(reset, _)| reset.flow);
         for (reset, _) in &taken {
             self.remove(&reset.flow);
@@ -199,7 +200,8 @@
         taken
     }
 
-    /// `expire` forgets the flows that have been silent for too long.
+    /// Removes the flows without packets for longer than their retention; `idle_timeout` is the
+    /// retention of open flows.
     pub fn expire(&mut self, now: Instant, idle_timeout: Duration) {
         let is_over = |record: &FlowRecord| {
             let keep = match (record.open, record.closing) {
--- a/crates/valvestage-policy/src/steering/packets/held_packets.rs
+++ b/crates/valvestage-policy/src/steering/packets/held_packets.rs
@@ -1,33 +1,36 @@
-//! Packets that wait until enough is known to decide about them.
+//! Packets held until enough is known to decide about them.
 //!
-//! A balancer that has just started knows no backend servers, and after a restart of all of them nobody knows those whose entries
-//! lapsed in a cut: they return within some 2 s. A caller sends a packet again after 200 ms, and then after twice as long
-//! each time. What waits is decided about as soon as it can be, which may be a second before the next copy comes.
+//! A balancer that has just started knows no backend servers, and after a restart of all balancers
+//! none knows the backend servers whose entries lapsed during a network partition: they return
+//! within some 2 s. A caller retransmits after 200 ms, and then doubles the interval each time. A
+//! held packet is decided about as soon as possible, which may be a second before its next copy
+//! comes.
 
 use std::time::{Duration, Instant};
 
 use super::caller_packet::CallerPacket;
 
-/// Packets that wait at most, of 1.3 KB each.
+/// Maximum number of held packets, of 1.3 KB each.
 const MAX_HELD: usize = 256;
 
-/// For how long one waits: callers that still want an answer have sent a copy by then, 1.6 s later at the most.
+/// Time for which a packet is held: a caller that still wants an answer has sent a copy by then,
+/// since copies are at most 1.6 s apart.
 const HOLD_TIME: Duration = Duration::from_secs(2);
 
-/// `HeldPacket` is a packet that waits, with what its driver needs to send it.
+/// Held packet, with the payload that its driver needs to forward it.
 #[derive(Debug)]
 pub struct HeldPacket<T> {
-    /// What is known of it.
+    /// Fields that the decision depends on.
     pub packet: CallerPacket,
-    /// The packet itself.
+    /// Driver-specific data, such as the bytes of the packet.
     pub payload: T,
-    /// How many copies of it have come; the last one waits in place of the others.
+    /// Number of copies received so far; the last copy replaces the one before.
     pub copies: u32,
-    /// Until when it waits.
+    /// When the hold time ends.
     until: Instant,
 }
 
-/// `HeldPackets` holds packets in the order in which their first copies came.
+/// Bounded collection of held packets, in the order in which their first copies came.
 #[derive(Debug)]
 pub struct HeldPackets<T> {
     packets: Vec<HeldPacket<T>>,
@@ -40,7 +43,7 @@
 }
 
 impl<T> HeldPackets<T> {
-    /// `hold` lets a packet wait; false if there is no room for it.
+    /// Holds a packet, replacing an earlier copy. Returns false if there is no room for it.
     pub fn hold(&mut self, packet: CallerPacket, payload: T, now: Instant) -> bool {
         let until = now + HOLD_TIME;
         if let Some(held) = self.packets.iter_mut().find(|held| is_copy(&held.packet, &packet)) {
@@ -55,7 +58,7 @@
         true
     }
 
-    /// `take_decidable` gives the packets about which can be decided by now.
+    /// Removes and returns the packets that can be decided about now.
     pub fn take_decidable(
         &mut self,
         can_decide: impl Fn(&CallerPacket) -> bool,
@@ -63,30 +66,30 @@
         self.packets.extract_if(.., |held| can_decide(&held.packet)).collect()
     }
 
-    /// `take_expired` gives the packets that have waited for too long.
+    /// Removes and returns the packets whose hold time is over.
     pub fn take_expired(&mut self, now: Instant) -> Vec<HeldPacket<T>> {
         self.packets.extract_if(.., |held| held.until <= now).collect()
     }
 
-    /// `iter` gives the packets that wait.
+    /// Iterates over the held packets.
     pub fn iter(&self) -> impl Iterator<Item = &HeldPacket<T>> {
         self.packets.iter()
     }
 
-    /// `len` gives how many packets wait.
+    /// Returns the number of held packets.
     #[must_use]
     pub fn len(&self) -> usize {
         self.packets.len()
     }
 
-    /// `is_empty` tells whether none waits.
+    /// Reports whether no packet is held.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.packets.is_empty()
     }
 }
 
-/// Whether two packets carry the same bytes of a flow.
+/// Reports whether two packets carry the same bytes of the same flow.
 fn is_copy(one: &CallerPacket, other: &CallerPacket) -> bool {
     one.flow == other.flow
         && one.opening == other.opening
--- a/crates/valvestage-policy/src/steering/packets/opening_packets.rs
+++ b/crates/valvestage-policy/src/steering/packets/opening_packets.rs
@@ -1,4 +1,4 @@
-//! Packets that ask to open a flow, and copies of them.
+//! Packets that ask to open a flow, and their retransmissions.
 
 use std::time::Instant;
 
@@ -15,7 +15,7 @@
 use crate::steering::placement::flow_placer::{ANSWER_TIME, FlowPlacer};
 
 impl SteeringPolicy {
-    /// A packet that asks to open a flow.
+    /// Decides about a packet that asks to open a flow.
     pub(super) fn on_opening(
         &mut self,
         knowledge: &Knowledge,
@@ -33,8 +33,9 @@
         }
     }
 
-    /// A copy goes where the first one went, unless that backend server shows no life or takes no
-    /// new flows any more. None: the packet is to be handled like a first one.
+    /// Decides about a copy of an opening packet. A copy goes where the first one went, unless that
+    /// backend server does not answer or takes no new flows any more. Returns `None` if the packet
+    /// is to be handled like a first one.
     fn on_opening_copy(
         &mut self,
         knowledge: &Knowledge,
@@ -43,7 +44,7 @@
     ) -> Option<PacketVerdict> {
         let record = self.flows.get(&packet.flow)?;
         if record.open && packet.acknowledged == 0 {
-            // The caller uses the port again.
+            // The caller reuses the port for a new flow.
             return None;
         }
         let instance = record.instance;
@@ -71,7 +72,8 @@
         Some(self.place(knowledge, packet.flow, &entry.service, Some(instance), now))
     }
 
-    /// Whether an answer is missing that had time to come, and nobody else got one meanwhile.
+    /// Reports whether an answer is overdue, and the backend server has answered nobody else
+    /// meanwhile.
     fn is_unanswered(&self, instance: InstanceId, sign: FlowSign, now: Instant) -> bool {
         match sign {
             FlowSign::Unanswered(since) => {
@@ -94,7 +96,8 @@
         }
     }
 
-    /// Takes in that a backend server gets a request, if it is to get few of them now.
+    /// Counts a request to a backend server, if the backend server is cold and its request rate
+    /// limited.
     pub(super) fn count_cold(&mut self, knowledge: &Knowledge, instance: InstanceId, now: Instant) {
         let Some(entry) = knowledge.directory.get(instance) else { return };
 
@@ -103,7 +106,7 @@
         }
     }
 
-    /// Places a flow. One without any backend server that could take it is refused at once.
+    /// Places a flow on a backend server; resets it at once if no backend server can take it.
     fn place(
         &mut self,
         knowledge: &Knowledge,
--- a/crates/valvestage-policy/src/steering/packets/packet_verdicts.rs
+++ b/crates/valvestage-policy/src/steering/packets/packet_verdicts.rs
@@ -1,4 +1,4 @@
-//! Verdicts that several steps of steering come to.
+//! Verdicts that several steps of steering share.
 
 use std::hash::Hasher;
 use std::time::Instant;
@@ -10,8 +10,8 @@
 use crate::steering::knowledge::Knowledge;
 use crate::steering::knowledge::backend_directory::BackendDirectory;
 
-/// `refuse_route` gives the verdict on a packet for an address without a route. A configuration that may be out of date
-/// refuses nothing: the caller sends the packet again.
+/// Returns the verdict on a packet for a service address without a route. If the configuration may
+/// be out of date, the packet is dropped rather than refused: the caller retransmits it.
 pub(in crate::steering) fn refuse_route(knowledge: &Knowledge, now: Instant) -> PacketVerdict {
     if knowledge.is_certain(now) {
         PacketVerdict::Reset(ResetReason::NoRoute)
@@ -20,7 +20,7 @@
     }
 }
 
-/// `forward` gives the verdict that a packet goes to a backend server.
+/// Returns the verdict that forwards a packet to a backend server.
 pub(in crate::steering) fn forward(knowledge: &Knowledge, instance: InstanceId) -> PacketVerdict {
     match knowledge.directory.get(instance) {
         Some(entry) => PacketVerdict::Forward {
@@ -33,7 +33,7 @@
     }
 }
 
-/// `draw_of` gives a number that is the same for a flow at every balancer.
+/// Returns a hash of a flow that is the same at every balancer.
 pub(in crate::steering) fn draw_of(flow: &FlowAddresses) -> u64 {
     let mut hasher = SipHasher13::new();
 
--- a/crates/valvestage-policy/src/steering/packets/steering_policy.rs
+++ b/crates/valvestage-policy/src/steering/packets/steering_policy.rs
@@ -1,4 +1,4 @@
-//! The parts of steering together.
+//! The steering policy, which joins the parts of steering.
 
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
@@ -24,7 +24,7 @@
 use crate::steering::placement::fleet_demand::FleetDemand;
 use crate::steering::placement::steering_options::SteeringOptions;
 
-/// `SteeringPolicy` decides where each packet of a caller goes.
+/// Policy that decides where each packet of a caller goes.
 #[derive(Debug)]
 pub struct SteeringPolicy {
     pub(super) options: SteeringOptions,
@@ -34,14 +34,14 @@
     pub(super) cold: ColdShares,
     pub(super) ender: FlowEnder,
     wanted: WantedTokens,
-    /// What was decided since they were last taken.
+    /// Decisions since the last call of [`Self::take_decisions`].
     pub(super) decisions: Vec<Decision>,
-    /// Callers to be told unasked, since they were last taken.
+    /// Proactive resets since the last call of [`Self::take_resets`].
     resets: Vec<FlowReset>,
 }
 
 impl SteeringPolicy {
-    /// `new` knows nothing yet. The seed is for what is drawn.
+    /// Creates a policy without any flows. The seed determines the random draws.
     #[must_use]
     pub fn new(options: SteeringOptions, seed: u64) -> Self {
         Self {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// `take_decisions` gives what was decided since the last call.
+    /// Removes and returns the decisions since the last call.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         let mut decisions = std::mem::take(&mut self.decisions);
 
@@ -66,24 +66,24 @@
         decisions
     }
 
-    /// `take_answers` gives the answers seen since the last call.
+    /// Removes and returns the answers seen since the last call.
     pub fn take_answers(&mut self) -> Vec<AnswerTime> {
         self.backends.take_answers()
     }
 
-    /// `take_resets` gives the callers to be told since the last call that their flows are over, besides
-    /// those whose packets get that verdict.
+    /// Removes and returns the proactive resets since the last call. Resets that answer a packet
+    /// are not among them: these are the verdicts on their packets.
     pub fn take_resets(&mut self) -> Vec<FlowReset> {
         std::mem::take(&mut self.resets)
     }
 
-    /// `flow_count` gives the number of flows that are remembered.
+    /// Returns the number of flows that have a record.
     #[must_use]
     pub fn flow_count(&self) -> usize {
         self.flows.len()
     }
 
-    /// `on_tick` forgets what is too old; to be called about once a second.
+    /// Drops expired state; to be called about once a second.
     pub fn on_tick(&mut self, knowledge: &mut Knowledge, now: Instant) {
         let idle_timeout = Duration::from_millis(knowledge.routes.idle_timeout_ms);
 
@@ -98,32 +98,36 @@
         self.ender.forget(now);
     }
 
-    /// `look_at_demand` takes in what is under way, with so many other balancers known; to be called several times a second.
+    /// Updates the demand from the requests under way, given the number of other known balancers;
+    /// to be called several times a second.
     pub fn look_at_demand(&mut self, knowledge: &Knowledge, peer_count: usize, now: Instant) {
         let health = self.backends.health();
 
         self.demand.on_tick(&self.options, knowledge, &self.flows, health, peer_count, now);
     }
 
-    /// Returns whether requests to cold backend servers are limited, so that members of the zone have to be known.
+    /// Reports whether requests to cold backend servers are limited, so that the members of the
+    /// zone have to be known.
     #[must_use]
     pub fn limits_cold(&self) -> bool {
         self.options.cold_limit.is_some()
     }
 
-    /// `look_at_members` takes in who else is in this availability zone; to be called several times a second.
+    /// Updates the shares of cold backend servers from the present members of this availability
+    /// zone; to be called several times a second.
     pub fn look_at_members(&mut self, knowledge: &Knowledge, members: &ZoneMembers, now: Instant) {
         let SteeringOptions { cold_limit, zone, .. } = &self.options;
 
         self.cold.renew(*cold_limit, knowledge, (zone, members), now);
     }
 
-    /// `look_at_wanted` takes in which backend servers are known by now; to be called several times a second.
+    /// Drops unresolved tokens whose backend servers are known by now, or that have expired; to be
+    /// called several times a second.
     pub fn look_at_wanted(&mut self, knowledge: &Knowledge, now: Instant) {
         self.wanted.forget(&knowledge.directory, now);
     }
 
-    /// `on_peer_demand` takes in what the callers of another balancer ask for.
+    /// Records the demand that another balancer has reported.
     pub fn on_peer_demand(
         &mut self,
         peer: SocketAddrV4,
@@ -134,13 +138,14 @@
         self.demand.on_told(peer, zone, demands, now);
     }
 
-    /// `demand` gives what callers ask for.
+    /// Returns the demand of all known balancers.
     #[must_use]
     pub fn demand(&self) -> &FleetDemand {
         &self.demand
     }
 
-    /// `end_flows` tells callers that their backend servers have ended; to be called ten times a second.
+    /// Queues resets for flows whose backend servers have ended, and issues those that are due; to
+    /// be called ten times a second.
     pub fn end_flows(&mut self, knowledge: &mut Knowledge, now: Instant) {
         self.ender.on_gone(knowledge.directory.take_newly_gone());
         let judge = LapseJudge {
@@ -157,31 +162,30 @@
         }
     }
 
-    /// `judge_overdue` looks at requests that should have had their answer; to be called several times
-    /// a second.
+    /// Judges the requests whose answers are overdue; to be called several times a second.
     pub fn judge_overdue(&mut self, knowledge: &Knowledge, now: Instant) {
         self.backends.judge_overdue(knowledge, &mut self.flows, now);
     }
 
-    /// `on_standstill` takes in that the process stood still until now: when packets that came meanwhile
-    /// were sent is not known.
+    /// Records that the process was stalled until now: when the packets that came meanwhile were
+    /// sent is not known.
     pub fn on_standstill(&mut self, now: Instant) {
         self.backends.on_standstill(now);
     }
 
-    /// `on_pause` takes in that it did so for long: packets that answer what was under way may
-    /// have been lost, so nothing is held against a backend server.
+    /// Records that the process was stalled for so long that packets may have been lost that answer
+    /// what was under way, so that no missing answer counts against a backend server.
     pub fn on_pause(&mut self) {
         self.backends.on_pause();
         self.flows.forget_requests();
     }
 
-    /// `on_peer_health` takes in what another balancer has seen of backend servers.
+    /// Records what another balancer has seen of backend servers.
     pub fn on_peer_health(&mut self, peer: SocketAddrV4, report: &HealthReport, now: Instant) {
         self.backends.on_report(peer, report, now);
     }
 
-    /// `report` gives what other balancers are to know of what is seen here.
+    /// Returns the report of this balancer's observations for other balancers.
     #[must_use]
     pub fn report(&self, now: Instant) -> BalancerReport {
         BalancerReport {
@@ -191,19 +195,19 @@
         }
     }
 
-    /// `avoided_count` gives the number of backend servers that are avoided.
+    /// Returns the number of backend servers that are avoided as outliers.
     #[must_use]
     pub fn avoided_count(&self, now: Instant) -> usize {
         self.backends.outliers().avoided_count(now)
     }
 
-    /// `suspects` gives the backend servers that seem dead from here.
+    /// Returns the backend servers that this balancer suspects to be dead.
     #[must_use]
     pub fn suspects(&self, now: Instant) -> Vec<InstanceId> {
         self.backends.health().suspects(now)
     }
 
-    /// `on_packet` decides about a packet.
+    /// Returns the verdict on a packet.
     pub fn on_packet(
         &mut self,
         knowledge: &Knowledge,
@@ -223,7 +227,7 @@
         verdict
     }
 
-    /// Keeps what a caller may complain about.
+    /// Records the verdicts that affect a caller: resets, and packets that are dropped or held.
     fn note(
         &mut self,
         knowledge: &Knowledge,
@@ -272,7 +276,7 @@
         }
     }
 
-    /// `can_decide` tells whether enough is known to decide about a packet.
+    /// Reports whether enough is known to decide about a packet.
     #[must_use]
     pub fn can_decide(&self, knowledge: &Knowledge, packet: &CallerPacket) -> bool {
         let has_backend = || {
@@ -283,7 +287,7 @@
         knowledge.is_complete() && (packet.opening || has_backend())
     }
 
-    /// `on_held_too_long` takes in that a packet waited in vain until enough is known.
+    /// Records that a packet was held for the full hold time without enough becoming known.
     pub fn on_held_too_long(&mut self, knowledge: &Knowledge, packet: &CallerPacket, now: Instant) {
         let is_ready = knowledge.is_complete();
         let reason = if is_ready { DropReason::UnknownToken } else { DropReason::NotReady };
@@ -292,13 +296,14 @@
         self.decisions.push(Decision::Dropped(dropped));
     }
 
-    /// A packet of a flow that a backend server has answered.
+    /// Decides about a packet of a flow that a backend server has answered.
     ///
-    /// Its token alone says where the flow is, not the service to which its address leads now: open
-    /// flows stay where they are under a new configuration, and a balancer that has just started knows
-    /// no former one. Comparing the two lost 0.018 of the requests of a day in which all balancers were
-    /// restarted after a change of routes. A token that the caller did not get on this flow does no harm:
-    /// the packet names one incarnation, which refuses flows that it does not hold.
+    /// Only the token determines the backend server, not the service to which the address routes
+    /// now: open flows stay where they are under a new configuration, and a balancer that has just
+    /// started does not know earlier configurations. Requiring a match of the two loses 0.018 of
+    /// the requests of a day in which all balancers are restarted after a change of routes. A token
+    /// that the caller did not get on this flow does no harm: the packet names one incarnation,
+    /// which refuses flows that it does not have.
     fn on_further(
         &mut self,
         knowledge: &Knowledge,
@@ -348,7 +353,8 @@
         }
     }
 
-    /// Takes in what a packet of a remembered flow shows about its backend server.
+    /// Updates the record of a known flow, and reports what the packet shows to the backend
+    /// observer.
     pub(super) fn observe_known(
         &mut self,
         knowledge: &Knowledge,
@@ -358,7 +364,8 @@
     ) -> FlowSign {
         let flow = packet.flow;
         let observation = self.flows.observe(packet, now);
-        // The first request of a flow came with its opening packet; each further one is work, too.
+        // The first request of a flow is counted with its opening packet; each further request is
+        // counted here.
         if observation.began.is_some()
             && self.flows.get(&flow).is_some_and(|flow| flow.has_opened_before(now))
         {
--- a/crates/valvestage-policy/src/steering/packets/wanted_tokens.rs
+++ b/crates/valvestage-policy/src/steering/packets/wanted_tokens.rs
@@ -1,7 +1,8 @@
-//! Tokens of flows whose backend servers are not known here, for which other balancers are asked.
+//! Tokens whose backend servers are not known here, about which other balancers are asked.
 //!
-//! A balancer that read the store after an entry lapsed has no way to know where that backend server is; another one that
-//! read it before may hold the entry for missing.
+//! A balancer that reads the store after an entry has lapsed cannot know the backend server of that
+//! entry; a balancer that read the store before the lapse may still keep the entry, marked as
+//! missing.
 
 use std::time::{Duration, Instant};
 
@@ -9,21 +10,24 @@
 
 use crate::steering::knowledge::backend_directory::BackendDirectory;
 
-/// Tokens asked for at once. Their packets wait, and others follow when these are known or given up.
+/// Maximum number of tokens asked about at once. The packets of further tokens are held; their
+/// tokens are asked about when earlier ones are resolved or have expired.
 const MAX_WANTED: usize = 8;
 
-/// For how long one is asked for after its last packet, as packets wait: five rounds of heartbeats to four balancers each.
+/// Time for which a token is asked about after its last packet, the same as the hold time of
+/// packets: five rounds of heartbeats to four balancers each.
 const WANTED_FOR: Duration = Duration::from_secs(2);
 
-/// `WantedTokens` holds the tokens that are asked for.
+/// Unresolved tokens that other balancers are asked about.
 #[derive(Debug, Default)]
 pub struct WantedTokens {
-    /// Each with the time until when it is asked for; no token twice.
+    /// Each token with the time until which it is asked about; no token occurs twice.
     tokens: Vec<(ShortToken, Instant)>,
 }
 
 impl WantedTokens {
-    /// `want` takes in that a packet has a token that is not known.
+    /// Adds an unknown token, or extends its time. A new token is not added while the maximum
+    /// number is asked about.
     pub fn want(&mut self, token: ShortToken, now: Instant) {
         self.tokens.retain(|(wanted, _)| *wanted != token);
         if self.tokens.len() < MAX_WANTED {
@@ -31,12 +35,12 @@
         }
     }
 
-    /// `forget` drops what is known by now, and what nobody has known for too long.
+    /// Drops tokens that are resolved by now, and those that have expired.
     pub fn forget(&mut self, directory: &BackendDirectory, now: Instant) {
         self.tokens.retain(|(token, until)| *until > now && directory.by_token(*token).is_none());
     }
 
-    /// `list` gives the tokens.
+    /// Returns the tokens to ask about.
     #[must_use]
     pub fn list(&self) -> Vec<ShortToken> {
         self.tokens.iter().map(|(token, _)| *token).collect()
