--- a/crates/valvestage-policy/src/balancer.rs
+++ b/crates/valvestage-policy/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The decisions of one balancer, with the flow and request parts joined.
+//! Policy of one balancer, which joins the flow and request parts.
 
 mod balancer_options;
 mod balancer_policy;
--- a/crates/valvestage-policy/src/balancer/balancer_options.rs
+++ b/crates/valvestage-policy/src/balancer/balancer_options.rs
@@ -7,29 +7,29 @@
 use crate::flows::FlowOptions;
 use crate::requests::{PoolOptions, RequestOptions};
 
-/// `BalancerOptions` is the options of all parts.
+/// Options of all parts of a balancer's policy.
 #[derive(Debug, Clone)]
 pub struct BalancerOptions {
-    /// Number of this balancer.
+    /// Id of this balancer.
     pub own: BalancerId,
-    /// Availability zone of its VM.
+    /// Availability zone of the balancer's VM.
     pub own_zone: ZoneName,
-    /// Of flows.
+    /// Options of the flow part.
     pub flows: FlowOptions,
-    /// Of requests.
+    /// Options of the request part.
     pub requests: RequestOptions,
-    /// Of backend servers.
+    /// Options of the backend server pools.
     pub pool: PoolOptions,
-    /// Decisions kept for explanations.
+    /// Number of decisions kept for explanations.
     pub kept_decisions: usize,
-    /// A gap between two events or ticks that shows that the process was paused.
+    /// Minimum gap between two events or ticks that counts as a pause of the process.
     pub pause_limit: Duration,
-    /// After a pause, the time without new work, in which control learns what changed.
+    /// Time after a pause without new work, in which the control part catches up with changes.
     pub catch_up: Duration,
 }
 
 impl BalancerOptions {
-    /// `new` gives the options of production for a balancer.
+    /// Returns the production options of a balancer.
     #[must_use]
     pub fn new(own: BalancerId, own_zone: ZoneName) -> Self {
         let pool = PoolOptions { own_zone: own_zone.clone(), ..PoolOptions::default() };
--- a/crates/valvestage-policy/src/balancer/balancer_policy.rs
+++ b/crates/valvestage-policy/src/balancer/balancer_policy.rs
@@ -1,4 +1,4 @@
-//! The state of one balancer's policy, and the installation of what control learns.
+//! State of one balancer's policy, and installation of the state that the control part learns.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,39 +15,41 @@
 use crate::operations::{Decision, DecisionLog, DecisionRecord, Subject};
 use crate::requests::{HandedClaim, Request, RequestAction, ServiceDispatcher, ServiceLoad};
 
-/// `PendingImport` is the claims of a handover that is not settled yet.
+/// Claims of a handover that is not complete yet.
 #[derive(Debug, Clone)]
 pub(super) struct PendingImport<P> {
     pub(super) handover: u64,
     pub(super) claims: Vec<HandedClaim<P>>,
-    /// Requests that the former owner sent on before the owner map came; at most
+    /// Requests that the former owner relayed before the owner map arrived; at most
     /// [`super::MOST_HELD`].
     pub(super) held: Vec<Request<P>>,
-    /// Until when they are held.
+    /// Time until which the requests are held.
     pub(super) held_until: Deadline,
 }
 
-/// `BalancerPolicy` decides for one balancer.
+/// Decides about flow packets and requests for one balancer.
 #[derive(Debug)]
 pub struct BalancerPolicy<P> {
     pub(super) options: BalancerOptions,
     pub(super) director: FlowDirector,
-    /// One for each service of the configuration in force, and for those with open work.
+    /// One dispatcher for each service of the configuration in force, and for other services that
+    /// still have open work.
     pub(super) dispatchers: BTreeMap<ServiceId, ServiceDispatcher<P>>,
     pub(super) owner_map: OwnerMap,
     pub(super) grant: Option<LeaseGrant>,
     pub(super) imports: BTreeMap<ServiceId, PendingImport<P>>,
-    /// The owner from which a service's claims came, for copies of what runs there.
+    /// Former owner that a service's claims came from; copies of requests that run there are
+    /// relayed to it.
     pub(super) former_owners: BTreeMap<ServiceId, BalancerId>,
     pub(super) log: DecisionLog,
-    /// Time of the latest event or tick; none before the first.
+    /// Time of the latest event or tick; `None` before the first.
     latest: Option<SystemTime>,
-    /// Until then no new work is given out: the process was paused.
+    /// Time until which no new work is dispatched, because the process was paused.
     catches_up_until: Option<SystemTime>,
 }
 
 impl<P: Clone> BalancerPolicy<P> {
-    /// `new` starts without a configuration, a view or a lease.
+    /// Creates a policy without a configuration, a view or a lease.
     #[must_use]
     pub fn new(options: BalancerOptions) -> Self {
         Self {
@@ -64,7 +66,7 @@
         }
     }
 
-    /// `on_flow` gives the verdict for a flow packet.
+    /// Returns the verdict for a flow packet.
     pub fn on_flow(&mut self, now: SystemTime, packet: &FlowPacket) -> FlowVerdict {
         self.notice_pause(now);
         let verdict = if packet.opening && self.is_catching_up(now) {
@@ -73,7 +75,7 @@
             self.director.decide(now, packet)
         };
 
-        // Packets of established flows are not recorded: that is nearly all of them.
+        // Packets of established flows, nearly all packets, are not recorded.
         let decision = match verdict {
             FlowVerdict::Forward { backend, source, .. }
                 if packet.opening || source == FlowSource::History =>
@@ -96,8 +98,9 @@
         verdict
     }
 
-    /// A process that was paused wakes with an old configuration and view, and with packets that
-    /// waited as long; it gives out no new work until control had the time to catch up.
+    /// Detects that the process was paused. After a pause it has an old configuration and view, and
+    /// reads packets that waited as long, so it dispatches no new work until the control part has
+    /// had the time to catch up.
     pub(super) fn notice_pause(&mut self, now: SystemTime) {
         let latest = self.latest.replace(now);
         let gap = latest.and_then(|latest| now.duration_since(latest).ok()).unwrap_or_default();
@@ -116,7 +119,7 @@
         self.catches_up_until.is_some_and(|until| now < until)
     }
 
-    /// `on_backend_packet` notes a flow packet from a backend server.
+    /// Records a flow packet from a backend server.
     pub fn on_backend_packet(&mut self, key: FlowKey, backend: BackendId, kind: PacketKind) {
         self.director.on_heard(backend);
 
@@ -125,7 +128,7 @@
         }
     }
 
-    /// `install_configuration` puts a newer configuration in force.
+    /// Puts a newer configuration in force. Returns whether it was put in force.
     pub fn install_configuration(&mut self, now: SystemTime, next: &Arc<Configuration>) -> bool {
         if !self.director.install_configuration(next.clone()) {
             return false;
@@ -147,7 +150,7 @@
         true
     }
 
-    /// `install_view` takes the present set of live balancers.
+    /// Replaces the view of live balancers. Returns whether it differs from the former one.
     pub fn install_view(&mut self, view: LiveView) -> bool {
         let is_new = self.director.install_view(view);
 
@@ -168,17 +171,17 @@
         }
     }
 
-    /// `install_keys` puts newer token keys in force.
+    /// Puts newer token keys in force. Returns whether they were newer.
     pub fn install_keys(&mut self, keys: TokenKeys) -> bool {
         self.director.install_keys(keys)
     }
 
-    /// `install_grant` takes the present lease, or that there is none.
+    /// Sets the present lease; `None` if the balancer holds none.
     pub fn install_grant(&mut self, grant: Option<LeaseGrant>) {
         self.grant = grant;
     }
 
-    /// `tick` looks after everything whose time has come.
+    /// Runs all actions that are due.
     pub fn tick(&mut self, now: SystemTime, out: &mut Vec<RequestAction<P>>) {
         self.notice_pause(now);
         let first = out.len();
@@ -194,41 +197,41 @@
         self.record_actions(now, &out[first..]);
     }
 
-    /// `open_work` counts requests that have no final answer yet.
+    /// Returns the number of requests without a final answer.
     #[must_use]
     pub fn open_work(&self) -> usize {
         self.dispatchers.values().map(ServiceDispatcher::open_work).sum()
     }
 
-    /// `loads` gives the load of each service as this balancer counts it.
+    /// Iterates over the services, each with its load as this balancer counts it.
     pub fn loads(&self, now: SystemTime) -> impl Iterator<Item = (ServiceId, ServiceLoad)> {
         self.dispatchers.iter().map(move |(service, dispatcher)| (*service, dispatcher.load(now)))
     }
 
-    /// `dispatcher` gives the dispatcher of a service.
+    /// Returns the dispatcher of a service, if the service is known.
     #[must_use]
     pub fn dispatcher(&self, service: ServiceId) -> Option<&ServiceDispatcher<P>> {
         self.dispatchers.get(&service)
     }
 
-    /// `director` gives the flow part.
+    /// Returns the flow part.
     #[must_use]
     pub fn director(&self) -> &FlowDirector {
         &self.director
     }
 
-    /// `director_mut` gives the flow part to change.
+    /// Returns the flow part for changes.
     pub fn director_mut(&mut self) -> &mut FlowDirector {
         &mut self.director
     }
 
-    /// `owner_map` gives the owners as known here.
+    /// Returns the owner map as known to this balancer.
     #[must_use]
     pub fn owner_map(&self) -> &OwnerMap {
         &self.owner_map
     }
 
-    /// `decisions_about` lists the decisions about a subject, oldest first.
+    /// Returns the kept decisions about a subject, oldest first.
     #[must_use]
     pub fn decisions_about(&self, subject: Subject) -> Vec<DecisionRecord> {
         self.log.about(subject)
--- a/crates/valvestage-policy/src/balancer/owner_change.rs
+++ b/crates/valvestage-policy/src/balancer/owner_change.rs
@@ -1,4 +1,4 @@
-//! The change of a service's owner.
+//! Change of a service's owner.
 
 use std::time::{Duration, SystemTime};
 
@@ -12,18 +12,18 @@
 use crate::operations::{Decision, Subject};
 use crate::requests::{HandedClaim, RequestAction};
 
-/// Requests held for a service whose owner map is on its way.
+/// Maximum number of requests held per service until the owner map arrives.
 pub(super) const MOST_HELD: usize = 1_000;
 
-/// How long they are held at the most.
+/// Time for which requests are held at most.
 const HELD_FOR: Duration = Duration::from_secs(2);
 
-/// Claims of a handover that never came into force are forgotten after this: the longest deadline
-/// that settings accept.
+/// Retention of the claims of a handover that never comes into force: the longest deadline that
+/// settings accept.
 const IMPORT_KEPT: Duration = Duration::from_secs(60);
 
 impl<P: Clone> BalancerPolicy<P> {
-    /// `install_owner_map` takes a newer map of owners.
+    /// Installs a newer owner map. Returns whether it was newer.
     pub fn install_owner_map(
         &mut self,
         now: SystemTime,
@@ -52,7 +52,8 @@
         true
     }
 
-    /// The claims count only if the map names the handover that brought them.
+    /// Completes the import of a service's claims. The claims count only if the owner map names the
+    /// handover that brought them.
     fn finish_import(
         &mut self,
         now: SystemTime,
@@ -78,14 +79,16 @@
         }
     }
 
-    /// `start_handover` copies a service's claims for its next owner and holds new work back.
+    /// Returns a copy of a service's claims for its next owner, and holds new work back.
     pub fn start_handover(&mut self, service: ServiceId) -> Vec<HandedClaim<P>> {
         self.dispatchers.get_mut(&service).map(|d| d.start_handover()).unwrap_or_default()
     }
 
-    /// `settle_handover` goes on after the owner map was written, or was not.
+    /// Completes a handover if the owner map was written (`moved`), or aborts it, and routes the
+    /// requests that were held back.
     ///
-    /// The map in force has to be installed first: it decides where the requests held back go.
+    /// The owner map in force has to be installed first, since it determines where these requests
+    /// go.
     pub fn settle_handover(
         &mut self,
         now: SystemTime,
@@ -103,8 +106,8 @@
         }
     }
 
-    /// `offer_handover` takes the claims that the present owner of a service hands over; they
-    /// count once the owner map names this handover.
+    /// Stores the claims that the present owner of a service hands over; they count once the owner
+    /// map names this handover.
     pub fn offer_handover(
         &mut self,
         now: SystemTime,
@@ -118,7 +121,8 @@
         self.imports.insert(service, pending);
     }
 
-    /// The map did not come in time: what was held is refused at once.
+    /// Refuses the requests held for owner maps that did not arrive in time, and drops expired
+    /// claims.
     pub(super) fn give_up_held(&mut self, now: SystemTime, out: &mut Vec<RequestAction<P>>) {
         self.imports.retain(|_, pending| now < pending.held_until + IMPORT_KEPT);
         let overdue = self.imports.values_mut().filter(|pending| now >= pending.held_until);
--- a/crates/valvestage-policy/src/balancer/request_routing.rs
+++ b/crates/valvestage-policy/src/balancer/request_routing.rs
@@ -1,4 +1,4 @@
-//! Which balancer decides for a request.
+//! Selection of the balancer that decides for a request.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
@@ -11,12 +11,12 @@
 use crate::flows::{HopMark, MAX_HOPS, RelayPurpose};
 use crate::requests::{Authority, BackendReply, ClaimState, Refusal, Request, RequestAction};
 
-/// When a caller may come back whose request's owner is out of reach.
+/// Retry delay given to a caller if the owner of its request's service is unreachable.
 const OWNER_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl<P: Clone> BalancerPolicy<P> {
-    /// `authority` gives the right to decide for a service, if this balancer owns it under its
-    /// present lease.
+    /// Returns the authority to decide for a service, if this balancer owns it under its present
+    /// lease.
     #[must_use]
     pub fn authority(&self, service: ServiceId, now: SystemTime) -> Option<Authority> {
         let entry = self.owner_map.owner(service)?;
@@ -27,7 +27,7 @@
         (is_owner && authority.is_valid(now)).then_some(authority)
     }
 
-    /// `on_request` takes a request from the fabric or from another balancer.
+    /// Routes a request from the fabric or from another balancer.
     pub fn on_request(
         &mut self,
         now: SystemTime,
@@ -72,7 +72,7 @@
         let authority = self.authority(request.service, now);
         let catches_up = self.is_catching_up(now);
 
-        // The claims are here and the map is on its way: it decides.
+        // The claims have arrived before the owner map, which decides about the request.
         if authority.is_none()
             && let Some(pending) = self.imports.get_mut(&request.service)
             && now < pending.held_until
@@ -96,7 +96,7 @@
         let view = self.director.view();
         let may_relay = hop.count < MAX_HOPS;
 
-        // A claim of this balancer decides, whoever owns the service by now.
+        // A claim of this balancer decides, whichever balancer owns the service by now.
         let dispatcher = self.dispatchers.get(&request.service);
         if let Some(claim) = dispatcher.and_then(|dispatcher| dispatcher.claim(request.id)) {
             let former = self.former_owners.get(&request.service).copied();
@@ -108,7 +108,8 @@
             };
         }
 
-        // Its claims are here: the former owner has sent it on, and the map is on its way.
+        // The claims of the service have arrived, and the former owner has relayed the request, so
+        // the owner map is about to arrive.
         if hop.count > 0 && self.imports.contains_key(&request.service) {
             return Decider::Own;
         }
@@ -117,7 +118,8 @@
         match owner {
             Some(owner) if owner == own => Decider::Own,
             Some(owner) if may_relay && view.is_reachable(owner) => Decider::Peer(owner),
-            // Work that may be repeated needs no owner: the balancers left agree on one of them.
+            // Repeatable work needs no owner: the remaining balancers agree on one of them by the
+            // view.
             _ if request.repeatable => match view.service_home(request.service) {
                 Some(home) if home != own && hop.count == 0 => Decider::Peer(home),
                 _ => Decider::Own,
@@ -127,7 +129,7 @@
         }
     }
 
-    /// `on_answer` takes one segment of a backend server's answer.
+    /// Handles one segment of a backend server's answer.
     pub fn on_answer(
         &mut self,
         now: SystemTime,
@@ -146,7 +148,7 @@
         self.record_actions(now, &out[first..]);
     }
 
-    /// `on_refused` takes a backend server's refusal of a try.
+    /// Handles a backend server's refusal of one attempt to run a request.
     pub fn on_refused(
         &mut self,
         now: SystemTime,
@@ -164,8 +166,8 @@
         self.record_actions(now, &out[first..]);
     }
 
-    /// `on_cancel` withdraws a request for its caller, and gives the balancer to pass it on to
-    /// if another one decides for it.
+    /// Cancels a request for its caller. Returns the balancer to pass the cancellation on to, if
+    /// another one decides for the request.
     pub fn on_cancel(
         &mut self,
         now: SystemTime,
@@ -189,14 +191,15 @@
     }
 }
 
-/// Who decides for a request.
+/// Balancer that decides for a request.
 enum Decider {
     Own,
     Peer(BalancerId),
     Nobody,
 }
 
-/// A refusal without a claim: a copy may have reached another balancer, so it is in doubt.
+/// Refuses a request without a claim. Its outcome is in doubt, since a copy may have reached
+/// another balancer.
 pub(super) fn refuse_unclaimed<P>(
     request: &Request<P>,
     reason: RefusalReason,
--- a/crates/valvestage-policy/src/flows.rs
+++ b/crates/valvestage-policy/src/flows.rs
@@ -1,7 +1,7 @@
-//! Which backend server a flow packet goes to.
+//! Selection of the backend server for each flow packet.
 //!
-//! Three layers are tried in order: a token that the caller echoes, the table of the flow's home
-//! balancer, and the placement that the configuration versions give.
+//! Three layers are tried in order: the token that the caller echoes, the table of the flow's home
+//! balancer, and the placement by the configuration versions.
 
 mod backend_watch;
 mod configuration_history;
--- a/crates/valvestage-policy/src/flows/backend_watch.rs
+++ b/crates/valvestage-policy/src/flows/backend_watch.rs
@@ -1,4 +1,4 @@
-//! Which backend servers can take new flows now, learned from what they answer.
+//! Availability of backend servers for new flows, as learned from their answers.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, SystemTime};
@@ -8,32 +8,33 @@
 use valvestage_core::ids::{BackendId, ZoneName};
 use valvestage_core::time::Deadline;
 
-/// Opening packets without an answer after which a backend server gets no new flows.
+/// Number of consecutive unanswered opening packets after which a backend server gets no new flows.
 const UNANSWERED_LIMIT: u32 = 3;
 
-/// Pause before a silent backend server is given one new flow again.
+/// Pause before a backend server that does not answer is tried with one new flow again.
 const SILENCE_PAUSE: Duration = Duration::from_secs(2);
 
 #[derive(Debug, Clone, Copy, Default)]
 struct WatchEntry {
-    /// Opening packets sent since it was last heard.
+    /// Opening packets sent since the last packet from the backend server.
     unanswered: u32,
-    /// It fell silent, and gets no new flow until then.
+    /// The backend server stopped answering, and gets no new flow until this time.
     paused_until: Option<Deadline>,
-    /// It refused a flow for its connection limit, and gets no new one until then.
+    /// The backend server refused a flow for its connection limit, and gets no new one until this
+    /// time.
     full_until: Option<Deadline>,
 }
 
-/// `BackendWatch` notes which backend servers are silent, full or cut off.
+/// Tracks which backend servers do not answer, are at their connection limit, or are cut off.
 #[derive(Debug, Clone, Default)]
 pub struct BackendWatch {
     entries: HashMap<BackendId, WatchEntry>,
-    /// Availability zones of which no balancer is alive.
+    /// Availability zones without any live balancer.
     lost_zones: BTreeSet<ZoneName>,
 }
 
 impl BackendWatch {
-    /// `is_usable` tells whether a new flow may go to a backend server.
+    /// Reports whether a new flow may go to a backend server.
     #[must_use]
     pub fn is_usable(&self, backend: &Backend, now: SystemTime) -> bool {
         let entry = self.entries.get(&backend.id);
@@ -42,7 +43,8 @@
         !is_paused && !self.is_full(backend.id, now) && !self.lost_zones.contains(&backend.zone)
     }
 
-    /// `is_full` tells whether a backend server refused a flow for its connection limit lately.
+    /// Reports whether a backend server is paused because it refused a flow for its connection
+    /// limit.
     #[must_use]
     pub fn is_full(&self, backend: BackendId, now: SystemTime) -> bool {
         let entry = self.entries.get(&backend);
@@ -50,7 +52,7 @@
         entry.and_then(|entry| entry.full_until).is_some_and(|until| now < until)
     }
 
-    /// `on_opening` counts an opening packet on its way to a backend server.
+    /// Counts an opening packet that is forwarded to a backend server.
     pub fn on_opening(&mut self, backend: BackendId, now: SystemTime) {
         let entry = self.entries.entry(backend).or_default();
 
@@ -60,7 +62,7 @@
         }
     }
 
-    /// `on_heard` notes a packet from a backend server.
+    /// Records a packet from a backend server, which ends its pause for missing answers.
     #[inline]
     pub fn on_heard(&mut self, backend: BackendId) {
         if let Some(entry) = self.entries.get_mut(&backend)
@@ -71,7 +73,7 @@
         }
     }
 
-    /// `on_full` pauses a backend server that refused a flow.
+    /// Pauses a backend server that refused a flow for its connection limit.
     pub fn on_full(&mut self, backend: BackendId, until: Deadline) {
         let entry = self.entries.entry(backend).or_default();
 
@@ -79,7 +81,8 @@
         entry.full_until = Some(until);
     }
 
-    /// `set_lost_zones` names the availability zones of which no balancer is alive.
+    /// Sets the availability zones without any live balancer; their backend servers get no new
+    /// flows.
     pub fn set_lost_zones(&mut self, zones: BTreeSet<ZoneName>) {
         self.lost_zones = zones;
     }
--- a/crates/valvestage-policy/src/flows/configuration_history.rs
+++ b/crates/valvestage-policy/src/flows/configuration_history.rs
@@ -1,4 +1,4 @@
-//! The last few configuration versions.
+//! The most recent configuration versions.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -7,23 +7,25 @@
 use valvestage_core::ids::{BackendId, Incarnation, ObjectVersion, ServiceId};
 use valvestage_core::{Backend, Configuration};
 
-/// Versions kept, the one in force included.
+/// Number of versions kept, including the one in force.
 const KEPT_VERSIONS: usize = 4;
 
-/// `ConfigurationHistory` holds the configuration in force and those before it.
+/// Configuration in force, and those before it.
 ///
-/// Invariant: versions strictly fall from front to back, so that what is in force never reverts.
+/// Invariant: versions strictly decrease from front to back, so that the configuration in force
+/// never reverts.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigurationHistory {
     versions: VecDeque<Arc<Configuration>>,
-    /// For each backend server of any kept version the newest record, unless its address has been
-    /// given to another record since.
+    /// Newest record of each backend server in any kept version, unless its address belongs to
+    /// another record by now.
     reachable: HashMap<BackendId, Arc<Backend>>,
 }
 
 impl ConfigurationHistory {
-    /// `install` puts a configuration in force if it is newer than the present one; without
-    /// `newest_only`, a baseline, also if it is older.
+    /// Puts a configuration in force if it is newer than the present one. Without `newest_only`,
+    /// the baseline behaviour of experiments, an older one is accepted as well. Returns whether it
+    /// was put in force.
     pub fn install(&mut self, configuration: Arc<Configuration>, newest_only: bool) -> bool {
         let is_news = if newest_only {
             configuration.version > self.version()
@@ -55,30 +57,31 @@
         reachable.map(|(id, record)| (id, Arc::new(record.clone()))).collect()
     }
 
-    /// `current` gives the configuration in force.
+    /// Returns the configuration in force, or `None` before the first one.
     #[must_use]
     #[inline]
     pub fn current(&self) -> Option<&Arc<Configuration>> {
         self.versions.front()
     }
 
-    /// `version` gives the version in force; 0 before the first.
+    /// Returns the version in force, or 0 before the first configuration.
     #[must_use]
     pub fn version(&self) -> ObjectVersion {
         self.current().map_or(0, |configuration| configuration.version)
     }
 
-    /// `find` gives the newest record of a backend server, if it serves the service.
+    /// Returns the newest record of a backend server of the service.
     ///
-    /// A backend server whose address now belongs to another record is not found, neither is one
-    /// of another service.
+    /// Returns `None` if the backend server belongs to another service, or its address belongs to
+    /// another record by now.
     #[must_use]
     #[inline]
     pub fn find(&self, service: ServiceId, id: BackendId) -> Option<&Backend> {
         self.reachable.get(&id).map(Arc::as_ref).filter(|record| record.service == service)
     }
 
-    /// `find_incarnation` is like [`Self::find`], for one VM behind the record.
+    /// Like [`Self::find`], but returns the record only if it is of the given incarnation, that is,
+    /// of the same VM.
     #[must_use]
     pub fn find_incarnation(
         &self,
@@ -89,7 +92,7 @@
         self.find(service, id).filter(|backend| backend.incarnation == incarnation)
     }
 
-    /// `backend_services` gives the service of each backend server in any kept version.
+    /// Returns the service of each backend server in any kept version.
     #[must_use]
     pub fn backend_services(&self) -> BTreeMap<BackendId, ServiceId> {
         let oldest_first = self.versions.iter().rev();
--- a/crates/valvestage-policy/src/flows/exception_finder.rs
+++ b/crates/valvestage-policy/src/flows/exception_finder.rs
@@ -1,4 +1,4 @@
-//! The flows whose binding does not follow from the configuration.
+//! Flows whose binding cannot be derived from the configuration.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,22 +11,22 @@
 use super::placement::place;
 use crate::membership::LiveView;
 
-/// `ExceptionFinder` finds the bindings that have to be copied to other balancers.
+/// Finds the bindings that have to be replicated to other balancers.
 ///
-/// A flow on the backend server where the configuration in force would place it needs no copy:
-/// any balancer that becomes its home comes to the same answer. Only the others, the exceptions,
-/// are copied to the balancers that may become home.
+/// A flow on the backend server where the configuration in force places it needs no replica: any
+/// balancer that becomes its home computes the same placement. Only the other bindings, the
+/// exceptions, are copied to the balancers that may become home.
 #[derive(Debug)]
 pub struct ExceptionFinder {
     own: BalancerId,
     configuration: Arc<Configuration>,
     view: LiveView,
-    /// The service of each backend server that any kept configuration version has.
+    /// Service of each backend server in any kept configuration version.
     services: BTreeMap<BackendId, ServiceId>,
 }
 
 impl ExceptionFinder {
-    /// `new` takes the configuration versions and the view of one moment; none before the first
+    /// Takes a snapshot of the configuration versions and the view. Returns `None` before the first
     /// configuration.
     #[must_use]
     pub fn new(own: BalancerId, history: &ConfigurationHistory, view: LiveView) -> Option<Self> {
@@ -35,7 +35,7 @@
         Some(Self { own, configuration, view, services: history.backend_services() })
     }
 
-    /// `copies` gives for each balancer the bindings to copy to it.
+    /// Returns the bindings to copy to each balancer.
     #[must_use]
     pub fn copies(&self, bindings: &[Binding]) -> BTreeMap<BalancerId, Vec<Binding>> {
         let mut copies: BTreeMap<BalancerId, Vec<Binding>> = BTreeMap::new();
@@ -58,7 +58,8 @@
         placed != Some(binding.backend)
     }
 
-    /// The present home (this balancer may not be it any more) and the one after it.
+    /// Returns the present home, which need not be this balancer any more, and the next one in
+    /// rank.
     fn targets(&self, binding: &Binding) -> impl Iterator<Item = BalancerId> {
         let home = self.view.home(binding.key);
         let next = self.view.home_without(binding.key, home);
--- a/crates/valvestage-policy/src/flows/flow_director.rs
+++ b/crates/valvestage-policy/src/flows/flow_director.rs
@@ -1,4 +1,4 @@
-//! The decision for each flow packet.
+//! Decision for each flow packet.
 
 use std::sync::Arc;
 use std::time::SystemTime;
@@ -18,10 +18,10 @@
 use super::token_keys::{TokenKeys, TokenVerdict};
 use crate::membership::LiveView;
 
-/// Former views that are asked for the previous home of a flow.
+/// Number of former views searched for the previous home of a flow.
 const KEPT_VIEWS: usize = 3;
 
-/// `FlowDirector` decides for each flow packet.
+/// Decides which backend server or peer each flow packet goes to.
 #[derive(Debug)]
 pub struct FlowDirector {
     own: BalancerId,
@@ -36,7 +36,7 @@
 }
 
 impl FlowDirector {
-    /// `new` starts a director that knows nothing yet.
+    /// Creates a director without a configuration, a view or token keys.
     #[must_use]
     pub fn new(own: BalancerId, options: FlowOptions) -> Self {
         Self {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// `decide` gives the verdict for a packet.
+    /// Returns the verdict for a packet.
     pub fn decide(&mut self, now: SystemTime, packet: &FlowPacket) -> FlowVerdict {
         if self.history.current().is_none() {
             return FlowVerdict::Refuse(RefusalReason::NoConfiguration);
@@ -83,7 +83,7 @@
 
         match keys.check(packet.key, &token) {
             TokenVerdict::Valid => {}
-            // A rotated key: the other layers decide.
+            // The key was rotated out: the other layers decide.
             TokenVerdict::UnknownKey => return None,
             TokenVerdict::Forged => return Some(FlowVerdict::Refuse(RefusalReason::BadToken)),
         }
@@ -118,7 +118,8 @@
 
         let found = self.find(packet.service, entry.backend);
         match found {
-            // The caller opens anew after its backend server went or fell silent.
+            // The caller opens the flow again after its backend server was removed or became
+            // unusable.
             _ if packet.opening && !found.is_some_and(|b| self.watch.is_usable(b, now)) => {
                 self.table.remove(packet.key);
                 None
@@ -134,7 +135,7 @@
             return None;
         }
 
-        // A leaving balancer is no member of the view any more, but still answers.
+        // A balancer that is leaving is not a member of the view any more, but still answers.
         let former = self
             .former_views
             .iter()
@@ -182,7 +183,8 @@
             configuration.backend(id).is_some_and(|backend| self.watch.is_usable(backend, now))
         };
 
-        // If all that have room are silent or cut off, the one by hash is as good as any.
+        // If all backend servers with free connections are silent or cut off, choose by hash among
+        // them.
         let has_room = |id| !self.watch.is_full(id, now);
         place(configuration, packet.service, packet.key, is_usable)
             .or_else(|| place(configuration, packet.service, packet.key, has_room))
@@ -202,8 +204,8 @@
         self.history.find(service, id)
     }
 
-    /// `on_connections_full` notes that a backend server refused a flow for its connection limit,
-    /// and forgets the binding, so that the opening packet can be placed anew.
+    /// Records that a backend server refused a flow for its connection limit, and removes the
+    /// binding, so that the retransmitted opening packet is placed again.
     pub fn on_connections_full(&mut self, key: FlowKey, backend: BackendId, until: SystemTime) {
         self.watch.on_full(backend, until);
 
@@ -212,25 +214,25 @@
         }
     }
 
-    /// `on_heard` notes a packet from a backend server.
+    /// Records a packet from a backend server.
     #[inline]
     pub fn on_heard(&mut self, backend: BackendId) {
         self.watch.on_heard(backend);
     }
 
-    /// `on_closed` forgets a flow that its backend server closed.
+    /// Removes a flow that its backend server closed.
     pub fn on_closed(&mut self, key: FlowKey) {
         self.table.remove(key);
     }
 
-    /// `on_binding` takes in a binding from another balancer; a known flow is not rebound.
+    /// Inserts a binding from another balancer, unless the flow is bound already.
     pub fn on_binding(&mut self, now: SystemTime, binding: Binding) {
         let entry = FlowEntry { backend: binding.backend, last_seen: unix_seconds(now) };
 
         self.table.insert_if_absent(binding.key, entry);
     }
 
-    /// `install_configuration` puts a newer configuration in force.
+    /// Puts a newer configuration in force. Returns whether it was put in force.
     pub fn install_configuration(&mut self, configuration: Arc<Configuration>) -> bool {
         let is_newer = self.history.install(configuration, self.layers.newest_only);
 
@@ -247,7 +249,7 @@
         self.watch.set_lost_zones(lost);
     }
 
-    /// `install_keys` puts newer token keys in force.
+    /// Puts newer token keys in force. Returns whether they were newer.
     pub fn install_keys(&mut self, keys: TokenKeys) -> bool {
         if self.keys.as_ref().is_some_and(|known| known.version >= keys.version) {
             return false;
@@ -257,7 +259,7 @@
         true
     }
 
-    /// `install_view` takes the present set of live balancers.
+    /// Replaces the view of live balancers. Returns whether it differs from the former one.
     pub fn install_view(&mut self, view: LiveView) -> bool {
         if view == self.view {
             return false;
@@ -270,42 +272,42 @@
         true
     }
 
-    /// `bindings` copies the table, for work outside of the data path.
+    /// Returns a copy of the table, for work outside of the data path.
     #[must_use]
     pub fn bindings(&self) -> Vec<Binding> {
         self.table.iter().map(|(key, entry)| Binding { key, backend: entry.backend }).collect()
     }
 
-    /// `drop_idle` forgets flows without a packet since a time.
+    /// Removes flows without a packet since a time, and returns how many were removed.
     pub fn drop_idle(&mut self, seen_before: SystemTime) -> usize {
         self.table.drop_idle(unix_seconds(seen_before))
     }
 
-    /// `table` gives the table of flows.
+    /// Returns the table of flows that this balancer is home of.
     #[must_use]
     pub fn table(&self) -> &FlowTable {
         &self.table
     }
 
-    /// `history` gives the configuration versions.
+    /// Returns the kept configuration versions.
     #[must_use]
     pub fn history(&self) -> &ConfigurationHistory {
         &self.history
     }
 
-    /// `view` gives the live balancers.
+    /// Returns the present view of live balancers.
     #[must_use]
     pub fn view(&self) -> &LiveView {
         &self.view
     }
 
-    /// `keys` gives the token keys.
+    /// Returns the token keys, or `None` before the first are installed.
     #[must_use]
     pub fn keys(&self) -> Option<&TokenKeys> {
         self.keys.as_ref()
     }
 
-    /// `latest_version` gives the configuration version in force.
+    /// Returns the configuration version in force, or 0 before the first.
     #[must_use]
     pub fn latest_version(&self) -> ObjectVersion {
         self.history.version()
--- a/crates/valvestage-policy/src/flows/flow_hasher.rs
+++ b/crates/valvestage-policy/src/flows/flow_hasher.rs
@@ -1,4 +1,4 @@
-//! The keyed hash that names a flow.
+//! Keyed hash that identifies a flow.
 
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
@@ -6,23 +6,23 @@
 use siphasher::sip::SipHasher13;
 use valvestage_core::ids::{FlowKey, ServiceId};
 
-/// `FlowHasher` hashes flow addresses under a key that all balancers of a deployment share.
+/// Hashes flow addresses with a key that all balancers of a deployment share.
 ///
-/// The key keeps callers from choosing addresses that collide; the hash must be the same on every
-/// balancer, since it decides the home.
+/// The key prevents callers from choosing addresses that collide. The hash must be the same on
+/// every balancer, since it determines the home of the flow.
 #[derive(Debug, Clone, Copy)]
 pub struct FlowHasher {
     keys: (u64, u64),
 }
 
 impl FlowHasher {
-    /// `new` takes the two halves of the hash key.
+    /// Creates a hasher from the two halves of the hash key.
     #[must_use]
     pub fn new(keys: (u64, u64)) -> Self {
         Self { keys }
     }
 
-    /// `key` names the flow of a caller address to a service.
+    /// Returns the key that identifies the flow of a caller address to a service.
     #[must_use]
     #[inline]
     pub fn key(&self, caller: SocketAddr, service: ServiceId) -> FlowKey {
--- a/crates/valvestage-policy/src/flows/flow_options.rs
+++ b/crates/valvestage-policy/src/flows/flow_options.rs
@@ -1,19 +1,20 @@
 //! Options of the flow director.
 
-/// `FlowLayers` switches the layers that find a flow's backend server; all are on in production.
+/// Switches for the layers that find a flow's backend server; all are on in production.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FlowLayers {
-    /// Steer by the token that the caller echoes.
+    /// Uses the token that the caller echoes.
     pub token: bool,
-    /// Relay to the home balancer; off, every balancer is home of what reaches it.
+    /// Relays packets to the home balancer. If off, each balancer is home of the flows that reach
+    /// it.
     pub home: bool,
-    /// Keep a table of flows.
+    /// Keeps a table of flows.
     pub table: bool,
-    /// Ask the former home after a change of membership.
+    /// Asks the former home of a flow after a change of membership.
     pub former_home: bool,
-    /// Check that the backend server serves the packet's service.
+    /// Checks that the backend server belongs to the packet's service.
     pub service_check: bool,
-    /// Ignore configurations that are older than the one in force.
+    /// Ignores configurations that are older than the one in force.
     pub newest_only: bool,
 }
 
@@ -30,11 +31,11 @@
     }
 }
 
-/// `FlowOptions` bounds what the director keeps.
+/// Options of the flow director.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FlowOptions {
-    /// Layers in use.
+    /// Layers that are in use.
     pub layers: FlowLayers,
-    /// Flows that the table has room for at the start.
+    /// Initial capacity of the table, in flows.
     pub expected_flows: usize,
 }
--- a/crates/valvestage-policy/src/flows/flow_packet.rs
+++ b/crates/valvestage-policy/src/flows/flow_packet.rs
@@ -1,4 +1,4 @@
-//! What the flow director takes in and gives out.
+//! Input and output of the flow director.
 
 use serde::{Deserialize, Serialize};
 use valvestage_core::RefusalReason;
@@ -6,97 +6,99 @@
 
 use super::flow_token::FlowToken;
 
-/// A packet is relayed at most this often.
+/// Maximum number of times that a packet is relayed.
 pub const MAX_HOPS: u8 = 2;
 
-/// `RelayPurpose` says why a packet was relayed.
+/// Reason why a packet was relayed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[repr(u8)]
 pub enum RelayPurpose {
-    /// The receiver is the home of the flow or owner of the service.
+    /// The receiver is the home of the flow, or the owner of the service.
     Home = 0,
-    /// The receiver was the home; it decides, and tells the sender the binding.
+    /// The receiver was the home of the flow; it decides, and sends the binding back to the sender.
     FormerHome = 1,
 }
 
-/// `HopMark` is what a relayed packet carries.
+/// Header that a relayed packet carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HopMark {
-    /// Relays so far; 0 for a packet from the fabric.
+    /// Number of relays so far; 0 for a packet from the fabric.
     pub count: u8,
-    /// Why it was relayed.
+    /// Reason of the last relay.
     pub purpose: RelayPurpose,
-    /// The view of the balancer that relayed it.
+    /// Epoch of the view of the balancer that relayed the packet.
     pub view_epoch: u64,
 }
 
 impl HopMark {
-    /// The mark of a packet from the fabric.
+    /// Header of a packet from the fabric, which has not been relayed.
     pub const FIRST: Self = Self { count: 0, purpose: RelayPurpose::Home, view_epoch: 0 };
 }
 
-/// `FlowPacket` is what the director needs to know of a packet.
+/// Fields of a packet that the director needs.
 #[derive(Debug, Clone, Copy)]
 pub struct FlowPacket {
-    /// Names the flow.
+    /// Hash that identifies the flow.
     pub key: FlowKey,
-    /// The service that the packet is addressed to.
+    /// Service that the packet is addressed to.
     pub service: ServiceId,
-    /// Whether it opens the flow.
+    /// Whether the packet opens the flow.
     pub opening: bool,
-    /// Whether it closes the flow.
+    /// Whether the packet closes the flow.
     pub closing: bool,
-    /// The token that the caller echoed.
+    /// Token that the caller echoed, if any.
     pub token: Option<FlowToken>,
-    /// Relays so far.
+    /// Relays so far, with the reason of the last one.
     pub hop: HopMark,
 }
 
-/// `FlowSource` says which layer found the backend server.
+/// Layer that found the backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum FlowSource {
-    /// The token that the caller echoed.
+    /// Token that the caller echoed.
     Token,
-    /// The table of the home balancer.
+    /// Table of the home balancer.
     Table,
     /// Placement of a new flow.
     Placement,
-    /// Placement of a flow whose opening this balancer did not see.
+    /// Placement, by the configuration in force, of a flow whose opening packet this balancer did
+    /// not see.
     History,
 }
 
-/// `FlowVerdict` is the decision for one packet.
+/// Decision for one packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FlowVerdict {
-    /// Send it to a backend server.
+    /// The packet is forwarded to a backend server.
     Forward {
-        /// The backend server.
+        /// Backend server that gets the packet.
         backend: BackendId,
-        /// The VM behind its record.
+        /// Incarnation of the backend server, that is, the VM behind its record.
         incarnation: Incarnation,
-        /// The layer that found it.
+        /// Layer that found the backend server.
         source: FlowSource,
-        /// Whether the balancer that relayed it waits for the binding.
+        /// Whether the balancer that relayed the packet waits for the binding.
         tell_binding: bool,
     },
-    /// Hand it to another balancer.
+    /// The packet is relayed to another balancer.
     Relay {
-        /// The balancer.
+        /// Balancer that the packet is relayed to.
         peer: BalancerId,
-        /// The mark to carry.
+        /// Header that the relayed packet carries.
         hop: HopMark,
     },
-    /// Refuse it, and tell the caller.
+    /// The packet is refused, and the caller is notified.
     Refuse(RefusalReason),
-    /// Drop it without a word: it may be much older than what the caller has been told since.
+    /// The packet is dropped without a reply: it may be much older than replies that the caller has
+    /// received since.
     Drop(RefusalReason),
 }
 
-/// `Binding` tells one balancer which backend server a flow is bound to.
+/// Binding of a flow to a backend server, as balancers exchange it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Binding {
-    /// Names the flow.
+    /// Hash that identifies the flow.
     pub key: FlowKey,
-    /// The backend server.
+    /// Backend server that the flow is bound to.
     pub backend: BackendId,
 }
--- a/crates/valvestage-policy/src/flows/flow_table.rs
+++ b/crates/valvestage-policy/src/flows/flow_table.rs
@@ -1,33 +1,33 @@
-//! The table of flows that a balancer is home of.
+//! Table of the flows that a balancer is home of.
 
 use std::hash::{BuildHasherDefault, Hasher};
 
 use hashbrown::HashMap;
 use valvestage_core::ids::{BackendId, FlowKey};
 
-/// `FlowEntry` binds one flow to a backend server.
+/// Entry that binds one flow to a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FlowEntry {
-    /// The backend server; never changes while the flow lives.
+    /// Backend server of the flow; never changes while the flow exists.
     pub backend: BackendId,
-    /// Unix seconds of the last packet; packets of one flow never turn it back.
+    /// Time of the last packet in Unix seconds; never decreases with further packets of the flow.
     pub last_seen: u32,
 }
 
-/// `FlowTable` maps flow keys to backend servers.
+/// Map of flow keys to backend servers.
 #[derive(Debug, Clone, Default)]
 pub struct FlowTable {
     entries: HashMap<FlowKey, FlowEntry, BuildHasherDefault<KeyHasher>>,
 }
 
 impl FlowTable {
-    /// `with_capacity` makes room for that many flows.
+    /// Creates an empty table with room for that many flows.
     #[must_use]
     pub fn with_capacity(flows: usize) -> Self {
         Self { entries: HashMap::with_capacity_and_hasher(flows, BuildHasherDefault::default()) }
     }
 
-    /// `get` gives the entry of a flow and marks it as seen.
+    /// Returns the entry of a flow, and updates when it was last seen.
     #[inline]
     pub fn get(&mut self, key: FlowKey, seen: u32) -> Option<FlowEntry> {
         let entry = self.entries.get_mut(&key)?;
@@ -36,39 +36,39 @@
         Some(*entry)
     }
 
-    /// `insert` binds a flow.
+    /// Binds a flow, replacing an earlier binding.
     pub fn insert(&mut self, key: FlowKey, entry: FlowEntry) {
         self.entries.insert(key, entry);
     }
 
-    /// `insert_if_absent` binds a flow unless it is bound already.
+    /// Binds a flow unless it is bound already.
     pub fn insert_if_absent(&mut self, key: FlowKey, entry: FlowEntry) {
         self.entries.entry(key).or_insert(entry);
     }
 
-    /// `remove` forgets a flow.
+    /// Removes a flow, and returns its entry.
     pub fn remove(&mut self, key: FlowKey) -> Option<FlowEntry> {
         self.entries.remove(&key)
     }
 
-    /// `len` counts the flows.
+    /// Returns the number of flows.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// `is_empty` tells whether there is no flow.
+    /// Reports whether the table has no flow.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// `iter` iterates over the flows in no particular order.
+    /// Iterates over the flows in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = (FlowKey, FlowEntry)> {
         self.entries.iter().map(|(key, entry)| (*key, *entry))
     }
 
-    /// `drop_idle` forgets flows not seen since a time and gives their number.
+    /// Removes flows last seen before a time, and returns how many were removed.
     pub fn drop_idle(&mut self, seen_before: u32) -> usize {
         let before = self.entries.len();
 
@@ -76,14 +76,14 @@
         before - self.entries.len()
     }
 
-    /// `allocated_bytes` gives the memory of the table.
+    /// Returns the size of the table's allocation in bytes.
     #[must_use]
     pub fn allocated_bytes(&self) -> usize {
         self.entries.allocation_size()
     }
 }
 
-/// `KeyHasher` passes flow keys through: they are keyed hashes already.
+/// Passes flow keys through unchanged, since they are keyed hashes already.
 #[derive(Debug, Clone, Copy, Default)]
 struct KeyHasher {
     key: u64,
--- a/crates/valvestage-policy/src/flows/flow_token.rs
+++ b/crates/valvestage-policy/src/flows/flow_token.rs
@@ -1,30 +1,30 @@
-//! The token that lets any balancer steer a flow without state.
+//! Token that lets any balancer steer a flow without state.
 
 use valvestage_core::ids::{BackendId, Incarnation, ServiceId, TokenKeyId};
 
-/// Length of a token on the wire.
+/// Length of a token on the wire, in bytes.
 pub const TOKEN_BYTES: usize = 19;
 
-/// `FlowToken` names a backend server, authenticated for one flow.
+/// Names a backend server, authenticated for one flow.
 ///
 /// Layout: key id (1 byte), service (2), backend server (4), incarnation (4), MAC (8), all big
 /// endian.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FlowToken {
-    /// The key that made the MAC.
+    /// Id of the key that the MAC was computed with.
     pub key_id: TokenKeyId,
-    /// The service that the flow belongs to.
+    /// Service that the flow belongs to.
     pub service: ServiceId,
-    /// The backend server that the flow is bound to.
+    /// Backend server that the flow is bound to.
     pub backend: BackendId,
-    /// The VM behind the backend server's record.
+    /// Incarnation of the backend server, that is, the VM behind its record.
     pub incarnation: Incarnation,
-    /// Covers all other fields and the flow key, so that no other caller can use the token.
+    /// MAC over all other fields and the flow key, so that no other caller can use the token.
     pub mac: u64,
 }
 
 impl FlowToken {
-    /// `to_bytes` gives the wire form.
+    /// Returns the wire format.
     #[must_use]
     pub fn to_bytes(&self) -> [u8; TOKEN_BYTES] {
         let mut bytes = [0; TOKEN_BYTES];
--- a/crates/valvestage-policy/src/flows/placement.rs
+++ b/crates/valvestage-policy/src/flows/placement.rs
@@ -5,10 +5,10 @@
 
 use crate::rendezvous::{best, weighted_score};
 
-/// `place` gives the backend server that a configuration places a flow on.
+/// Returns the backend server that a configuration places a flow on.
 ///
 /// `usable` rules out backend servers that cannot take the flow now; their flows go to the
-/// next-ranked one, all others stay.
+/// next-ranked backend server, and all other flows stay.
 pub fn place(
     configuration: &Configuration,
     service: ServiceId,
--- a/crates/valvestage-policy/src/flows/token_keys.rs
+++ b/crates/valvestage-policy/src/flows/token_keys.rs
@@ -1,4 +1,4 @@
-//! The keys that authenticate flow tokens.
+//! Keys that authenticate flow tokens.
 
 use std::fmt;
 use std::hash::Hasher;
@@ -11,15 +11,15 @@
 use super::flow_hasher::FlowHasher;
 use super::flow_token::FlowToken;
 
-/// `RawTokenKeys` is the platform object that holds the keys.
+/// Platform object that holds the keys.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawTokenKeys {
-    /// Key of the flow hash; never rotated, since it decides homes.
+    /// Key of the flow hash; never rotated, since the hash determines the home of each flow.
     pub flow_hash: (u64, u64),
-    /// Id of the key that makes new tokens; one of `keys`.
+    /// Id of the key that new tokens are made with; one of `keys`.
     pub current: TokenKeyId,
-    /// The keys that are accepted, with their ids.
+    /// Accepted keys, each with its id and its two halves.
     pub keys: Vec<(TokenKeyId, u64, u64)>,
 }
 
@@ -32,45 +32,47 @@
     }
 }
 
-/// `TokenVerdict` is the result of checking a token.
+/// Result of checking a token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TokenVerdict {
-    /// Made by a balancer of this deployment for this flow.
+    /// The token was made by a balancer of this deployment for this flow.
     Valid,
-    /// Made with a key that is not known (any more); nothing can be said of it.
+    /// The token was made with a key that is not known, or not known any more, so that it cannot be
+    /// checked.
     UnknownKey,
-    /// Forged, altered, or made for another flow.
+    /// The token is forged, altered, or made for another flow.
     Forged,
 }
 
-/// `TokenKeys` makes and checks tokens.
+/// Issues and checks tokens.
 #[derive(Debug, Clone)]
 pub struct TokenKeys {
-    /// Version of the platform object.
+    /// Version of the platform object that the keys come from.
     pub version: ObjectVersion,
     raw: RawTokenKeys,
 }
 
 impl TokenKeys {
-    /// `new` takes the platform object under its version.
+    /// Creates the keys from the platform object and its version.
     #[must_use]
     pub fn new(version: ObjectVersion, raw: RawTokenKeys) -> Self {
         Self { version, raw }
     }
 
-    /// `raw` gives the platform object.
+    /// Returns the platform object.
     #[must_use]
     pub fn raw(&self) -> &RawTokenKeys {
         &self.raw
     }
 
-    /// `hasher` gives the hash that names flows.
+    /// Returns the hasher that computes flow keys.
     #[must_use]
     pub fn hasher(&self) -> FlowHasher {
         FlowHasher::new(self.raw.flow_hash)
     }
 
-    /// `issue` makes the token of a flow bound to a backend server.
+    /// Issues the token of a flow bound to a backend server. Returns `None` if the current key is
+    /// missing from the platform object.
     #[must_use]
     pub fn issue(&self, key: FlowKey, backend: &Backend) -> Option<FlowToken> {
         let mut token = FlowToken {
@@ -85,7 +87,7 @@
         Some(token)
     }
 
-    /// `check` tells whether a token was made for a flow.
+    /// Checks whether a token was made for a flow.
     #[must_use]
     pub fn check(&self, key: FlowKey, token: &FlowToken) -> TokenVerdict {
         match self.mac(key, token) {
@@ -95,7 +97,8 @@
         }
     }
 
-    /// SipHash-2-4 is a pseudorandom function for short input, so that its output serves as a MAC.
+    /// Computes the MAC of a token, or `None` if its key is unknown. SipHash-2-4 is a pseudorandom
+    /// function for short input, so its output serves as a MAC.
     fn mac(&self, key: FlowKey, token: &FlowToken) -> Option<u64> {
         let (_, left, right) = self.raw.keys.iter().find(|(id, ..)| *id == token.key_id)?;
         let mut hasher = SipHasher24::new_with_keys(*left, *right);
