--- a/crates/valvestage-policy/src/balancer.rs
+++ b/crates/valvestage-policy/src/balancer.rs
@@ -8,4 +8,4 @@
 pub use balancer_options::BalancerOptions;
 pub use balancer_policy::BalancerPolicy;
 #[cfg(doc)]
-use owner_change::MOST_HELD;
+use owner_change::MAX_HELD_REQUESTS;
--- a/crates/valvestage-policy/src/balancer/balancer_policy.rs
+++ b/crates/valvestage-policy/src/balancer/balancer_policy.rs
@@ -21,7 +21,7 @@
     pub(super) handover: u64,
     pub(super) claims: Vec<HandedClaim<P>>,
     /// Requests that the former owner relayed before the owner map arrived; at most
-    /// [`super::MOST_HELD`].
+    /// [`super::MAX_HELD_REQUESTS`].
     pub(super) held: Vec<Request<P>>,
     /// Time until which the requests are held.
     pub(super) held_until: Deadline,
@@ -45,7 +45,7 @@
     /// Time of the latest event or tick; `None` before the first.
     latest: Option<SystemTime>,
     /// Time until which no new work is dispatched, because the process was paused.
-    catches_up_until: Option<SystemTime>,
+    catching_up_until: Option<SystemTime>,
 }
 
 impl<P: Clone> BalancerPolicy<P> {
@@ -61,14 +61,14 @@
             former_owners: BTreeMap::new(),
             log: DecisionLog::new(options.kept_decisions),
             latest: None,
-            catches_up_until: None,
+            catching_up_until: None,
             options,
         }
     }
 
     /// Returns the verdict for a flow packet.
     pub fn on_flow(&mut self, now: SystemTime, packet: &FlowPacket) -> FlowVerdict {
-        self.notice_pause(now);
+        self.detect_pause(now);
         let verdict = if packet.opening && self.is_catching_up(now) {
             FlowVerdict::Drop(RefusalReason::CatchingUp)
         } else {
@@ -101,7 +101,7 @@
     /// Detects that the process was paused. After a pause it has an old configuration and view, and
     /// reads packets that waited as long, so it dispatches no new work until the control part has
     /// had the time to catch up.
-    pub(super) fn notice_pause(&mut self, now: SystemTime) {
+    pub(super) fn detect_pause(&mut self, now: SystemTime) {
         let latest = self.latest.replace(now);
         let gap = latest.and_then(|latest| now.duration_since(latest).ok()).unwrap_or_default();
         if gap < self.options.pause_limit {
@@ -109,14 +109,14 @@
         }
 
         let until = now + self.options.catch_up;
-        self.catches_up_until = Some(until);
+        self.catching_up_until = Some(until);
         for dispatcher in self.dispatchers.values_mut() {
             dispatcher.hold_until(until);
         }
     }
 
     pub(super) fn is_catching_up(&self, now: SystemTime) -> bool {
-        self.catches_up_until.is_some_and(|until| now < until)
+        self.catching_up_until.is_some_and(|until| now < until)
     }
 
     /// Records a flow packet from a backend server.
@@ -143,7 +143,7 @@
         for dispatcher in self.dispatchers.values_mut() {
             dispatcher.install(next, now);
         }
-        self.spread_lost_zones();
+        self.propagate_lost_zones();
 
         let decision = Decision::InForce { change_id: next.change_id.clone() };
         self.record(now, Subject::Change(next.version), decision);
@@ -155,12 +155,12 @@
         let is_new = self.director.install_view(view);
 
         if is_new {
-            self.spread_lost_zones();
+            self.propagate_lost_zones();
         }
         is_new
     }
 
-    fn spread_lost_zones(&mut self) {
+    fn propagate_lost_zones(&mut self) {
         let Some(configuration) = self.director.history().current() else {
             return;
         };
@@ -183,7 +183,7 @@
 
     /// Runs all actions that are due.
     pub fn tick(&mut self, now: SystemTime, out: &mut Vec<RequestAction<P>>) {
-        self.notice_pause(now);
+        self.detect_pause(now);
         let first = out.len();
         let services: Vec<ServiceId> = self.dispatchers.keys().copied().collect();
 
@@ -193,7 +193,7 @@
                 dispatcher.tick(now, authority, out);
             }
         }
-        self.give_up_held(now, out);
+        self.refuse_expired_held(now, out);
         self.record_actions(now, &out[first..]);
     }
 
--- a/crates/valvestage-policy/src/balancer/owner_change.rs
+++ b/crates/valvestage-policy/src/balancer/owner_change.rs
@@ -13,14 +13,14 @@
 use crate::requests::{HandedClaim, RequestAction};
 
 /// Maximum number of requests held per service until the owner map arrives.
-pub(super) const MOST_HELD: usize = 1_000;
+pub(super) const MAX_HELD_REQUESTS: usize = 1_000;
 
 /// Time for which requests are held at most.
-const HELD_FOR: Duration = Duration::from_secs(2);
+const HOLD_TIME: Duration = Duration::from_secs(2);
 
 /// Retention of the claims of a handover that never comes into force: the longest deadline that
 /// settings accept.
-const IMPORT_KEPT: Duration = Duration::from_secs(60);
+const IMPORT_RETENTION: Duration = Duration::from_secs(60);
 
 impl<P: Clone> BalancerPolicy<P> {
     /// Installs a newer owner map. Returns whether it was newer.
@@ -115,7 +115,7 @@
         handover: u64,
         claims: Vec<HandedClaim<P>>,
     ) {
-        let held_until = now + HELD_FOR;
+        let held_until = now + HOLD_TIME;
         let pending = PendingImport { handover, claims, held: Vec::new(), held_until };
 
         self.imports.insert(service, pending);
@@ -123,8 +123,8 @@
 
     /// Refuses the requests held for owner maps that did not arrive in time, and drops expired
     /// claims.
-    pub(super) fn give_up_held(&mut self, now: SystemTime, out: &mut Vec<RequestAction<P>>) {
-        self.imports.retain(|_, pending| now < pending.held_until + IMPORT_KEPT);
+    pub(super) fn refuse_expired_held(&mut self, now: SystemTime, out: &mut Vec<RequestAction<P>>) {
+        self.imports.retain(|_, pending| now < pending.held_until + IMPORT_RETENTION);
         let overdue = self.imports.values_mut().filter(|pending| now >= pending.held_until);
 
         for request in overdue.flat_map(|pending| pending.held.drain(..)) {
--- a/crates/valvestage-policy/src/balancer/request_routing.rs
+++ b/crates/valvestage-policy/src/balancer/request_routing.rs
@@ -7,7 +7,7 @@
 use valvestage_core::{Outcome, RefusalReason, Segment};
 
 use super::balancer_policy::BalancerPolicy;
-use super::owner_change::MOST_HELD;
+use super::owner_change::MAX_HELD_REQUESTS;
 use crate::flows::{HopMark, MAX_HOPS, RelayPurpose};
 use crate::requests::{Authority, BackendReply, ClaimState, Refusal, Request, RequestAction};
 
@@ -35,7 +35,7 @@
         hop: HopMark,
         out: &mut Vec<RequestAction<P>>,
     ) {
-        self.notice_pause(now);
+        self.detect_pause(now);
         let first = out.len();
 
         self.route_request(now, request, hop, out);
@@ -76,7 +76,7 @@
         if authority.is_none()
             && let Some(pending) = self.imports.get_mut(&request.service)
             && now < pending.held_until
-            && pending.held.len() < MOST_HELD
+            && pending.held.len() < MAX_HELD_REQUESTS
         {
             pending.held.push(request);
             return;
--- a/crates/valvestage-policy/src/flows.rs
+++ b/crates/valvestage-policy/src/flows.rs
@@ -3,7 +3,7 @@
 //! Three layers are tried in order: the token that the caller echoes, the table of the flow's home
 //! balancer, and the placement by the configuration versions.
 
-mod backend_watch;
+mod backend_availability;
 mod configuration_history;
 mod exception_finder;
 mod flow_director;
@@ -15,7 +15,7 @@
 mod placement;
 mod token_keys;
 
-pub use backend_watch::BackendWatch;
+pub use backend_availability::BackendAvailability;
 pub use configuration_history::ConfigurationHistory;
 pub use exception_finder::ExceptionFinder;
 pub use flow_director::FlowDirector;
--- a/crates/valvestage-policy/src/flows/backend_watch.rs
+++ b/crates/valvestage-policy/src/flows/backend_availability.rs
@@ -15,7 +15,7 @@
 const SILENCE_PAUSE: Duration = Duration::from_secs(2);
 
 #[derive(Debug, Clone, Copy, Default)]
-struct WatchEntry {
+struct AvailabilityEntry {
     /// Opening packets sent since the last packet from the backend server.
     unanswered: u32,
     /// The backend server stopped answering, and gets no new flow until this time.
@@ -27,13 +27,13 @@
 
 /// Tracks which backend servers do not answer, are at their connection limit, or are cut off.
 #[derive(Debug, Clone, Default)]
-pub struct BackendWatch {
-    entries: HashMap<BackendId, WatchEntry>,
+pub struct BackendAvailability {
+    entries: HashMap<BackendId, AvailabilityEntry>,
     /// Availability zones without any live balancer.
     lost_zones: BTreeSet<ZoneName>,
 }
 
-impl BackendWatch {
+impl BackendAvailability {
     /// Reports whether a new flow may go to a backend server.
     #[must_use]
     pub fn is_usable(&self, backend: &Backend, now: SystemTime) -> bool {
@@ -64,7 +64,7 @@
 
     /// Records a packet from a backend server, which ends its pause for missing answers.
     #[inline]
-    pub fn on_heard(&mut self, backend: BackendId) {
+    pub fn on_packet_from(&mut self, backend: BackendId) {
         if let Some(entry) = self.entries.get_mut(&backend)
             && entry.unanswered > 0
         {
--- a/crates/valvestage-policy/src/flows/configuration_history.rs
+++ b/crates/valvestage-policy/src/flows/configuration_history.rs
@@ -27,12 +27,12 @@
     /// the baseline behaviour of experiments, an older one is accepted as well. Returns whether it
     /// was put in force.
     pub fn install(&mut self, configuration: Arc<Configuration>, newest_only: bool) -> bool {
-        let is_news = if newest_only {
+        let is_accepted = if newest_only {
             configuration.version > self.version()
         } else {
             configuration.version != self.version()
         };
-        if !is_news {
+        if !is_accepted {
             return false;
         }
 
--- a/crates/valvestage-policy/src/flows/flow_director.rs
+++ b/crates/valvestage-policy/src/flows/flow_director.rs
@@ -7,7 +7,7 @@
 use valvestage_core::time::to_unix_millis;
 use valvestage_core::{Backend, Configuration, RefusalReason};
 
-use super::backend_watch::BackendWatch;
+use super::backend_availability::BackendAvailability;
 use super::configuration_history::ConfigurationHistory;
 use super::flow_options::{FlowLayers, FlowOptions};
 use super::flow_packet::{
@@ -32,7 +32,7 @@
     view: LiveView,
     /// Views before the present one, newest first; at most [`KEPT_VIEWS`].
     former_views: Vec<LiveView>,
-    watch: BackendWatch,
+    availability: BackendAvailability,
 }
 
 impl FlowDirector {
@@ -47,7 +47,7 @@
             keys: None,
             view: LiveView::default(),
             former_views: Vec::new(),
-            watch: BackendWatch::default(),
+            availability: BackendAvailability::default(),
         }
     }
 
@@ -120,7 +120,7 @@
         match found {
             // The caller opens the flow again after its backend server was removed or became
             // unusable.
-            _ if packet.opening && !found.is_some_and(|b| self.watch.is_usable(b, now)) => {
+            _ if packet.opening && !found.is_some_and(|b| self.availability.is_usable(b, now)) => {
                 self.table.remove(packet.key);
                 None
             }
@@ -151,7 +151,7 @@
 
         let source = if packet.opening { FlowSource::Placement } else { FlowSource::History };
         let placed = if packet.opening {
-            self.place_open(now, &configuration, packet)
+            self.place_new_flow(now, &configuration, packet)
         } else {
             place(&configuration, packet.service, packet.key, |_| true)
         };
@@ -168,24 +168,26 @@
         }
 
         if packet.opening {
-            self.watch.on_opening(backend.id, now);
+            self.availability.on_opening(backend.id, now);
         }
         forward(backend, source, packet.hop.purpose == RelayPurpose::FormerHome)
     }
 
-    fn place_open(
+    fn place_new_flow(
         &self,
         now: SystemTime,
         configuration: &Configuration,
         packet: &FlowPacket,
     ) -> Option<BackendId> {
         let is_usable = |id| {
-            configuration.backend(id).is_some_and(|backend| self.watch.is_usable(backend, now))
+            configuration
+                .backend(id)
+                .is_some_and(|backend| self.availability.is_usable(backend, now))
         };
 
         // If all backend servers with free connections are silent or cut off, choose by hash among
         // them.
-        let has_room = |id| !self.watch.is_full(id, now);
+        let has_room = |id| !self.availability.is_full(id, now);
         place(configuration, packet.service, packet.key, is_usable)
             .or_else(|| place(configuration, packet.service, packet.key, has_room))
     }
@@ -207,7 +209,7 @@
     /// Records that a backend server refused a flow for its connection limit, and removes the
     /// binding, so that the retransmitted opening packet is placed again.
     pub fn on_connections_full(&mut self, key: FlowKey, backend: BackendId, until: SystemTime) {
-        self.watch.on_full(backend, until);
+        self.availability.on_full(backend, until);
 
         if self.table.get(key, 0).is_some_and(|entry| entry.backend == backend) {
             self.table.remove(key);
@@ -217,7 +219,7 @@
     /// Records a packet from a backend server.
     #[inline]
     pub fn on_heard(&mut self, backend: BackendId) {
-        self.watch.on_heard(backend);
+        self.availability.on_packet_from(backend);
     }
 
     /// Removes a flow that its backend server closed.
@@ -236,17 +238,17 @@
     pub fn install_configuration(&mut self, configuration: Arc<Configuration>) -> bool {
         let is_newer = self.history.install(configuration, self.layers.newest_only);
 
-        self.find_lost_zones();
+        self.update_lost_zones();
         is_newer
     }
 
-    fn find_lost_zones(&mut self) {
+    fn update_lost_zones(&mut self) {
         let Some(configuration) = self.history.current() else {
             return;
         };
 
         let lost = self.view.lost_zones(configuration);
-        self.watch.set_lost_zones(lost);
+        self.availability.set_lost_zones(lost);
     }
 
     /// Puts newer token keys in force. Returns whether they were newer.
@@ -266,7 +268,7 @@
         }
 
         let former = std::mem::replace(&mut self.view, view);
-        self.find_lost_zones();
+        self.update_lost_zones();
         self.former_views.insert(0, former);
         self.former_views.truncate(KEPT_VIEWS);
         true
--- a/crates/valvestage-policy/src/steering/packets.rs
+++ b/crates/valvestage-policy/src/steering/packets.rs
@@ -1,4 +1,4 @@
-//! Handling of caller packets: parsing results, per-flow state and the resulting verdicts.
+//! Handling of caller packets: packet fields, per-flow state and verdicts.
 //!
 //! | module | contents |
 //! |---|---|
@@ -13,11 +13,10 @@
 //! | [`flow_record`] | the state of one flow, as seen in its packets |
 //! | [`flow_tracker`] | the records of all known flows |
 //! | [`flow_reset`] | the reset that ends a flow at its caller |
-//! | `flow_ender` | resets that are sent without a packet to answer |
+//! | `reset_scheduler` | resets that are sent without a packet to answer |
 
 pub mod caller_packet;
 pub(in crate::steering) mod flow_backend;
-pub(in crate::steering) mod flow_ender;
 mod flow_ends;
 pub mod flow_record;
 pub mod flow_reset;
@@ -25,5 +24,6 @@
 pub mod held_packets;
 pub(in crate::steering) mod opening_packets;
 pub(in crate::steering) mod packet_verdicts;
+pub(in crate::steering) mod reset_scheduler;
 pub mod steering_policy;
 pub mod wanted_tokens;
--- a/crates/valvestage-policy/src/steering/packets/flow_backend.rs
+++ b/crates/valvestage-policy/src/steering/packets/flow_backend.rs
@@ -29,7 +29,7 @@
 /// Returns the incarnation that continues the flows of `instance`. If another process has started
 /// under the same name, only that process knows whether it has the flow, so the packet goes there,
 /// unless it runs another service than its predecessors.
-pub(in crate::steering) fn present_birth(
+pub(in crate::steering) fn current_incarnation(
     knowledge: &Knowledge,
     packet: &CallerPacket,
     instance: InstanceId,
--- a/crates/valvestage-policy/src/steering/packets/flow_ends.rs
+++ b/crates/valvestage-policy/src/steering/packets/flow_ends.rs
@@ -18,7 +18,7 @@
     /// that it is not. That is so if the entry lapsed during a network partition, and for a
     /// suspected backend server in another zone, which may have been cut off until a moment ago. A
     /// reset would end flows that go on through balancers on the other side of the partition.
-    pub(super) fn over_because(
+    pub(super) fn flow_end_reason(
         &mut self,
         knowledge: &Knowledge,
         packet: &CallerPacket,
@@ -38,20 +38,20 @@
             return Some(ResetReason::BackendGone);
         }
         if judge.lapsed_in_doubt(instance) {
-            let is_missed = self.flows.misses_probe(packet, not_before, now);
-            return is_missed.then_some(ResetReason::BackendGone);
+            let has_failed = self.flows.has_failed_probe(packet, not_before, now);
+            return has_failed.then_some(ResetReason::BackendGone);
         }
         if !health.is_given_up(instance, now) {
             return None;
         }
         let is_away = *zone != self.options.zone;
-        if is_away && !self.flows.misses_probe(packet, not_before, now) {
+        if is_away && !self.flows.has_failed_probe(packet, not_before, now) {
             return None;
         }
         // Flows that are idle here may be in use through other balancers while their zone is cut
         // off.
         if !(is_away && reach == ZoneReach::Silent) {
-            self.ender.on_given_up(instance);
+            self.reset_scheduler.on_given_up(instance);
         }
         Some(ResetReason::BackendSilent)
     }
--- a/crates/valvestage-policy/src/steering/packets/flow_record.rs
+++ b/crates/valvestage-policy/src/steering/packets/flow_record.rs
@@ -11,7 +11,7 @@
 
 /// Time without a packet after which an answer that has begun is considered complete: several round
 /// trips.
-const REST_TIME: Duration = Duration::from_millis(100);
+const ANSWER_IDLE_TIME: Duration = Duration::from_millis(100);
 
 /// Record of what one balancer has seen of a flow.
 #[derive(Debug, Clone)]
@@ -178,8 +178,8 @@
     /// `None` if the answer is still arriving, or the outcome is known.
     pub fn end_overdue(&mut self, started: Instant, now: Instant) -> Option<EndedRequest> {
         let request = self.request.filter(|request| request.started == started)?;
-        let rests = now.saturating_duration_since(self.last_packet) >= REST_TIME;
-        if !self.is_busy() && !rests {
+        let is_idle = now.saturating_duration_since(self.last_packet) >= ANSWER_IDLE_TIME;
+        if !self.is_busy() && !is_idle {
             return None;
         }
 
@@ -207,7 +207,7 @@
     /// Handles a packet as a probe of a suspected backend server. Returns true if the packet is a
     /// copy of an earlier probe that is still unanswered after `ANSWER_TIME`. A probe sent at or
     /// before `not_before` does not count, since it may have been lost in a network partition.
-    pub fn misses_probe(
+    pub fn has_failed_probe(
         &mut self,
         packet: &CallerPacket,
         not_before: Option<Instant>,
--- a/crates/valvestage-policy/src/steering/packets/flow_tracker.rs
+++ b/crates/valvestage-policy/src/steering/packets/flow_tracker.rs
@@ -13,10 +13,10 @@
 
 /// Retention of a flow after its caller has ended it, for late packets. Senders stop retransmitting
 /// within 1.6 s.
-const KEEP_CLOSED: Duration = Duration::from_secs(2);
+const CLOSED_RETENTION: Duration = Duration::from_secs(2);
 
 /// Retention of a flow that never opened. Callers give up after 1.4 s.
-const KEEP_UNOPENED: Duration = Duration::from_secs(3);
+const UNOPENED_RETENTION: Duration = Duration::from_secs(3);
 
 /// What one packet shows about its flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,7 +31,7 @@
 
 impl FlowObservation {
     /// Returns the observation for a packet of an unknown flow.
-    fn nothing() -> Self {
+    fn neutral() -> Self {
         Self { sign: FlowSign::Neutral, ended: None, began: None }
     }
 }
@@ -42,7 +42,7 @@
     /// Open flows that their callers have not ended.
     Open,
     /// Open flows, not ended by their callers, that wait for no answer.
-    Resting,
+    Idle,
 }
 
 /// Backend server whose flows are to be reset.
@@ -61,7 +61,7 @@
         Self { instance, seen_before: None }
     }
 
-    fn has(&self, record: &FlowRecord) -> bool {
+    fn covers(&self, record: &FlowRecord) -> bool {
         record.instance == self.instance
             && self.seen_before.is_none_or(|before| record.first_packet < before)
     }
@@ -116,7 +116,7 @@
     /// Updates the record of the packet's flow, and returns what the packet shows.
     pub fn observe(&mut self, packet: &CallerPacket, now: Instant) -> FlowObservation {
         let Some(record) = self.records.get_mut(&packet.flow) else {
-            return FlowObservation::nothing();
+            return FlowObservation::neutral();
         };
 
         let load = self.loads.entry(record.instance).or_default();
@@ -145,7 +145,7 @@
 
     /// Handles a packet as a probe of its flow's backend server. Returns true if an earlier probe
     /// has shown that the backend server does not answer.
-    pub fn misses_probe(
+    pub fn has_failed_probe(
         &mut self,
         packet: &CallerPacket,
         not_before: Option<Instant>,
@@ -153,7 +153,7 @@
     ) -> bool {
         let record = self.records.get_mut(&packet.flow);
 
-        record.is_some_and(|record| record.misses_probe(packet, not_before, now))
+        record.is_some_and(|record| record.has_failed_probe(packet, not_before, now))
     }
 
     /// Drops all requests under way without an outcome.
@@ -177,7 +177,7 @@
 
     /// Removes the selected flows of some backend servers, and returns the reset of each, with its
     /// backend server.
-    pub(in crate::steering) fn take_at(
+    pub(in crate::steering) fn take_flows_of(
         &mut self,
         ended: &[EndedBackend],
         selection: FlowSelection,
@@ -185,7 +185,7 @@
         let is_taken = |record: &FlowRecord| {
             record.open
                 && !record.closing
-                && ended.iter().any(|ended| ended.has(record))
+                && ended.iter().any(|ended| ended.covers(record))
                 && (selection == FlowSelection::Open || !record.is_busy())
         };
         let taken = self.records.iter().filter(|(_, record)| is_taken(record));
@@ -205,8 +205,8 @@
     pub fn expire(&mut self, now: Instant, idle_timeout: Duration) {
         let is_over = |record: &FlowRecord| {
             let keep = match (record.open, record.closing) {
-                (false, _) => KEEP_UNOPENED,
-                (true, true) => KEEP_CLOSED,
+                (false, _) => UNOPENED_RETENTION,
+                (true, true) => CLOSED_RETENTION,
                 (true, false) => idle_timeout,
             };
             now.saturating_duration_since(record.last_packet) > keep
--- a/crates/valvestage-policy/src/steering/packets/opening_packets.rs
+++ b/crates/valvestage-policy/src/steering/packets/opening_packets.rs
@@ -6,7 +6,7 @@
 
 use super::caller_packet::{CallerPacket, DropReason, FlowAddresses, PacketVerdict};
 use super::flow_record::{FlowRecord, FlowSign};
-use super::packet_verdicts::{draw_of, forward, refuse_route};
+use super::packet_verdicts::{forward, hash_flow, no_route_verdict};
 use super::steering_policy::SteeringPolicy;
 use crate::steering::decision::Decision;
 use crate::steering::knowledge::Knowledge;
@@ -26,10 +26,10 @@
             return verdict;
         }
 
-        let draw = draw_of(&packet.flow);
+        let draw = hash_flow(&packet.flow);
         match knowledge.routes.target(packet.flow.service, draw) {
             Some(service) => self.place(knowledge, packet.flow, service, None, now),
-            None => refuse_route(knowledge, now),
+            None => no_route_verdict(knowledge, now),
         }
     }
 
@@ -66,7 +66,7 @@
             });
         }
         if !self.is_unanswered(instance, sign, now) {
-            self.count_cold(knowledge, instance, now);
+            self.count_cold_request(knowledge, instance, now);
             return Some(forward(knowledge, instance));
         }
         Some(self.place(knowledge, packet.flow, &entry.service, Some(instance), now))
@@ -98,7 +98,12 @@
 
     /// Counts a request to a backend server, if the backend server is cold and its request rate
     /// limited.
-    pub(super) fn count_cold(&mut self, knowledge: &Knowledge, instance: InstanceId, now: Instant) {
+    pub(super) fn count_cold_request(
+        &mut self,
+        knowledge: &Knowledge,
+        instance: InstanceId,
+        now: Instant,
+    ) {
         let Some(entry) = knowledge.directory.get(instance) else { return };
 
         if ColdShares::rate_of(self.options.cold_limit, knowledge, entry, now).is_some() {
@@ -116,13 +121,13 @@
         now: Instant,
     ) -> PacketVerdict {
         let placer = self.placer(knowledge, now);
-        let placement = match placer.place(flow, service, instead_of, draw_of(&flow)) {
+        let placement = match placer.place(flow, service, instead_of, hash_flow(&flow)) {
             Ok(placement) => placement,
             Err(reason) => return PacketVerdict::Reset(reason),
         };
 
         let instance = placement.instance;
-        self.count_cold(knowledge, instance, now);
+        self.count_cold_request(knowledge, instance, now);
         if self.flows.len() < self.options.max_flows {
             self.flows.insert(flow, FlowRecord::open_at(instance, now));
         }
--- a/crates/valvestage-policy/src/steering/packets/packet_verdicts.rs
+++ b/crates/valvestage-policy/src/steering/packets/packet_verdicts.rs
@@ -12,7 +12,7 @@
 
 /// Returns the verdict on a packet for a service address without a route. If the configuration may
 /// be out of date, the packet is dropped rather than refused: the caller retransmits it.
-pub(in crate::steering) fn refuse_route(knowledge: &Knowledge, now: Instant) -> PacketVerdict {
+pub(in crate::steering) fn no_route_verdict(knowledge: &Knowledge, now: Instant) -> PacketVerdict {
     if knowledge.is_certain(now) {
         PacketVerdict::Reset(ResetReason::NoRoute)
     } else {
@@ -34,7 +34,7 @@
 }
 
 /// Returns a hash of a flow that is the same at every balancer.
-pub(in crate::steering) fn draw_of(flow: &FlowAddresses) -> u64 {
+pub(in crate::steering) fn hash_flow(flow: &FlowAddresses) -> u64 {
     let mut hasher = SipHasher13::new();
 
     for address in [flow.caller, flow.service] {
--- a/crates/valvestage-policy/src/steering/packets/flow_ender.rs
+++ b/crates/valvestage-policy/src/steering/packets/reset_scheduler.rs
@@ -19,16 +19,16 @@
 /// Maximum number of resets per round of 100 ms. At the design size a balancer has 6,200 flows,
 /// some 900 of them in one availability zone: if the whole zone is lost, they are reset within 1.5
 /// s, in bursts of 2.3 KB.
-const TOLD_PER_ROUND: usize = 64;
+const MAX_RESETS_PER_ROUND: usize = 64;
 
 /// Time for which no further reset is sent on a flow, since packets may still arrive that the
 /// caller sent before it got the reset. Callers retransmit after 200 ms, so a packet after that
 /// time means that the reset was lost.
-const TELL_AGAIN_AFTER: Duration = Duration::from_millis(150);
+const RESET_REPEAT_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Flow whose caller is to be sent a reset.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(in crate::steering) struct EndedFlow {
+pub(in crate::steering) struct PendingReset {
     /// Reset to send to the caller.
     pub reset: FlowReset,
     /// Backend server of the flow.
@@ -39,19 +39,19 @@
 
 /// Collects ended backend servers and issues the resets of their flows at a limited rate.
 #[derive(Debug, Default)]
-pub(in crate::steering) struct FlowEnder {
+pub(in crate::steering) struct ResetScheduler {
     /// Backend servers whose entries are gone and whose flows are not reset yet; some of the
     /// entries may only have lapsed.
     gone: Vec<InstanceId>,
     /// Backend servers that were declared dead since the last round.
     silent: Vec<InstanceId>,
     /// Flows to reset; their records are removed already.
-    due: VecDeque<EndedFlow>,
+    due: VecDeque<PendingReset>,
     /// Flows that were reset lately, each with the time until which no further reset is sent.
-    told: HashMap<FlowAddresses, Instant>,
+    recent_resets: HashMap<FlowAddresses, Instant>,
 }
 
-impl FlowEnder {
+impl ResetScheduler {
     /// Records that the entries of some backend servers are gone.
     pub(in crate::steering) fn on_gone(&mut self, instances: Vec<InstanceId>) {
         self.gone.extend(instances);
@@ -65,19 +65,19 @@
         }
     }
 
-    /// Returns the flows whose callers are to be sent a reset now, at most [`TOLD_PER_ROUND`].
-    pub(in crate::steering) fn round(
+    /// Returns the flows whose callers are to be sent a reset now, at most [`MAX_RESETS_PER_ROUND`].
+    pub(in crate::steering) fn take_due(
         &mut self,
         flows: &mut FlowTracker,
         judge: &LapseJudge<'_>,
-    ) -> Vec<EndedFlow> {
+    ) -> Vec<PendingReset> {
         self.collect_gone(flows, judge);
         self.collect_silent(flows);
 
-        let count = self.due.len().min(TOLD_PER_ROUND);
+        let count = self.due.len().min(MAX_RESETS_PER_ROUND);
         let ended: Vec<_> = self.due.drain(..count).collect();
         for flow in ended.iter().map(|ended| ended.reset.flow) {
-            self.on_told(flow, judge.now);
+            self.on_reset_sent(flow, judge.now);
         }
         ended
     }
@@ -98,7 +98,7 @@
         let silent: Vec<_> =
             std::mem::take(&mut self.silent).into_iter().map(EndedBackend::all_of).collect();
 
-        self.collect(flows, &silent, ResetReason::BackendSilent, FlowSelection::Resting);
+        self.collect(flows, &silent, ResetReason::BackendSilent, FlowSelection::Idle);
     }
 
     fn collect(
@@ -112,24 +112,28 @@
             return;
         }
 
-        let taken = flows.take_at(ended, selection);
+        let taken = flows.take_flows_of(ended, selection);
         let ended =
-            taken.into_iter().map(|(reset, instance)| EndedFlow { reset, instance, reason });
+            taken.into_iter().map(|(reset, instance)| PendingReset { reset, instance, reason });
         self.due.extend(ended);
     }
 
     /// Records that a reset is being sent on a flow.
-    pub(in crate::steering) fn on_told(&mut self, flow: FlowAddresses, now: Instant) {
-        self.told.insert(flow, now + TELL_AGAIN_AFTER);
+    pub(in crate::steering) fn on_reset_sent(&mut self, flow: FlowAddresses, now: Instant) {
+        self.recent_resets.insert(flow, now + RESET_REPEAT_INTERVAL);
     }
 
-    /// Reports whether a reset was sent on a flow within the last [`TELL_AGAIN_AFTER`].
-    pub(in crate::steering) fn is_told(&self, flow: &FlowAddresses, now: Instant) -> bool {
-        self.told.get(flow).is_some_and(|until| *until > now)
+    /// Reports whether a reset was sent on a flow within the last [`RESET_REPEAT_INTERVAL`].
+    pub(in crate::steering) fn was_reset_recently(
+        &self,
+        flow: &FlowAddresses,
+        now: Instant,
+    ) -> bool {
+        self.recent_resets.get(flow).is_some_and(|until| *until > now)
     }
 
-    /// Drops the records of resets that are older than [`TELL_AGAIN_AFTER`].
+    /// Drops the records of resets that are older than [`RESET_REPEAT_INTERVAL`].
     pub(in crate::steering) fn forget(&mut self, now: Instant) {
-        self.told.retain(|_, until| *until > now);
+        self.recent_resets.retain(|_, until| *until > now);
     }
 }
--- a/crates/valvestage-policy/src/steering/packets/steering_policy.rs
+++ b/crates/valvestage-policy/src/steering/packets/steering_policy.rs
@@ -6,12 +6,12 @@
 use valvestage_core::ids::{InstanceId, ZoneName};
 
 use super::caller_packet::{CallerPacket, DropReason, PacketVerdict};
-use super::flow_backend::{instance_of, present_birth};
-use super::flow_ender::{EndedFlow, FlowEnder};
+use super::flow_backend::{current_incarnation, instance_of};
 use super::flow_record::{FlowRecord, FlowSign};
 use super::flow_reset::FlowReset;
 use super::flow_tracker::FlowTracker;
-use super::packet_verdicts::{forward, refuse_route};
+use super::packet_verdicts::{forward, no_route_verdict};
+use super::reset_scheduler::{PendingReset, ResetScheduler};
 use super::wanted_tokens::WantedTokens;
 use crate::steering::decision::{AnswerTime, Decision, DroppedPacket};
 use crate::steering::health::backend_observer::BackendObserver;
@@ -32,7 +32,7 @@
     pub(super) backends: BackendObserver,
     pub(super) demand: FleetDemand,
     pub(super) cold: ColdShares,
-    pub(super) ender: FlowEnder,
+    pub(super) reset_scheduler: ResetScheduler,
     wanted: WantedTokens,
     /// Decisions since the last call of [`Self::take_decisions`].
     pub(super) decisions: Vec<Decision>,
@@ -50,7 +50,7 @@
             backends: BackendObserver::new(seed),
             demand: FleetDemand::default(),
             cold: ColdShares::default(),
-            ender: FlowEnder::default(),
+            reset_scheduler: ResetScheduler::default(),
             wanted: WantedTokens::default(),
             decisions: Vec::new(),
             resets: Vec::new(),
@@ -95,7 +95,7 @@
         if let Some(before) = now.checked_sub(FORGET_AFTER) {
             self.demand.forget(before);
         }
-        self.ender.forget(now);
+        self.reset_scheduler.forget(now);
     }
 
     /// Updates the demand from the requests under way, given the number of other known balancers;
@@ -124,7 +124,7 @@
     /// Drops unresolved tokens whose backend servers are known by now, or that have expired; to be
     /// called several times a second.
     pub fn look_at_wanted(&mut self, knowledge: &Knowledge, now: Instant) {
-        self.wanted.forget(&knowledge.directory, now);
+        self.wanted.drop_resolved(&knowledge.directory, now);
     }
 
     /// Records the demand that another balancer has reported.
@@ -147,7 +147,7 @@
     /// Queues resets for flows whose backend servers have ended, and issues those that are due; to
     /// be called ten times a second.
     pub fn end_flows(&mut self, knowledge: &mut Knowledge, now: Instant) {
-        self.ender.on_gone(knowledge.directory.take_newly_gone());
+        self.reset_scheduler.on_gone(knowledge.directory.take_newly_gone());
         let judge = LapseJudge {
             own_zone: &self.options.zone,
             knowledge,
@@ -155,7 +155,9 @@
             now,
         };
 
-        for EndedFlow { reset, instance, reason } in self.ender.round(&mut self.flows, &judge) {
+        for PendingReset { reset, instance, reason } in
+            self.reset_scheduler.take_due(&mut self.flows, &judge)
+        {
             let flow = reset.flow;
             self.resets.push(reset);
             self.decisions.push(Decision::Reset { flow, reason, instance: Some(instance) });
@@ -221,14 +223,14 @@
         let verdict = if packet.opening {
             self.on_opening(knowledge, packet, now)
         } else {
-            self.on_further(knowledge, packet, now)
+            self.on_established(knowledge, packet, now)
         };
-        self.note(knowledge, packet, verdict, now);
+        self.record_verdict(knowledge, packet, verdict, now);
         verdict
     }
 
     /// Records the verdicts that affect a caller: resets, and packets that are dropped or held.
-    fn note(
+    fn record_verdict(
         &mut self,
         knowledge: &Knowledge,
         packet: &CallerPacket,
@@ -245,10 +247,10 @@
                 self.flows.remove(&flow);
             }
             PacketVerdict::Drop(reason) => {
-                let dropped = self.dropped(knowledge, packet, reason, now);
+                let dropped = self.dropped_packet(knowledge, packet, reason, now);
                 let is_held = reason.may_pass();
                 if reason == DropReason::UnknownToken {
-                    self.wanted.want(packet.token, now);
+                    self.wanted.add(packet.token, now);
                 }
                 self.decisions.push(if is_held {
                     Decision::Held(dropped)
@@ -259,7 +261,7 @@
         }
     }
 
-    fn dropped(
+    fn dropped_packet(
         &self,
         knowledge: &Knowledge,
         packet: &CallerPacket,
@@ -291,7 +293,7 @@
     pub fn on_held_too_long(&mut self, knowledge: &Knowledge, packet: &CallerPacket, now: Instant) {
         let is_ready = knowledge.is_complete();
         let reason = if is_ready { DropReason::UnknownToken } else { DropReason::NotReady };
-        let dropped = self.dropped(knowledge, packet, reason, now);
+        let dropped = self.dropped_packet(knowledge, packet, reason, now);
 
         self.decisions.push(Decision::Dropped(dropped));
     }
@@ -304,19 +306,19 @@
     /// the requests of a day in which all balancers are restarted after a change of routes. A token
     /// that the caller did not get on this flow does no harm: the packet names one incarnation,
     /// which refuses flows that it does not have.
-    fn on_further(
+    fn on_established(
         &mut self,
         knowledge: &Knowledge,
         packet: &CallerPacket,
         now: Instant,
     ) -> PacketVerdict {
         if !knowledge.routes.routes.contains_key(&packet.flow.service) {
-            return refuse_route(knowledge, now);
+            return no_route_verdict(knowledge, now);
         }
         let Some(instance) = instance_of(&self.flows, knowledge, packet) else {
             return PacketVerdict::Drop(DropReason::UnknownToken);
         };
-        let instance = present_birth(knowledge, packet, instance);
+        let instance = current_incarnation(knowledge, packet, instance);
         if knowledge.directory.get(instance).is_none() {
             return PacketVerdict::Drop(DropReason::UnknownToken);
         }
@@ -326,13 +328,13 @@
             self.flows.remove(&packet.flow);
             return forward(knowledge, instance);
         }
-        let Some(reason) = self.over_because(knowledge, packet, instance, now) else {
+        let Some(reason) = self.flow_end_reason(knowledge, packet, instance, now) else {
             return forward(knowledge, instance);
         };
-        if self.ender.is_told(&packet.flow, now) {
+        if self.reset_scheduler.was_reset_recently(&packet.flow, now) {
             return PacketVerdict::Drop(DropReason::AlreadyTold);
         }
-        self.ender.on_told(packet.flow, now);
+        self.reset_scheduler.on_reset_sent(packet.flow, now);
         PacketVerdict::Reset(reason)
     }
 
@@ -369,7 +371,7 @@
         if observation.began.is_some()
             && self.flows.get(&flow).is_some_and(|flow| flow.has_opened_before(now))
         {
-            self.count_cold(knowledge, instance, now);
+            self.count_cold_request(knowledge, instance, now);
         }
 
         self.backends.observe(knowledge, instance, flow, observation, now);
--- a/crates/valvestage-policy/src/steering/packets/wanted_tokens.rs
+++ b/crates/valvestage-policy/src/steering/packets/wanted_tokens.rs
@@ -16,7 +16,7 @@
 
 /// Time for which a token is asked about after its last packet, the same as the hold time of
 /// packets: five rounds of heartbeats to four balancers each.
-const WANTED_FOR: Duration = Duration::from_secs(2);
+const WANTED_TTL: Duration = Duration::from_secs(2);
 
 /// Unresolved tokens that other balancers are asked about.
 #[derive(Debug, Default)]
@@ -28,15 +28,15 @@
 impl WantedTokens {
     /// Adds an unknown token, or extends its time. A new token is not added while the maximum
     /// number is asked about.
-    pub fn want(&mut self, token: ShortToken, now: Instant) {
+    pub fn add(&mut self, token: ShortToken, now: Instant) {
         self.tokens.retain(|(wanted, _)| *wanted != token);
         if self.tokens.len() < MAX_WANTED {
-            self.tokens.push((token, now + WANTED_FOR));
+            self.tokens.push((token, now + WANTED_TTL));
         }
     }
 
     /// Drops tokens that are resolved by now, and those that have expired.
-    pub fn forget(&mut self, directory: &BackendDirectory, now: Instant) {
+    pub fn drop_resolved(&mut self, directory: &BackendDirectory, now: Instant) {
         self.tokens.retain(|(token, until)| *until > now && directory.by_token(*token).is_none());
     }
 
--- a/crates/valvestage-policy/tests/steering/wanted_tokens.rs
+++ b/crates/valvestage-policy/tests/steering/wanted_tokens.rs
@@ -95,10 +95,10 @@
     let mut wanted = valvestage_policy::steering::packets::wanted_tokens::WantedTokens::default();
     let (nothing, now): (_, Instant) = (BackendDirectory::default(), start());
 
-    (1..=100).for_each(|token| wanted.want(token, now));
+    (1..=100).for_each(|token| wanted.add(token, now));
     assert_eq!(wanted.list().len(), 8);
-    wanted.want(3, now + millis(1_000));
-    wanted.forget(&nothing, now + millis(2_000));
+    wanted.add(3, now + millis(1_000));
+    wanted.drop_resolved(&nothing, now + millis(2_000));
     assert_eq!(wanted.list(), [3]);
 }
 
