--- a/crates/valvestage-policy/tests/steering/cut_zones.rs
+++ b/crates/valvestage-policy/tests/steering/cut_zones.rs
@@ -20,7 +20,7 @@
 const THIRD: &str = "zone-c";
 
 /// Time between two heartbeats of other zones.
-const WORD: Duration = Duration::from_millis(400);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Duration of the partition.
 const CUT: Duration = Duration::from_millis(2_800);
@@ -30,7 +30,7 @@
     known: Knowledge,
     now: Instant,
     /// Zones whose balancers are reachable.
-    heard: Vec<&'static str>,
+    reachable_zones: Vec<&'static str>,
     /// Whether the store confirms the knowledge.
     is_confirmed: bool,
 }
@@ -44,34 +44,34 @@
             policy: SteeringPolicy::new(options, 1),
             known: knowledge(&[backend(1, "core", zone)]),
             now: start(),
-            heard: vec![AWAY, THIRD],
+            reachable_zones: vec![AWAY, THIRD],
             is_confirmed: true,
         };
 
-        site.pass(millis(4_000));
+        site.advance(millis(4_000));
         site.send(&opening(flow(1), 0));
-        site.pass(millis(7));
+        site.advance(millis(7));
         site.send(&data(flow(1), BackendDirectory::token_of(1), 1_001, 0, 501));
         site
     }
 
     /// Advances the time, with heartbeats of other zones and confirmations of the store. Returns
     /// the flows that were reset proactively.
-    fn pass(&mut self, time: Duration) -> Vec<FlowAddresses> {
+    fn advance(&mut self, time: Duration) -> Vec<FlowAddresses> {
         let until = self.now + time;
-        let mut told = Vec::new();
+        let mut resets = Vec::new();
         while self.now < until {
-            for zone in &self.heard {
+            for zone in &self.reachable_zones {
                 self.known.contacts.on_heard(&(*zone).to_owned(), self.now);
             }
             if self.is_confirmed {
                 self.known.confirm(Some(self.now));
             }
-            self.now += WORD.min(until - self.now);
+            self.now += HEARTBEAT_INTERVAL.min(until - self.now);
             self.policy.end_flows(&mut self.known, self.now);
-            told.extend(self.policy.take_resets().into_iter().map(|reset| reset.flow));
+            resets.extend(self.policy.take_resets().into_iter().map(|reset| reset.flow));
         }
-        told
+        resets
     }
 
     fn send(&mut self, packet: &CallerPacket) -> PacketVerdict {
@@ -85,105 +85,105 @@
 
     /// Cuts off the zone of the backend server, whose entry lapses just before the end of the
     /// partition. Returns the flows that were reset meanwhile.
-    fn cut_off_away(&mut self) -> Vec<FlowAddresses> {
-        self.heard = vec![THIRD];
-        let mut told = self.pass(CUT - millis(100));
+    fn cut_off_other_zone(&mut self) -> Vec<FlowAddresses> {
+        self.reachable_zones = vec![THIRD];
+        let mut resets = self.advance(CUT - millis(100));
         assert!(self.known.directory.mark_gone(1, at(2_000), self.now));
-        told.extend(self.pass(millis(100)));
-        told
+        resets.extend(self.advance(millis(100)));
+        resets
     }
 
     fn heal(&mut self) {
-        self.heard = vec![AWAY, THIRD];
+        self.reachable_zones = vec![AWAY, THIRD];
     }
 }
 
 #[track_caller]
-fn assert_stays(verdict: PacketVerdict) {
+fn assert_forwarded(verdict: PacketVerdict) {
     assert!(matches!(verdict, PacketVerdict::Forward { instance: 1, .. }), "{verdict:?}");
 }
 
 #[track_caller]
-fn assert_ends(verdict: PacketVerdict) {
+fn assert_reset(verdict: PacketVerdict) {
     assert_eq!(verdict, PacketVerdict::Reset(ResetReason::BackendGone));
 }
 
 #[test]
-fn flows_that_may_go_on_at_the_other_side_of_a_cut_are_not_told() {
+fn flows_that_may_go_on_at_the_other_side_of_a_cut_are_not_reset() {
     let mut site = Site::with_flow_in(AWAY);
 
-    assert_eq!(site.cut_off_away(), []);
+    assert_eq!(site.cut_off_other_zone(), []);
     site.heal();
-    assert_eq!(site.pass(millis(2_200)), [], "the entry may return");
+    assert_eq!(site.advance(millis(2_200)), [], "the entry may return");
 }
 
 #[test]
-fn they_are_told_once_the_entry_has_had_its_time_since_the_cut() {
+fn flows_are_reset_after_the_return_time_of_their_entry_since_the_cut() {
     let mut site = Site::with_flow_in(AWAY);
 
-    site.cut_off_away();
+    site.cut_off_other_zone();
     site.heal();
-    assert_eq!(site.pass(millis(3_200)), [flow(1)]);
+    assert_eq!(site.advance(millis(3_200)), [flow(1)]);
 }
 
 #[test]
-fn they_are_not_while_the_store_confirms_nothing() {
+fn flows_are_not_reset_while_the_store_confirms_nothing() {
     let mut site = Site::with_flow_in(AWAY);
 
-    site.cut_off_away();
+    site.cut_off_other_zone();
     site.heal();
     site.is_confirmed = false;
-    assert_eq!(site.pass(millis(3_200)), []);
+    assert_eq!(site.advance(millis(3_200)), []);
 }
 
 #[test]
-fn they_are_not_when_their_entry_returns() {
+fn flows_are_not_reset_if_their_entry_returns() {
     let mut site = Site::with_flow_in(AWAY);
 
-    site.cut_off_away();
+    site.cut_off_other_zone();
     site.heal();
-    site.pass(millis(800));
+    site.advance(millis(800));
     site.known.directory.put(BackendEntry { position: at(2_500), ..backend(1, "core", AWAY) });
-    assert_eq!(site.pass(millis(6_000)), []);
+    assert_eq!(site.advance(millis(6_000)), []);
 }
 
 #[test]
-fn in_a_zone_that_was_cut_off_itself_flows_are_not_told_either() {
+fn flows_are_not_reset_in_a_zone_that_was_cut_off_itself() {
     let mut site = Site::with_flow_in(HOME);
 
-    site.heard = Vec::new();
+    site.reachable_zones = Vec::new();
     site.is_confirmed = false;
-    assert_eq!(site.pass(millis(1_900)), []);
+    assert_eq!(site.advance(millis(1_900)), []);
     site.heal();
     site.is_confirmed = true;
-    site.pass(WORD);
+    site.advance(HEARTBEAT_INTERVAL);
     assert!(site.known.directory.mark_gone(1, at(2_000), site.now));
-    assert_eq!(site.pass(millis(2_000)), []);
+    assert_eq!(site.advance(millis(2_000)), []);
 }
 
 #[test]
 fn a_flow_that_comes_after_a_cut_gets_one_packet_to_its_backend_server() {
     let mut site = Site::with_flow_in(AWAY);
 
-    site.cut_off_away();
+    site.cut_off_other_zone();
     site.heal();
-    site.pass(millis(1_100));
-    assert_stays(site.request(2));
-    site.pass(millis(200));
-    assert_ends(site.request(2));
+    site.advance(millis(1_100));
+    assert_forwarded(site.request(2));
+    site.advance(millis(200));
+    assert_reset(site.request(2));
 }
 
 #[test]
-fn a_packet_that_was_sent_in_the_cut_shows_nothing() {
+fn a_packet_sent_during_the_cut_shows_nothing() {
     let mut site = Site::with_flow_in(AWAY);
 
-    site.cut_off_away();
-    assert_stays(site.request(2));
+    site.cut_off_other_zone();
+    assert_forwarded(site.request(2));
     site.heal();
-    site.pass(millis(200));
-    assert_stays(site.request(2));
-    site.pass(WORD);
-    assert_ends(site.request(2));
+    site.advance(millis(200));
+    assert_forwarded(site.request(2));
+    site.advance(HEARTBEAT_INTERVAL);
+    assert_reset(site.request(2));
 }
 
 #[test]
@@ -191,59 +191,59 @@
     let mut site = Site::with_flow_in(AWAY);
     let acknowledgement = data(flow(2), BackendDirectory::token_of(1), 2_001, 0, 900);
 
-    site.cut_off_away();
+    site.cut_off_other_zone();
     site.heal();
-    site.pass(millis(100));
-    assert_stays(site.send(&acknowledgement));
-    site.pass(millis(200));
-    assert_stays(site.send(&acknowledgement));
-    assert_stays(site.request(2));
+    site.advance(millis(100));
+    assert_forwarded(site.send(&acknowledgement));
+    site.advance(millis(200));
+    assert_forwarded(site.send(&acknowledgement));
+    assert_forwarded(site.request(2));
 }
 
 #[test]
-fn an_answer_shows_that_the_backend_server_lives() {
+fn an_answer_shows_that_the_backend_server_is_alive() {
     let mut site = Site::with_flow_in(AWAY);
 
-    site.cut_off_away();
+    site.cut_off_other_zone();
     site.heal();
-    site.pass(millis(100));
-    assert_stays(site.request(2));
-    site.pass(millis(50));
-    assert_stays(site.send(&data(flow(2), BackendDirectory::token_of(1), 2_101, 0, 1_800)));
-    site.pass(millis(1_000));
-    assert_stays(site.send(&data(flow(2), BackendDirectory::token_of(1), 2_101, 100, 1_800)));
+    site.advance(millis(100));
+    assert_forwarded(site.request(2));
+    site.advance(millis(50));
+    assert_forwarded(site.send(&data(flow(2), BackendDirectory::token_of(1), 2_101, 0, 1_800)));
+    site.advance(millis(1_000));
+    assert_forwarded(site.send(&data(flow(2), BackendDirectory::token_of(1), 2_101, 100, 1_800)));
 }
 
 /// Flows are ended without delay if the zone was reachable all the time.
 #[test]
-fn without_a_cut_a_lapse_after_silence_ends_flows_at_once() {
+fn without_a_cut_a_lapse_after_silence_resets_flows_at_once() {
     let mut site = Site::with_flow_in(AWAY);
 
-    site.pass(millis(3_000));
+    site.advance(millis(3_000));
     assert!(site.known.directory.mark_gone(1, at(2_000), site.now));
-    assert_eq!(site.pass(WORD), [flow(1)]);
+    assert_eq!(site.advance(HEARTBEAT_INTERVAL), [flow(1)]);
 }
 
 /// Three flows miss answers, and their zone is unreachable: idle flows may go on at the other side.
 #[test]
-fn resting_flows_of_a_silent_zone_are_not_told_with_the_others() {
+fn idle_flows_of_a_silent_zone_are_not_reset_with_the_others() {
     let mut site = Site::with_flow_in(AWAY);
-    let mut told = Vec::new();
+    let mut resets = Vec::new();
     let mut verdicts = Vec::new();
 
-    site.heard = vec![THIRD];
-    told.extend(site.pass(millis(1_600)));
+    site.reachable_zones = vec![THIRD];
+    resets.extend(site.advance(millis(1_600)));
     for pause in [0, 200, 400, 800] {
-        told.extend(site.pass(millis(pause)));
+        resets.extend(site.advance(millis(pause)));
         verdicts = (2..=4).map(|port| site.request(port)).collect();
     }
     assert!(verdicts.contains(&PacketVerdict::Reset(ResetReason::BackendSilent)), "{verdicts:?}");
-    assert_eq!(told, []);
-    assert_eq!(site.pass(WORD), []);
+    assert_eq!(resets, []);
+    assert_eq!(site.advance(HEARTBEAT_INTERVAL), []);
 }
 
 #[test]
-fn a_zone_is_silent_after_a_while_and_joined_by_its_next_word() {
+fn a_zone_is_silent_after_a_timeout_and_rejoins_with_its_next_heartbeat() {
     let mut contacts = ZoneContacts::default();
     let (zone, began) = (AWAY.to_owned(), start());
     assert_eq!(contacts.reach(&zone, began), ZoneReach::Unknown);
--- a/crates/valvestage-policy/tests/steering/deployment.rs
+++ b/crates/valvestage-policy/tests/steering/deployment.rs
@@ -17,13 +17,13 @@
 const DELAY: Duration = Duration::from_millis(2);
 
 /// Configured bandwidth of a link that carries everything that is sent.
-const ANY_LINK_MBPS: f64 = 1_000.0;
+const UNLIMITED_LINK_MBPS: f64 = 1_000.0;
 
 /// Time that balancers wait for an answer of the store, in addition to the wait of a watch.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Names of the availability zones.
-const NAMES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
+const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 
 /// Simulated store with the operations that these tests need.
 #[derive(Default)]
@@ -236,7 +236,7 @@
     /// Time when a watch without changes is answered.
     ends_at: Instant,
     /// Time when the call times out at the balancer.
-    gives_up_at: Instant,
+    times_out_at: Instant,
     /// Whether the connection of the call delivers nothing any more.
     is_silent: bool,
 }
@@ -316,8 +316,8 @@
             steering: SteeringOptions { zone: self.zone_of(node), ..Default::default() },
             peer_address: node_address(node),
             seeds: vec![node_address(0), node_address(1), node_address(2)],
-            link_mbps: self.links.as_ref().map_or(ANY_LINK_MBPS, LinkTable::mbps),
-            evacuable_zones: self.has_evacuations.then(|| NAMES.map(str::to_owned).into()),
+            link_mbps: self.links.as_ref().map_or(UNLIMITED_LINK_MBPS, LinkTable::mbps),
+            evacuable_zones: self.has_evacuations.then(|| ZONES.map(str::to_owned).into()),
             is_first_start: false,
             seed: u64::try_from(node).unwrap(),
         };
@@ -326,7 +326,7 @@
     }
 
     fn zone_of(&self, node: usize) -> String {
-        NAMES[node * self.zones / self.nodes.len()].to_owned()
+        ZONES[node * self.zones / self.nodes.len()].to_owned()
     }
 
     /// Kills a balancer, with its calls.
@@ -336,7 +336,7 @@
     }
 
     pub fn node(&self, node: usize) -> &EntryPolicy {
-        self.nodes[node].as_ref().expect("the balancer runs")
+        self.nodes[node].as_ref().expect("balancer is not running")
     }
 
     /// Makes all open connections to the store silent for good; new connections work.
@@ -368,7 +368,7 @@
         let start = self.now;
 
         while !holds(self) {
-            assert!(self.now - start < millis(30_000), "it never holds");
+            assert!(self.now - start < millis(30_000), "condition not met within 30 s");
             self.run(millis(1));
         }
         self.now - start
@@ -381,7 +381,7 @@
             }
             let Some(policy) = &mut self.nodes[node] else { continue };
             let actions = policy.on_tick(self.now);
-            self.act(node, actions);
+            self.perform(node, actions);
         }
     }
 
@@ -394,7 +394,7 @@
             }
             if let Some(policy) = &mut self.nodes[to] {
                 let actions = policy.on_message(node_address(from), message, self.now);
-                self.act(to, actions);
+                self.perform(to, actions);
             }
         }
     }
@@ -407,7 +407,7 @@
             }
             let is_cut = call.is_silent || self.cut_from_store.contains(&call.node);
             let is_over = call.ends_at <= self.now;
-            if self.store_down || is_cut && call.gives_up_at <= self.now {
+            if self.store_down || is_cut && call.times_out_at <= self.now {
                 self.reply(&call, None);
             } else if is_cut || !self.answer_call(&call, is_over) {
                 self.calls.push(call);
@@ -457,7 +457,7 @@
                 policy.on_backends_reply(reply.unwrap_or(nothing), self.now)
             }
         };
-        self.act(call.node, actions);
+        self.perform(call.node, actions);
     }
 
     fn send(&mut self, from: usize, to: usize, message: PeerMessage) {
@@ -473,7 +473,7 @@
         self.datagrams.insert(place, (arrives_at, from, to, message));
     }
 
-    fn act(&mut self, node: usize, actions: Vec<KeeperAction>) {
+    fn perform(&mut self, node: usize, actions: Vec<KeeperAction>) {
         for action in actions {
             match action {
                 KeeperAction::Tell(peer, message) => {
@@ -491,7 +491,7 @@
                     let is_large = kind == StoreKind::Configuration;
                     let transfer = if is_large { self.configuration_time } else { Duration::ZERO };
                     let (answer_at, ends_at) = (self.now + DELAY + transfer, self.now + wait);
-                    let gives_up_at = ends_at + transfer + CALL_TIMEOUT;
+                    let times_out_at = ends_at + transfer + CALL_TIMEOUT;
                     self.store.calls += 1;
                     self.store.evacuation_calls += usize::from(kind == StoreKind::Evacuations);
                     self.calls.push(OpenCall {
@@ -500,7 +500,7 @@
                         call,
                         answer_at,
                         ends_at,
-                        gives_up_at,
+                        times_out_at,
                         is_silent: false,
                     });
                 }
--- a/crates/valvestage-policy/tests/steering/ended_flows.rs
+++ b/crates/valvestage-policy/tests/steering/ended_flows.rs
@@ -76,15 +76,15 @@
     }
 
     /// Runs some rounds, and returns the flows that were reset.
-    fn told_in(&mut self, rounds: usize) -> Vec<FlowAddresses> {
-        let told = (0..rounds).flat_map(|_| self.round());
+    fn resets_in(&mut self, rounds: usize) -> Vec<FlowAddresses> {
+        let resets = (0..rounds).flat_map(|_| self.round());
 
-        told.map(|reset| reset.flow).collect()
+        resets.map(|reset| reset.flow).collect()
     }
 
     /// Lets the callers of three flows send requests and retransmit them, since their backend
     /// server does not answer.
-    fn fall_silent(&mut self, server: u64, ports: [u16; 3]) -> Vec<PacketVerdict> {
+    fn stop_answering(&mut self, server: u64, ports: [u16; 3]) -> Vec<PacketVerdict> {
         self.now += millis(10);
         for port in ports {
             self.request(port, server);
@@ -95,32 +95,32 @@
 }
 
 #[test]
-fn resting_flows_of_a_gone_backend_server_are_told_before_their_next_request() {
+fn idle_flows_of_a_gone_backend_server_are_reset_before_their_next_request() {
     let mut site = Site::with_backends(1);
     site.open(1);
     site.open(2);
 
     site.lapse(1);
-    let mut told = site.round();
-    told.sort_unstable_by_key(|reset| reset.flow);
+    let mut resets = site.round();
+    resets.sort_unstable_by_key(|reset| reset.flow);
     let expected =
         [1, 2].map(|port| FlowReset { flow: flow(port), expected: 500 + u32::from(port) });
-    assert_eq!(told, expected);
-    assert_eq!(site.told_in(10), [], "once each");
+    assert_eq!(resets, expected);
+    assert_eq!(site.resets_in(10), [], "once each");
 }
 
 #[test]
-fn a_caller_that_waits_for_an_answer_of_a_gone_backend_server_is_told() {
+fn a_flow_that_waits_for_an_answer_of_a_gone_backend_server_is_reset() {
     let mut site = Site::with_backends(1);
     site.open(1);
     site.request(1, 1);
 
     site.lapse(1);
-    assert_eq!(site.told_in(1), [flow(1)]);
+    assert_eq!(site.resets_in(1), [flow(1)]);
 }
 
 #[test]
-fn flows_of_the_other_backend_servers_are_left_alone() {
+fn flows_of_other_backend_servers_are_not_reset() {
     let mut site = Site::with_backends(4);
     let servers: Vec<u64> = (1..=40).map(|port| site.open(port)).collect();
 
@@ -130,20 +130,20 @@
         .filter(|(_, server)| **server == 2)
         .map(|(port, _)| flow(port))
         .collect();
-    let mut told = site.told_in(3);
-    told.sort_unstable();
-    assert_eq!(told, at_gone);
+    let mut resets = site.resets_in(3);
+    resets.sort_unstable();
+    assert_eq!(resets, at_gone);
 }
 
 #[test]
-fn flows_of_an_entry_that_may_have_lapsed_are_told_when_its_time_is_over() {
+fn flows_of_a_lapsed_entry_are_reset_after_its_return_time() {
     let mut site = Site::with_backends(1);
     site.open(1);
 
     // The backend server has just answered.
     site.known.directory.mark_gone(1, at(2_000), site.now);
-    assert_eq!(site.told_in(22), []);
-    assert_eq!(site.told_in(2), [flow(1)]);
+    assert_eq!(site.resets_in(22), []);
+    assert_eq!(site.resets_in(2), [flow(1)]);
 }
 
 #[test]
@@ -152,27 +152,27 @@
     site.open(1);
 
     site.known.directory.mark_gone(1, at(2_000), site.now);
-    assert_eq!(site.told_in(10), []);
+    assert_eq!(site.resets_in(10), []);
     site.known.directory.put(BackendEntry { position: at(2_500), ..backend(1, "core", HOME) });
-    assert_eq!(site.told_in(40), []);
+    assert_eq!(site.resets_in(40), []);
 }
 
 #[test]
-fn resting_flows_of_a_silent_backend_server_are_told_when_the_first_open_flow_is_ended() {
+fn idle_flows_of_a_silent_backend_server_are_reset_with_the_first_waiting_flow() {
     let mut site = Site::with_backends(1);
     for port in 1..=5 {
         site.open(port);
     }
 
-    let verdicts = site.fall_silent(1, [1, 2, 3]);
+    let verdicts = site.stop_answering(1, [1, 2, 3]);
     assert_eq!(verdicts[2], PacketVerdict::Reset(ResetReason::BackendSilent));
-    let mut told = site.told_in(1);
-    told.sort_unstable();
-    assert_eq!(told, [flow(4), flow(5)], "the busy ones are told when they send again");
+    let mut resets = site.resets_in(1);
+    resets.sort_unstable();
+    assert_eq!(resets, [flow(4), flow(5)], "waiting flows are reset when their callers retransmit");
 }
 
 #[test]
-fn nobody_is_told_of_a_backend_server_that_answers_one_of_them() {
+fn no_flow_is_reset_if_the_backend_server_answers_one_of_them() {
     let mut site = Site::with_backends(1);
     for port in 1..=5 {
         site.open(port);
@@ -188,11 +188,11 @@
     for port in 2..=3 {
         assert!(matches!(site.request(port, 1), PacketVerdict::Forward { .. }));
     }
-    assert_eq!(site.told_in(10), []);
+    assert_eq!(site.resets_in(10), []);
 }
 
 #[test]
-fn a_flow_is_told_once_for_all_its_packets_under_way() {
+fn a_flow_is_reset_once_for_all_its_packets_under_way() {
     let mut site = Site::with_backends(1);
     site.open(1);
     site.lapse(1);
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn many_flows_are_told_within_a_budget() {
+fn resets_are_limited_per_round() {
     let mut site = Site::with_backends(1);
     for port in 1..=500 {
         site.open(port);
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn a_flow_whose_backend_server_answers_is_never_told() {
+fn a_flow_whose_backend_server_answers_is_never_reset() {
     fn holds(lapses: Vec<(u8, u8)>) -> TestResult {
         let mut site = Site::with_backends(3);
         let servers: Vec<u64> = (0..6).map(|port| site.open(port)).collect();
@@ -240,9 +240,9 @@
             let lapsed = u64::from(lapsed % 3) + 1;
             let revision = 2_000 + 10 * u64::from(turn);
             assert!(site.known.directory.mark_gone(lapsed, at(revision), site.now));
-            let told = site.told_in(15);
-            if !told.is_empty() {
-                return TestResult::error(format!("turn {turn}: told {told:?}"));
+            let resets = site.resets_in(15);
+            if !resets.is_empty() {
+                return TestResult::error(format!("turn {turn}: flows reset: {resets:?}"));
             }
             let entry = backend(lapsed, "core", HOME);
             site.known.directory.put(BackendEntry { position: at(revision + 1), ..entry });
@@ -255,7 +255,7 @@
 
 /// Returns a site where flows on a backend server of a zone miss their answers: the retransmission
 /// of a third flow is enough to declare it dead.
-fn given_up_in(zone: &str) -> Site {
+fn before_third_retransmission_in(zone: &str) -> Site {
     let mut site = Site::with_backends(1);
     site.known = knowledge(&[backend(1, "core", zone)]);
     let token = BackendDirectory::token_of(1);
@@ -275,34 +275,34 @@
     site
 }
 
-fn copy_of_the_third(site: &mut Site) -> PacketVerdict {
+fn retransmit_third(site: &mut Site) -> PacketVerdict {
     site.send(&data(flow(3), BackendDirectory::token_of(1), 1_001, 100, 501))
 }
 
 #[test]
-fn one_of_the_own_zone_that_seems_dead_loses_its_flows_at_once() {
-    let verdict = copy_of_the_third(&mut given_up_in(HOME));
+fn flows_of_a_suspected_backend_server_in_the_own_zone_are_reset_at_once() {
+    let verdict = retransmit_third(&mut before_third_retransmission_in(HOME));
 
     assert_eq!(verdict, PacketVerdict::Reset(ResetReason::BackendSilent));
 }
 
 /// A zone is cut off for a second, and callers retransmit just after that.
 #[test]
-fn one_of_another_zone_gets_one_more_packet_of_each_flow() {
-    let mut site = given_up_in(AWAY);
+fn a_suspected_backend_server_in_another_zone_is_probed_on_each_flow() {
+    let mut site = before_third_retransmission_in(AWAY);
 
-    assert!(matches!(copy_of_the_third(&mut site), PacketVerdict::Forward { .. }));
+    assert!(matches!(retransmit_third(&mut site), PacketVerdict::Forward { .. }));
     site.now += millis(400);
-    let verdict = copy_of_the_third(&mut site);
+    let verdict = retransmit_third(&mut site);
     assert_eq!(verdict, PacketVerdict::Reset(ResetReason::BackendSilent));
 }
 
 #[test]
-fn its_answer_keeps_the_flow() {
-    let mut site = given_up_in(AWAY);
+fn an_answered_probe_keeps_the_flow() {
+    let mut site = before_third_retransmission_in(AWAY);
     let token = BackendDirectory::token_of(1);
 
-    copy_of_the_third(&mut site);
+    retransmit_third(&mut site);
     site.now += millis(10);
     site.send(&data(flow(3), token, 1_101, 0, 901));
     site.now += millis(500);
--- a/crates/valvestage-policy/tests/steering/flow_record.rs
+++ b/crates/valvestage-policy/tests/steering/flow_record.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_first_packet_after_the_opening_shows_that_the_backend_server_lives() {
+fn the_first_packet_after_the_opening_shows_that_the_backend_server_is_alive() {
     let now = start();
     let mut record = FlowRecord::open_at(7, now);
 
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn data_that_comes_again_shows_since_when_an_answer_is_missing() {
+fn retransmitted_data_shows_since_when_an_answer_is_missing() {
     let now = start();
     let mut record = FlowRecord::open_at(7, now);
     record.observe(&data(flow(1), 9, 1_001, 0, 501), now);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn byte_numbers_wrap_around() {
+fn sequence_numbers_wrap_around() {
     let now = start();
     let mut record = FlowRecord::open_at(7, now);
     record.observe(&data(flow(1), 9, u32::MAX - 10, 0, u32::MAX - 5), now);
@@ -63,7 +63,7 @@
 /// For any packets, a record never reports an answer without a new acknowledgement, and nothing
 /// panics.
 #[test]
-fn any_packets_are_taken() {
+fn any_sequence_of_packets_is_handled() {
     fn property(packets: Vec<(bool, u32, u16, u32)>) -> bool {
         let now = start();
         let mut record = FlowRecord::open_at(7, now);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn what_a_new_request_acknowledges_was_received_long_before() {
+fn acknowledgements_of_a_new_request_show_no_liveness() {
     let now = start();
     let mut record = FlowRecord::open_at(7, now);
     record.observe(&data(flow(1), 9, 1_001, 0, 501), now);
--- a/crates/valvestage-policy/tests/steering/held_packets.rs
+++ b/crates/valvestage-policy/tests/steering/held_packets.rs
@@ -21,14 +21,14 @@
 }
 
 /// Returns a policy, and a held packet for a backend server that the policy does not know.
-fn holding() -> (SteeringPolicy, HeldPackets<u16>, Instant) {
+fn policy_with_held_packet() -> (SteeringPolicy, HeldPackets<u16>, Instant) {
     let options = SteeringOptions { zone: HOME.to_owned(), ..Default::default() };
     let mut policy = SteeringPolicy::new(options, 1);
     let mut held = HeldPackets::default();
     let now = start();
 
     let verdict = policy.on_packet(&knowledge(&[backend(1, "core", HOME)]), &request(1), now);
-    let PacketVerdict::Drop(reason) = verdict else { panic!("decided: {verdict:?}") };
+    let PacketVerdict::Drop(reason) = verdict else { panic!("packet not dropped: {verdict:?}") };
     assert!(reason.may_pass());
     assert!(held.hold(request(1), 1, now));
     (policy, held, now)
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_packet_waits_until_its_backend_server_is_known() {
-    let (mut policy, mut held, now) = holding();
+    let (mut policy, mut held, now) = policy_with_held_packet();
     let mut known = knowledge(&[backend(1, "core", HOME)]);
 
     assert!(held.take_decidable(|packet| policy.can_decide(&known, packet)).is_empty());
@@ -49,8 +49,8 @@
 }
 
 #[test]
-fn the_log_says_that_it_waits_and_when_it_is_given_up() {
-    let (mut policy, mut held, now) = holding();
+fn decisions_report_a_hold_and_its_expiry() {
+    let (mut policy, mut held, now) = policy_with_held_packet();
     let known = knowledge(&[backend(1, "core", HOME)]);
     let decisions = policy.take_decisions();
     assert!(matches!(&decisions[..], [Decision::Held(_)]), "{decisions:?}");
@@ -65,19 +65,22 @@
 }
 
 #[test]
-fn a_copy_takes_the_place_of_the_one_before() {
-    let (_, mut held, now) = holding();
+fn a_copy_replaces_the_copy_before() {
+    let (_, mut held, now) = policy_with_held_packet();
 
     assert!(held.hold(request(1), 2, now + millis(200)));
     assert!(held.hold(request(2), 3, now + millis(300)));
-    assert!(held.take_expired(now + millis(2_100)).is_empty(), "the copy waits for its own time");
+    assert!(
+        held.take_expired(now + millis(2_100)).is_empty(),
+        "the copy has a hold time of its own"
+    );
     let all = held.take_decidable(|_| true);
     let all: Vec<_> = all.iter().map(|held| (held.payload, held.copies)).collect();
     assert_eq!(all, [(2, 2), (3, 1)]);
 }
 
 #[test]
-fn opening_packets_wait_only_until_anything_is_known() {
+fn opening_packets_wait_only_until_the_knowledge_is_complete() {
     let options = SteeringOptions { zone: HOME.to_owned(), ..Default::default() };
     let policy = SteeringPolicy::new(options, 1);
     let packet = opening(flow(1), 0);
@@ -87,7 +90,7 @@
 }
 
 #[test]
-fn no_more_packets_wait_than_there_is_room_for() {
+fn the_number_of_held_packets_is_limited() {
     let mut held = HeldPackets::default();
     let now = start();
 
--- a/crates/valvestage-policy/tests/steering/packets.rs
+++ b/crates/valvestage-policy/tests/steering/packets.rs
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_copy_leaves_a_backend_server_that_shows_no_life() {
+fn a_copy_leaves_a_backend_server_that_does_not_answer() {
     let (mut policy, known, now) = site(&[backend(1, "core", HOME), backend(2, "core", HOME)]);
 
     let first = instance(policy.on_packet(&known, &opening(flow(1), 0), now));
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn what_may_be_out_of_date_refuses_nothing() {
+fn an_outdated_configuration_refuses_nothing() {
     let now = start();
     let known = knowledge(&[backend(1, "core", HOME)]);
     let mut packet = opening(flow(1), 0);
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn flows_of_a_gone_backend_server_are_told_at_once() {
+fn flows_of_a_gone_backend_server_are_reset_at_once() {
     let (mut policy, mut known, now) = site(&[backend(1, "core", HOME)]);
     // Opened through another balancer: this one has seen no packet of it.
     assert_eq!(instance(policy.on_packet(&known, &request(1, 1), now)), 1);
@@ -304,7 +304,7 @@
     policy.on_packet(&known, &opening(flow(2), 0), now);
 
     policy.on_tick(&mut known, now + millis(5_000));
-    assert_eq!(policy.flow_count(), 1, "one that never opened is forgotten first");
+    assert_eq!(policy.flow_count(), 1, "the unopened flow is removed first");
     policy.on_tick(&mut known, now + millis(20_000));
     assert_eq!(policy.flow_count(), 0);
 }
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn open_flows_of_a_silent_backend_server_are_ended() {
+fn open_flows_of_a_silent_backend_server_are_reset() {
     let (mut policy, known, now) = site(&[backend(1, "core", HOME)]);
     unanswered_requests(&mut policy, &known, now);
 
--- a/crates/valvestage-policy/tests/steering/pauses.rs
+++ b/crates/valvestage-policy/tests/steering/pauses.rs
@@ -39,11 +39,11 @@
             balancer.send_request(port);
             balancer.acknowledge(port, millis(40));
         }
-        balancer.turn_after(millis(100));
+        balancer.tick_after(millis(100));
         for port in ANSWERED + 1..=ANSWERED + UNDER_WAY {
             balancer.send_request(port);
         }
-        balancer.turn_after(millis(100));
+        balancer.tick_after(millis(100));
         balancer
     }
 
@@ -74,7 +74,7 @@
         Self { policy, now: now + millis(200) }
     }
 
-    fn turn_after(&mut self, time: Duration) {
+    fn tick_after(&mut self, time: Duration) {
         self.now += time;
         self.policy.on_tick(self.now);
     }
@@ -113,10 +113,10 @@
         self.policy.on_packet(&data(flow(port), token, 1_101, 0, 1_275), self.now + after);
     }
 
-    fn has_said_slow(&mut self) -> bool {
+    fn has_reported_slow(&mut self) -> bool {
         let decisions = self.policy.take_decisions();
 
-        decisions.iter().any(|told| matches!(told, Decision::Slowed { .. }))
+        decisions.iter().any(|decision| matches!(decision, Decision::Slowed { .. }))
     }
 
     fn avoided_count(&self) -> usize {
@@ -129,29 +129,29 @@
 }
 
 #[test]
-fn what_was_not_read_meanwhile_is_read_before_it_is_missed() {
+fn queued_acknowledgements_are_read_before_answers_count_as_missing() {
     let mut balancer = Balancer::with_requests_under_way();
 
-    balancer.turn_after(millis(700));
+    balancer.tick_after(millis(700));
     assert_eq!(balancer.avoided_count(), 0, "acknowledgements may wait to be read");
     for port in ANSWERED + 1..=ANSWERED + UNDER_WAY {
         balancer.acknowledge(port, millis(1));
     }
-    balancer.turn_after(millis(100));
+    balancer.tick_after(millis(100));
     assert_eq!(balancer.avoided_count(), 0);
 }
 
 #[test]
-fn what_is_missing_still_then_counts() {
+fn answers_still_missing_after_a_stall_count() {
     let mut balancer = Balancer::with_requests_under_way();
 
-    balancer.turn_after(millis(700));
-    balancer.turn_after(millis(100));
+    balancer.tick_after(millis(700));
+    balancer.tick_after(millis(100));
     assert_eq!(balancer.avoided_count(), 1);
 }
 
 #[test]
-fn answers_that_waited_to_be_read_make_no_backend_server_slow() {
+fn queued_acknowledgements_make_no_backend_server_slow() {
     const USUAL: Duration = Duration::from_millis(40);
     let mut balancer = Balancer::ready(&[SERVER, OTHERS[0], OTHERS[1], OTHERS[2]]);
     balancer.answer_at(SERVER, 1..=20, USUAL);
@@ -159,30 +159,30 @@
         let first = u16::try_from(other).unwrap() * 100;
         balancer.answer_at(other, first..=first + 20, USUAL);
     }
-    balancer.turn_after(millis(100));
+    balancer.tick_after(millis(100));
     for port in 31..=40 {
         balancer.send_on_open_flow(SERVER, port);
     }
-    assert!(!balancer.has_said_slow());
+    assert!(!balancer.has_reported_slow());
 
     // Only the requests that were under way during the stall seem to take that long.
-    balancer.turn_after(millis(700));
+    balancer.tick_after(millis(700));
     for port in 31..=40 {
         balancer.acknowledge(port, millis(1));
     }
-    assert!(!balancer.has_said_slow());
+    assert!(!balancer.has_reported_slow());
 
     // Response times of later requests count.
-    balancer.turn_after(millis(100));
+    balancer.tick_after(millis(100));
     balancer.answer_at(SERVER, 51..=80, 5 * USUAL);
-    assert!(balancer.has_said_slow());
+    assert!(balancer.has_reported_slow());
 }
 
 #[test]
-fn the_time_to_return_does_not_run_while_the_balancer_stands_still() {
+fn the_return_time_does_not_run_during_a_stall() {
     let mut balancer = Balancer::ready(&[SERVER, OTHERS[0]]);
     balancer.answer_at(SERVER, 1..=5, millis(40));
-    balancer.turn_after(millis(100));
+    balancer.tick_after(millis(100));
     let lapsed =
         BackendNews { name: name_of(SERVER), position: at(11), change: EntryChange::Deleted };
     let news = StoreReply::Changes { objects: vec![lapsed], position: at(11) };
@@ -190,14 +190,14 @@
 
     // The store may have been unavailable during the stall: peers report that only a moment after
     // this balancer resumes.
-    balancer.turn_after(millis(2_900));
+    balancer.tick_after(millis(2_900));
     let request = data(flow(1), BackendDirectory::token_of(SERVER), 1_101, 100, 1_275);
     let verdict = balancer.policy.on_packet(&request, balancer.now);
     assert!(matches!(verdict, PacketVerdict::Forward { instance: SERVER, .. }), "{verdict:?}");
 
     for _ in 0..24 {
-        balancer.turn_after(millis(100));
+        balancer.tick_after(millis(100));
     }
-    let told = balancer.policy.take_resets();
-    assert!(told.iter().any(|reset| reset.flow == flow(1)), "{told:?}");
+    let resets = balancer.policy.take_resets();
+    assert!(resets.iter().any(|reset| reset.flow == flow(1)), "{resets:?}");
 }
--- a/crates/valvestage-policy/tests/steering/quiet_work.rs
+++ b/crates/valvestage-policy/tests/steering/quiet_work.rs
@@ -10,7 +10,7 @@
 
 /// Returns the number of entries that all balancers visit in ten seconds without changes, for that
 /// many backend servers.
-fn visits_when_quiet(backends: u64, has_failed: bool) -> u64 {
+fn visits_when_idle(backends: u64, has_failed: bool) -> u64 {
     let mut deployment = Deployment::new(6);
     deployment.store.put_routes(routes(3, &[(443, "core")]));
     for instance in 1..=backends {
@@ -37,16 +37,16 @@
 }
 
 #[test]
-fn a_quiet_second_looks_at_no_entry() {
+fn an_idle_second_visits_no_entry() {
     for has_failed in [false, true] {
-        assert_eq!(visits_when_quiet(20, has_failed), 0);
-        assert_eq!(visits_when_quiet(200, has_failed), 0);
+        assert_eq!(visits_when_idle(20, has_failed), 0);
+        assert_eq!(visits_when_idle(200, has_failed), 0);
     }
 }
 
 /// Peers process the changed entries only.
 #[test]
-fn a_change_is_told_without_a_look_at_what_has_not_changed() {
+fn a_change_is_sent_without_visits_of_unchanged_entries() {
     let visits_of_a_change = |backends: u64| {
         let mut deployment = Deployment::new(6);
         deployment.store.put_routes(routes(3, &[(443, "core")]));
@@ -67,7 +67,7 @@
 
 /// Other zones are searched only if one of them may have a better backend server.
 #[test]
-fn a_flow_is_placed_without_a_look_at_zones_that_are_no_better() {
+fn a_flow_is_placed_without_visits_of_zones_that_are_no_better() {
     let home = (1..=4).map(|instance| backend(instance, "core", HOME));
     let away = (5..=200).map(|instance| backend(instance, "core", AWAY));
     let known = knowledge(&home.chain(away).collect::<Vec<_>>());
@@ -87,7 +87,7 @@
 
 /// The incrementally maintained totals equal those computed from all entries.
 #[test]
-fn what_is_kept_of_ready_backend_servers_is_what_their_entries_say() {
+fn totals_of_ready_backend_servers_match_their_entries() {
     let mut known = knowledge(&(1..=20).map(|n| backend(n, "core", HOME)).collect::<Vec<_>>());
     let directory = &mut known.directory;
     directory.put(BackendEntry { slots: 7, position: at(1_100), ..backend(3, "core", AWAY) });
--- a/crates/valvestage-policy/tests/steering/restarts.rs
+++ b/crates/valvestage-policy/tests/steering/restarts.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_flow_of_a_former_service_stays_at_a_balancer_that_never_knew_it() {
+fn a_flow_of_a_former_service_stays_on_a_balancer_that_never_knew_the_service() {
     let known = known_after_move();
     let now = start();
     let mut policy = restarted();
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_further_packet_goes_to_the_backend_server_of_its_token_or_nowhere() {
+fn a_later_packet_goes_to_the_backend_server_of_its_token_or_nowhere() {
     fn holds(token: u32, named: u8, is_named: bool) -> TestResult {
         let now = start();
         let servers = [backend(1, "core", HOME), backend(2, "photos", AWAY)];
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_packet_for_an_address_that_was_dropped_goes_nowhere() {
+fn a_packet_for_an_address_without_a_route_is_reset() {
     let known = known_after_move();
     let mut packet = data(flow(1), BackendDirectory::token_of(1), 1_001, 100, 501);
     packet.flow.service = front(9_999);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_flow_on_a_draining_backend_server_stays_at_a_balancer_that_never_placed_on_it() {
+fn a_flow_on_a_draining_backend_server_stays_after_a_restart_of_the_balancer() {
     let mut known = known_after_move();
     let leaving = valvestage_policy::steering::BackendEntry {
         position: at(2_000),
--- a/crates/valvestage-policy/tests/steering/silent_connections.rs
+++ b/crates/valvestage-policy/tests/steering/silent_connections.rs
@@ -9,12 +9,12 @@
 use crate::fixtures::{HOME, backend, millis, routes};
 
 /// Time within which a configuration has to be in force.
-const IN_FORCE: Duration = Duration::from_secs(3);
+const IN_FORCE_WITHIN: Duration = Duration::from_secs(3);
 
 /// Time after which a backend server that is leaving gets no new flows.
-const LEFT_ALONE: Duration = Duration::from_secs(3);
+const AVOIDED_WITHIN: Duration = Duration::from_secs(3);
 
-fn settled(count: usize, zones: usize) -> Deployment {
+fn ready_deployment(count: usize, zones: usize) -> Deployment {
     let mut deployment = Deployment::across_zones(count, zones);
     deployment.store.put_routes(routes(3, &[(443, "core")]));
     deployment.store.put_backend(backend(1, "core", HOME));
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_configuration_is_in_force_in_time_whenever_connections_fall_silent() {
-    let mut deployment = settled(9, 3);
+    let mut deployment = ready_deployment(9, 3);
 
     for (version, offset) in (10..).zip([0, 300, 700, 1_100, 1_490, 1_700]) {
         deployment.run(millis(6_000 + offset));
@@ -34,13 +34,13 @@
         deployment.store.put_routes(routes(version, &[(443, "core")]));
         let is_everywhere = |now: &Deployment| now.versions().iter().all(|known| *known == version);
         let took = deployment.run_until(is_everywhere);
-        assert!(took <= IN_FORCE, "silent {offset} ms later: {took:?}");
+        assert!(took <= IN_FORCE_WITHIN, "silent {offset} ms later: {took:?}");
     }
 }
 
 #[test]
 fn a_leaving_backend_server_is_known_in_time_after_connections_fell_silent() {
-    let mut deployment = settled(30, 3);
+    let mut deployment = ready_deployment(30, 3);
 
     deployment.silence_connections();
     deployment.store.delete_backend(1);
@@ -53,12 +53,12 @@
         })
     };
     let took = deployment.run_until(is_gone);
-    assert!(took <= LEFT_ALONE, "{took:?}");
+    assert!(took <= AVOIDED_WITHIN, "{took:?}");
 }
 
 #[test]
-fn silence_again_and_again_keeps_nobody_from_following() {
-    let mut deployment = settled(9, 3);
+fn repeated_silence_does_not_keep_balancers_from_following() {
+    let mut deployment = ready_deployment(9, 3);
 
     for version in 10..30 {
         deployment.run(millis(700));
@@ -66,5 +66,5 @@
         deployment.store.put_routes(routes(version, &[(443, "core")]));
     }
     let took = deployment.run_until(|now| now.versions().iter().all(|known| *known == 29));
-    assert!(took <= IN_FORCE, "{took:?}");
+    assert!(took <= IN_FORCE_WITHIN, "{took:?}");
 }
--- a/crates/valvestage-policy/tests/steering/successors.rs
+++ b/crates/valvestage-policy/tests/steering/successors.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn an_entry_at_the_same_address_shows_that_the_one_before_has_ended() {
+fn an_entry_at_the_same_address_ends_its_predecessor() {
     let (mut known, now) = site();
     let mut policy = policy();
     let token = BackendDirectory::token_of(FORMER);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn so_does_one_of_another_service_and_flows_are_told_unasked() {
+fn an_entry_of_another_service_ends_its_predecessor_and_flows_are_reset_proactively() {
     let (mut known, now) = site();
     // The former backend server has just answered: still, an address belongs to one process only.
     let mut policy = with_answered_flow(&known, now);
@@ -72,12 +72,12 @@
     let other = BackendEntry { service: "photos".to_owned(), ..successor() };
     known.directory.admit(other, now + millis(30));
     policy.end_flows(&mut known, now + millis(100));
-    let told: Vec<_> = policy.take_resets().into_iter().map(|reset| reset.flow).collect();
-    assert_eq!(told, [flow(1)]);
+    let resets: Vec<_> = policy.take_resets().into_iter().map(|reset| reset.flow).collect();
+    assert_eq!(resets, [flow(1)]);
 }
 
 #[test]
-fn a_lapse_that_a_peer_tells_of_before_the_successor_is_an_end() {
+fn a_lapse_reported_by_a_peer_before_the_successor_is_an_end() {
     let (mut known, now) = site();
     let mut policy = with_answered_flow(&known, now);
     let token = BackendDirectory::token_of(FORMER);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn an_older_entry_at_the_same_address_ends_nobody() {
+fn an_older_entry_at_the_same_address_ends_no_backend_server() {
     let (mut known, now) = site();
 
     // A peer reports the entry late: it is older than the present one.
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn entries_that_are_read_at_a_start_end_nobody() {
+fn entries_read_at_startup_end_no_backend_server() {
     let mut known = Knowledge::default();
     let now = start();
 
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_change_of_an_entry_ends_nobody() {
+fn a_change_of_an_entry_ends_no_backend_server() {
     let (mut known, now) = site();
     let leaving = BackendEntry { phase: BackendPhase::Draining, ..backend(2, "core", HOME) };
 
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn the_one_that_ended_stays_so_when_a_list_still_has_its_entry() {
+fn an_ended_backend_server_stays_ended_when_a_list_still_has_its_entry() {
     let (mut known, now) = site();
     known.directory.admit(successor(), now);
 
@@ -129,7 +129,7 @@
 /// The store has just recovered, so entries that vanish may return. If the end of an entry got
 /// another position than that of its deletion in the store, peers could take it for known already.
 #[test]
-fn the_entry_of_one_that_was_followed_goes_for_good_also_after_an_outage() {
+fn the_entry_of_a_superseded_backend_server_is_removed_also_after_an_outage() {
     let (mut known, now) = site();
     let mut link = StoreLink::new(None, now);
     known.directory.admit(successor(), now);
@@ -145,5 +145,5 @@
     assert_eq!(changed, [FORMER, 2]);
     let former = known.directory.get(FORMER).unwrap();
     assert_eq!((former.position, former.is_superseded()), (at(2_500), false));
-    assert!(known.directory.get(2).unwrap().missing_until.is_some(), "this one may return");
+    assert!(known.directory.get(2).unwrap().missing_until.is_some(), "backend server 2 may return");
 }
--- a/crates/valvestage-policy/tests/steering/wanted_tokens.rs
+++ b/crates/valvestage-policy/tests/steering/wanted_tokens.rs
@@ -24,7 +24,7 @@
 /// Returns a deployment where balancers 1 and 2 started after the entry had lapsed, and exchanged
 /// their knowledge, while balancer 0 has not learned of the lapse. All balancers reach each other
 /// again, and the store does not answer.
-fn after_two_cuts() -> Deployment {
+fn after_two_partitions() -> Deployment {
     let mut deployment = Deployment::across_zones(3, 3);
     deployment.store.put_routes(routes(3, &[(443, "core")]));
     for instance in 1..=4 {
@@ -49,14 +49,14 @@
 
 fn send(deployment: &mut Deployment) -> PacketVerdict {
     let now = deployment.now;
-    let policy = deployment.nodes[1].as_mut().expect("it runs");
+    let policy = deployment.nodes[1].as_mut().expect("balancer 1 is not running");
 
     policy.on_packet(&request(), now)
 }
 
 #[test]
-fn a_backend_server_that_another_balancer_remembers_is_asked_for() {
-    let mut deployment = after_two_cuts();
+fn peers_are_asked_about_an_unknown_token() {
+    let mut deployment = after_two_partitions();
 
     assert_eq!(send(&mut deployment), PacketVerdict::Drop(DropReason::UnknownToken));
     let took = deployment.run_until(|now| now.node(1).can_decide(&request()));
@@ -66,26 +66,30 @@
 }
 
 #[test]
-fn it_gets_no_new_flows() {
-    let mut deployment = after_two_cuts();
+fn a_lapsed_backend_server_learned_from_a_peer_gets_no_new_flows() {
+    let mut deployment = after_two_partitions();
 
     send(&mut deployment);
     deployment.run(millis(900));
-    let entry = deployment.node(1).knowledge().directory.get(LAPSED).expect("it is known");
+    let entry =
+        deployment.node(1).knowledge().directory.get(LAPSED).expect("lapsed entry is not known");
     assert!(matches!(entry.phase, BackendPhase::Gone { .. }), "{entry:?}");
 }
 
 /// A token that no balancer knows causes no additional message.
 #[test]
-fn a_token_that_nobody_knows_costs_no_message() {
+fn a_token_that_no_balancer_knows_costs_no_message() {
     let messages_with = |packets: usize| {
-        let mut deployment = after_two_cuts();
+        let mut deployment = after_two_partitions();
         let before = deployment.messages;
         for port in 0..packets {
             let token = u32::try_from(port).unwrap() + 77;
             let now = deployment.now;
             let packet = data(flow(9), token, 1_001, 100, 501);
-            deployment.nodes[1].as_mut().expect("it runs").on_packet(&packet, now);
+            deployment.nodes[1]
+                .as_mut()
+                .expect("balancer 1 is not running")
+                .on_packet(&packet, now);
         }
         deployment.run(Duration::from_secs(2));
         deployment.messages - before
@@ -95,7 +99,7 @@
 }
 
 #[test]
-fn few_tokens_are_asked_for_at_once_and_not_for_long() {
+fn wanted_tokens_are_limited_in_number_and_time() {
     let mut wanted = valvestage_policy::steering::packets::wanted_tokens::WantedTokens::default();
     let (nothing, now): (_, Instant) = (BackendDirectory::default(), start());
 
@@ -109,8 +113,8 @@
 /// A balancer that starts reads all that a peer knows, including entries that the peer keeps as
 /// missing.
 #[test]
-fn one_that_starts_is_told_of_entries_that_are_missing_elsewhere() {
-    let mut deployment = after_two_cuts();
+fn a_balancer_that_starts_learns_of_entries_that_peers_keep_as_missing() {
+    let mut deployment = after_two_partitions();
 
     deployment.stop(2);
     deployment.start(1);
@@ -121,7 +125,7 @@
 /// All balancers start while an entry is absent. It is written again 0.3 s later, and the store
 /// becomes unavailable 0.5 s after that, before most balancers start their watches.
 #[test]
-fn where_packets_wait_entries_are_watched_for_at_once_after_a_start() {
+fn with_held_packets_watches_start_at_once_after_a_start() {
     let mut deployment = Deployment::across_zones(9, 3);
     deployment.store.put_routes(routes(3, &[(443, "core")]));
     deployment.store.put_backend(backend(2, "core", HOME));
@@ -138,7 +142,7 @@
 
 /// Without held packets the watches start later, which limits the load on the store.
 #[test]
-fn where_no_packet_waits_nobody_watches_for_a_while() {
+fn without_held_packets_watches_start_later() {
     let mut deployment = Deployment::across_zones(9, 3);
     deployment.store.put_routes(routes(3, &[(443, "core")]));
     deployment.store.put_backend(backend(2, "core", HOME));
