--- a/crates/valvestage-policy/src/steering/packets/flow_ends.rs
+++ b/crates/valvestage-policy/src/steering/packets/flow_ends.rs
@@ -15,9 +15,10 @@
     ///
     /// Where no balancer can tell whether the backend server is alive, the packet is forwarded as a
     /// probe: an answer to it shows that the backend server is alive, and a retransmission of it
-    /// that it is not. That is so if the entry lapsed during a network partition, and for a
-    /// suspected backend server in another zone, which may have been cut off until a moment ago. A
-    /// reset would end flows that go on through balancers on the other side of the partition.
+    /// that the backend server is not. That is so if the entry lapsed during a network partition,
+    /// and for a suspected backend server in another zone, which may have been cut off until a
+    /// moment ago. A reset would end flows that go on through balancers on the other side of the
+    /// partition.
     pub(super) fn flow_end_reason(
         &mut self,
         knowledge: &Knowledge,
--- a/crates/valvestage-policy/src/steering/packets/flow_record.rs
+++ b/crates/valvestage-policy/src/steering/packets/flow_record.rs
@@ -108,7 +108,7 @@
         sign
     }
 
-    /// Handles a copy of the opening packet: the first copy is unanswered so far.
+    /// Handles a copy of the opening packet, which shows that no earlier copy was answered so far.
     fn observe_opening(&mut self) -> FlowSign {
         match self.waiting_since {
             Some(since) if !self.open => FlowSign::Unanswered(since),
@@ -204,8 +204,8 @@
         packet.data_length > 0 && is_after(end, self.sent_until)
     }
 
-    /// Handles a packet as a probe of a suspected backend server. Returns true if the packet is a
-    /// copy of an earlier probe that is still unanswered after `ANSWER_TIME`. A probe sent at or
+    /// Handles a packet as a probe of a suspected backend server, if the packet asks for an answer.
+    /// Returns true if an earlier probe is still unanswered after `ANSWER_TIME`. A probe sent at or
     /// before `not_before` does not count, since it may have been lost in a network partition.
     pub fn has_failed_probe(
         &mut self,
