--- a/crates/valvestage-policy/src/steering/packets/opening_packets.rs
+++ b/crates/valvestage-policy/src/steering/packets/opening_packets.rs
@@ -72,7 +72,7 @@
         Some(self.place(knowledge, packet.flow, &entry.service, Some(instance), now))
     }
 
-    /// Reports whether an answer is overdue, and the backend server has answered nobody else
+    /// Reports whether an answer is overdue, and the backend server has answered no other caller
     /// meanwhile.
     fn is_unanswered(&self, instance: InstanceId, sign: FlowSign, now: Instant) -> bool {
         match sign {
