--- a/crates/valvestage-policy/src/balancer.rs
+++ b/crates/valvestage-policy/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The decisions of one balancer, with the flow and request parts joined.
+//! Policy of one balancer, which joins the flow and request parts.
 
 mod balancer_options;
 mod balancer_policy;
@@ -8,4 +8,4 @@
 pub use balancer_options::BalancerOptions;
 pub use balancer_policy::BalancerPolicy;
 #[cfg(doc)]
-use owner_change::MOST_HELD;
+use owner_change::MAX_HELD_REQUESTS;
--- a/crates/valvestage-policy/src/steering/packets/opening_packets.rs
+++ b/crates/valvestage-policy/src/steering/packets/opening_packets.rs
@@ -1,4 +1,4 @@
-//! Packets that ask to open a flow, and copies of them.
+//! Packets that ask to open a flow, and their retransmissions.
 
 use std::time::Instant;
 
@@ -6,7 +6,7 @@
 
 use super::caller_packet::{CallerPacket, DropReason, FlowAddresses, PacketVerdict};
 use super::flow_record::{FlowRecord, FlowSign};
-use super::packet_verdicts::{draw_of, forward, refuse_route};
+use super::packet_verdicts::{forward, hash_flow, no_route_verdict};
 use super::steering_policy::SteeringPolicy;
 use crate::steering::decision::Decision;
 use crate::steering::knowledge::Knowledge;
@@ -15,7 +15,7 @@
 use crate::steering::placement::flow_placer::{ANSWER_TIME, FlowPlacer};
 
 impl SteeringPolicy {
-    /// A packet that asks to open a flow.
+    /// Decides about a packet that asks to open a flow.
     pub(super) fn on_opening(
         &mut self,
         knowledge: &Knowledge,
@@ -26,15 +26,16 @@
             return verdict;
         }
 
-        let draw = draw_of(&packet.flow);
+        let draw = hash_flow(&packet.flow);
         match knowledge.routes.target(packet.flow.service, draw) {
             Some(service) => self.place(knowledge, packet.flow, service, None, now),
-            None => refuse_route(knowledge, now),
+            None => no_route_verdict(knowledge, now),
         }
     }
 
-    /// A copy goes where the first one went, unless that backend server shows no life or takes no
-    /// new flows any more. None: the packet is to be handled like a first one.
+    /// Decides about a copy of an opening packet. A copy goes where the first one went, unless that
+    /// backend server does not answer or takes no new flows any more. Returns `None` if the packet
+    /// is to be handled like a first one.
     fn on_opening_copy(
         &mut self,
         knowledge: &Knowledge,
@@ -43,7 +44,7 @@
     ) -> Option<PacketVerdict> {
         let record = self.flows.get(&packet.flow)?;
         if record.open && packet.acknowledged == 0 {
-            // The caller uses the port again.
+            // The caller reuses the port for a new flow.
             return None;
         }
         let instance = record.instance;
@@ -65,13 +66,14 @@
             });
         }
         if !self.is_unanswered(instance, sign, now) {
-            self.count_cold(knowledge, instance, now);
+            self.count_cold_request(knowledge, instance, now);
             return Some(forward(knowledge, instance));
         }
         Some(self.place(knowledge, packet.flow, &entry.service, Some(instance), now))
     }
 
-    /// Whether an answer is missing that had time to come, and nobody else got one meanwhile.
+    /// Reports whether an answer is overdue, and the backend server has answered no other caller
+    /// meanwhile.
     fn is_unanswered(&self, instance: InstanceId, sign: FlowSign, now: Instant) -> bool {
         match sign {
             FlowSign::Unanswered(since) => {
@@ -94,8 +96,14 @@
         }
     }
 
-    /// Takes in that a backend server gets a request, if it is to get few of them now.
-    pub(super) fn count_cold(&mut self, knowledge: &Knowledge, instance: InstanceId, now: Instant) {
+    /// Counts a request to a backend server, if the backend server is cold and its request rate
+    /// limited.
+    pub(super) fn count_cold_request(
+        &mut self,
+        knowledge: &Knowledge,
+        instance: InstanceId,
+        now: Instant,
+    ) {
         let Some(entry) = knowledge.directory.get(instance) else { return };
 
         if ColdShares::rate_of(self.options.cold_limit, knowledge, entry, now).is_some() {
@@ -103,7 +111,7 @@
         }
     }
 
-    /// Places a flow. One without any backend server that could take it is refused at once.
+    /// Places a flow on a backend server; resets it at once if no backend server can take it.
     fn place(
         &mut self,
         knowledge: &Knowledge,
@@ -113,13 +121,13 @@
         now: Instant,
     ) -> PacketVerdict {
         let placer = self.placer(knowledge, now);
-        let placement = match placer.place(flow, service, instead_of, draw_of(&flow)) {
+        let placement = match placer.place(flow, service, instead_of, hash_flow(&flow)) {
             Ok(placement) => placement,
             Err(reason) => return PacketVerdict::Reset(reason),
         };
 
         let instance = placement.instance;
-        self.count_cold(knowledge, instance, now);
+        self.count_cold_request(knowledge, instance, now);
         if self.flows.len() < self.options.max_flows {
             self.flows.insert(flow, FlowRecord::open_at(instance, now));
         }
--- a/crates/valvestage-policy/tests/steering/pauses.rs
+++ b/crates/valvestage-policy/tests/steering/pauses.rs
@@ -1,4 +1,4 @@
-//! Balancers that stand still for less time than counts as a pause.
+//! Tests of balancers whose process stalls for less time than counts as a pause.
 
 use std::ops::RangeInclusive;
 use std::time::{Duration, Instant};
@@ -12,26 +12,26 @@
     HOME, address, at, backend, data, flow, millis, name_of, opening, routes, start,
 };
 
-/// The backend server with requests under way.
+/// Backend server with requests under way.
 const SERVER: u64 = 1;
 
-/// Others of its service, with which its pace is compared.
+/// Other backend servers of its service, which its response times are compared with.
 const OTHERS: [u64; 3] = [2, 3, 4];
 
-/// Requests that are answered first, so that the usual time is known.
+/// Number of requests that are answered first, so that the usual response time is known.
 const ANSWERED: u16 = 20;
 
-/// Requests that are under way then.
+/// Number of requests under way after that.
 const UNDER_WAY: u16 = 30;
 
-/// The balancer under test, at the time of its last turn.
+/// Balancer under test, and the time of its last tick.
 struct Balancer {
     policy: EntryPolicy,
     now: Instant,
 }
 
 impl Balancer {
-    /// One that knows its backend server, and has requests under way there.
+    /// Returns a balancer that knows its backend server and has requests under way there.
     fn with_requests_under_way() -> Self {
         let mut balancer = Self::ready(&[SERVER]);
 
@@ -39,11 +39,11 @@
             balancer.send_request(port);
             balancer.acknowledge(port, millis(40));
         }
-        balancer.turn_after(millis(100));
+        balancer.tick_after(millis(100));
         for port in ANSWERED + 1..=ANSWERED + UNDER_WAY {
             balancer.send_request(port);
         }
-        balancer.turn_after(millis(100));
+        balancer.tick_after(millis(100));
         balancer
     }
 
@@ -65,7 +65,7 @@
             change: EntryChange::Written(backend(*instance, "core", HOME)),
         });
 
-        // The balancer begins to follow the store within its first tenths of a second.
+        // The balancer starts to follow the store within its first few 100 ms.
         policy.on_tick(now + millis(100));
         policy.on_tick(now + millis(200));
         policy.on_routes_reply(page(vec![routes(1, &[(443, "core")])]), now + millis(200));
@@ -74,7 +74,7 @@
         Self { policy, now: now + millis(200) }
     }
 
-    fn turn_after(&mut self, time: Duration) {
+    fn tick_after(&mut self, time: Duration) {
         self.now += time;
         self.policy.on_tick(self.now);
     }
@@ -90,7 +90,8 @@
         self.acknowledge_at(SERVER, port, after);
     }
 
-    /// Requests on flows that were opened through another balancer, and their answers after a time.
+    /// Sends requests on flows that were opened through another balancer, and answers them after a
+    /// time.
     fn answer_at(&mut self, instance: u64, ports: RangeInclusive<u16>, after: Duration) {
         for port in ports.clone() {
             self.send_on_open_flow(instance, port);
@@ -112,10 +113,10 @@
         self.policy.on_packet(&data(flow(port), token, 1_101, 0, 1_275), self.now + after);
     }
 
-    fn has_said_slow(&mut self) -> bool {
+    fn has_reported_slow(&mut self) -> bool {
         let decisions = self.policy.take_decisions();
 
-        decisions.iter().any(|told| matches!(told, Decision::Slowed { .. }))
+        decisions.iter().any(|decision| matches!(decision, Decision::Slowed { .. }))
     }
 
     fn avoided_count(&self) -> usize {
@@ -128,29 +129,29 @@
 }
 
 #[test]
-fn what_was_not_read_meanwhile_is_read_before_it_is_missed() {
+fn queued_acknowledgements_are_read_before_answers_count_as_missing() {
     let mut balancer = Balancer::with_requests_under_way();
 
-    balancer.turn_after(millis(700));
+    balancer.tick_after(millis(700));
     assert_eq!(balancer.avoided_count(), 0, "acknowledgements may wait to be read");
     for port in ANSWERED + 1..=ANSWERED + UNDER_WAY {
         balancer.acknowledge(port, millis(1));
     }
-    balancer.turn_after(millis(100));
+    balancer.tick_after(millis(100));
     assert_eq!(balancer.avoided_count(), 0);
 }
 
 #[test]
-fn what_is_missing_still_then_counts() {
+fn answers_still_missing_after_a_stall_count() {
     let mut balancer = Balancer::with_requests_under_way();
 
-    balancer.turn_after(millis(700));
-    balancer.turn_after(millis(100));
+    balancer.tick_after(millis(700));
+    balancer.tick_after(millis(100));
     assert_eq!(balancer.avoided_count(), 1);
 }
 
 #[test]
-fn answers_that_waited_to_be_read_make_no_backend_server_slow() {
+fn queued_acknowledgements_make_no_backend_server_slow() {
     const USUAL: Duration = Duration::from_millis(40);
     let mut balancer = Balancer::ready(&[SERVER, OTHERS[0], OTHERS[1], OTHERS[2]]);
     balancer.answer_at(SERVER, 1..=20, USUAL);
@@ -158,44 +159,45 @@
         let first = u16::try_from(other).unwrap() * 100;
         balancer.answer_at(other, first..=first + 20, USUAL);
     }
-    balancer.turn_after(millis(100));
+    balancer.tick_after(millis(100));
     for port in 31..=40 {
         balancer.send_on_open_flow(SERVER, port);
     }
-    assert!(!balancer.has_said_slow());
+    assert!(!balancer.has_reported_slow());
 
-    // Only the requests that were under way seem to take that long.
-    balancer.turn_after(millis(700));
+    // Only the requests that were under way during the stall seem to take that long.
+    balancer.tick_after(millis(700));
     for port in 31..=40 {
         balancer.acknowledge(port, millis(1));
     }
-    assert!(!balancer.has_said_slow());
+    assert!(!balancer.has_reported_slow());
 
-    // Later ones count.
-    balancer.turn_after(millis(100));
+    // Response times of later requests count.
+    balancer.tick_after(millis(100));
     balancer.answer_at(SERVER, 51..=80, 5 * USUAL);
-    assert!(balancer.has_said_slow());
+    assert!(balancer.has_reported_slow());
 }
 
 #[test]
-fn the_time_to_return_does_not_run_while_the_balancer_stands_still() {
+fn the_return_time_does_not_run_during_a_stall() {
     let mut balancer = Balancer::ready(&[SERVER, OTHERS[0]]);
     balancer.answer_at(SERVER, 1..=5, millis(40));
-    balancer.turn_after(millis(100));
+    balancer.tick_after(millis(100));
     let lapsed =
         BackendNews { name: name_of(SERVER), position: at(11), change: EntryChange::Deleted };
     let news = StoreReply::Changes { objects: vec![lapsed], position: at(11) };
     balancer.policy.on_backends_reply(news, balancer.now);
 
-    // The store may have been away meanwhile: others tell of it a moment after this one has woken.
-    balancer.turn_after(millis(2_900));
+    // The store may have been unavailable during the stall: peers report that only a moment after
+    // this balancer resumes.
+    balancer.tick_after(millis(2_900));
     let request = data(flow(1), BackendDirectory::token_of(SERVER), 1_101, 100, 1_275);
     let verdict = balancer.policy.on_packet(&request, balancer.now);
     assert!(matches!(verdict, PacketVerdict::Forward { instance: SERVER, .. }), "{verdict:?}");
 
     for _ in 0..24 {
-        balancer.turn_after(millis(100));
+        balancer.tick_after(millis(100));
     }
-    let told = balancer.policy.take_resets();
-    assert!(told.iter().any(|reset| reset.flow == flow(1)), "{told:?}");
+    let resets = balancer.policy.take_resets();
+    assert!(resets.iter().any(|reset| reset.flow == flow(1)), "{resets:?}");
 }
