--- a/crates/valvestage-policy/src/steering.rs
+++ b/crates/valvestage-policy/src/steering.rs
@@ -1,28 +1,29 @@
-//! Steering packets of flows that only their two ends can read.
+//! Packet steering for flows whose payload only the two endpoints can read.
 //!
-//! A balancer sees what callers send, not what backend servers answer, and keeps nothing that must
-//! last. A token that comes back with every packet of a caller names the backend server of its flow,
-//! so any balancer can steer any flow.
+//! A balancer sees the packets that callers send, but not the answers of backend servers, and keeps
+//! no state that has to survive a restart. Every packet of a caller carries a token that names the
+//! backend server of its flow, so any balancer can steer any flow.
 //!
-//! The way of a packet:
+//! Packet path:
 //!
 //! | module | contents |
 //! |---|---|
-//! | [`packets`] | what is known of a packet, and the verdict: forwarded, dropped, or its flow ended |
-//! | [`placement`] | where a new flow goes |
-//! | [`health`] | which backend servers seem dead, slow, or fail requests |
+//! | [`packets`] | what is known about a packet, and the verdict on it: forward, drop, or end its flow |
+//! | [`placement`] | choice of a backend server for a new flow |
+//! | [`health`] | detection of backend servers that seem dead, are slow, or fail requests |
 //!
-//! The way of knowledge:
+//! Control path:
 //!
 //! | module | contents |
 //! |---|---|
-//! | [`knowledge`] | what is known of routes and backend servers |
-//! | [`store`] | following the platform's store, and who does |
-//! | [`peers`] | other balancers: messages, questions, answers |
-//! | [`keeper`] | keeping knowledge up to date from both |
+//! | [`knowledge`] | what is known about routes and backend servers |
+//! | [`store`] | following the platform's store, and the choice of the balancers that do so |
+//! | [`peers`] | messages, queries and answers between balancers |
+//! | [`keeper`] | keeping the knowledge up to date from the store and the peers |
 //!
-//! For both: [`entry_policy`] puts the parts together, [`decision`] tells what was decided, for logs and counters,
-//! [`seeded_draw`] has draws that repeat themselves, [`text_digest`] numbers for names.
+//! Shared: [`entry_policy`] combines both paths, [`decision`] describes decisions for logs and
+//! counters, [`seeded_draw`] is a reproducible random number generator, and [`text_digest`] hashes
+//! names.
 
 pub mod decision;
 pub mod entry_policy;
--- a/crates/valvestage-policy/src/steering/decision.rs
+++ b/crates/valvestage-policy/src/steering/decision.rs
@@ -1,4 +1,4 @@
-//! What was decided, and from what: for logs and counters.
+//! Decisions and the facts behind them, for logs and counters.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -14,291 +14,301 @@
 use crate::steering::placement::backend_choice::ChoiceDoubt;
 use crate::steering::store::store_follower::StoreKind;
 
-/// `Decision` is one thing that was decided about a flow, or that is believed from now on.
+/// A decision about a flow, or a change of what the balancer holds to be true.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
-    /// A new flow goes to a backend server.
+    /// A new flow was assigned to a backend server.
     Placed(FlowPlacement),
-    /// A flow was ended.
+    /// A flow was ended by a reset.
     Reset {
-        /// The flow.
+        /// Addresses of the flow that was ended.
         flow: FlowAddresses,
-        /// Why.
+        /// Why the flow was ended.
         reason: ResetReason,
-        /// Its backend server, if it had one.
+        /// The backend server of the flow; `None` if it had none.
         instance: Option<InstanceId>,
     },
     /// A packet was dropped.
     Dropped(DroppedPacket),
-    /// A packet waits until enough is known; it is dropped if that takes too long.
+    /// A packet is held back until enough is known to steer it. It is dropped if that takes too
+    /// long.
     Held(DroppedPacket),
-    /// A backend server seems dead.
+    /// A backend server is suspected to be dead.
     Suspected {
-        /// The backend server.
+        /// The suspected backend server.
         instance: InstanceId,
-        /// How many flows miss an answer.
+        /// Number of flows that miss an answer.
         flows: usize,
-        /// For how long the longest has waited.
+        /// How long the flow that triggered the suspicion has waited for an answer.
         waited: Duration,
     },
-    /// A backend server that seemed dead has answered.
+    /// A suspected backend server has answered again.
     Cleared {
-        /// The backend server.
+        /// The backend server that is no longer suspected.
         instance: InstanceId,
     },
-    /// A backend server fails more of its requests than others: it gets no new flows for a time,
-    /// unless the others are much busier.
+    /// A backend server fails a larger share of its requests than the others of its service. It
+    /// gets no new flows for a while, unless the others are much busier.
     Avoided {
-        /// The backend server.
+        /// The avoided backend server.
         instance: InstanceId,
-        /// Its requests, here and at the balancers that told theirs.
+        /// Its requests as counted here and by the balancers that reported counts.
         count: OutcomeCount,
-        /// How many balancers told theirs.
+        /// Number of other balancers that reported counts.
         told_by: usize,
-        /// For how long.
+        /// How long it is avoided from now on.
         avoided_for: Duration,
     },
-    /// This availability zone began to give new flows of a service away, for want of slots.
+    /// This availability zone has begun to send part of the new flows of a service to other zones,
+    /// since it is short of slots.
     SpillBegan {
-        /// The service.
+        /// The service whose flows spill over.
         service: ServiceName,
-        /// Share of its flows.
+        /// Share of the new flows that go to other zones, from 0 to 1.
         share: f64,
     },
-    /// It ceased to.
+    /// This availability zone no longer sends new flows of a service to other zones.
     SpillEnded {
-        /// The service.
+        /// The service whose flows stay in the zone again.
         service: ServiceName,
     },
-    /// The same, on the word of another balancer.
+    /// A backend server is avoided because another balancer reported that it avoids it.
     AvoidedAsTold {
-        /// The backend server.
+        /// The avoided backend server.
         instance: InstanceId,
-        /// The balancer that has seen more of it.
+        /// The balancer that reported the avoidance.
         peer: SocketAddrV4,
-        /// For how long.
+        /// How much longer the other balancer avoids it.
         left: Duration,
     },
-    /// A backend server takes much longer than the others of its service: its requests weigh that much
-    /// more.
+    /// The answers of a backend server take much longer than those of the others of its service.
+    /// Its load is weighted by that factor.
     Slowed {
-        /// The backend server.
+        /// The slow backend server.
         instance: InstanceId,
-        /// How many times as long as the median of them its answers take.
+        /// Time of its answers as a multiple of the median of its service.
         factor: f64,
-        /// By how many answers, old ones counting less.
+        /// Number of answers that this is based on, weighted by age.
         answers: f64,
     },
-    /// A backend server that was slow takes about as long as the others again.
+    /// The answers of a backend server that was slow take about as long as those of the others
+    /// again.
     Recovered {
-        /// The backend server.
+        /// The backend server that has recovered.
         instance: InstanceId,
-        /// How many times as long as the median of them its answers take.
+        /// Time of its answers as a multiple of the median of its service.
         factor: f64,
     },
-    /// A configuration is in force.
+    /// A new configuration is in force.
     RoutesInForce {
-        /// Its version.
+        /// Version of the new configuration.
         version: ConfigurationVersion,
-        /// The version before.
+        /// Version of the configuration that it replaces.
         former: ConfigurationVersion,
-        /// How many addresses it has.
+        /// Number of addresses with a route.
         addresses: usize,
-        /// Who told of it.
+        /// Where the configuration came from.
         source: NewsSource,
     },
-    /// Something else is believed of a backend server.
+    /// The known state of a backend server has changed.
     BackendChanged {
-        /// The backend server.
+        /// The backend server whose state changed.
         instance: InstanceId,
-        /// The store's position at the change.
+        /// Position of the store at the change.
         position: StorePosition,
-        /// The service that it runs.
+        /// The service that the backend server runs.
         service: ServiceName,
-        /// Where it stands now.
+        /// Its new phase.
         phase: BackendPhase,
-        /// Who told of it.
+        /// Where the change came from.
         source: NewsSource,
     },
-    /// An availability zone is evacuated, or taken back.
+    /// Operators have evacuated an availability zone, or ended its evacuation.
     Evacuation {
-        /// The zone.
+        /// The zone concerned.
         zone: ZoneName,
-        /// What happened to it.
+        /// Whether the evacuation began or ended.
         phase: EvacuationPhase,
-        /// The store's position up to which this is known.
+        /// Position of the store up to which evacuations are known.
         position: StorePosition,
-        /// Who told of it.
+        /// Where the change came from.
         source: NewsSource,
-        /// How long ago the store confirmed what was known before.
+        /// Time since the store last confirmed the previous state; `None` if it never did.
         age: Option<Duration>,
     },
-    /// An availability zone that was taken back gets new flows again.
+    /// An availability zone whose evacuation has ended gets new flows again.
     ZoneReturned {
-        /// The zone.
+        /// The zone that gets new flows again.
         zone: ZoneName,
     },
-    /// This balancer hears no other availability zone and not of the store: it uses its own zone although that is evacuated;
-    /// or hears of them again.
+    /// This balancer has lost contact with the store and all other availability zones, and uses its
+    /// own zone even if that is evacuated; or it has contact again.
     Isolated {
-        /// Whether it is so now.
+        /// Whether contact is lost.
         is_isolated: bool,
     },
-    /// The entry of a backend server is missing after an outage of the store, and may return.
+    /// The entry of a backend server is missing after an outage of the store. It may be written
+    /// again.
     BackendMissing {
-        /// The backend server.
+        /// The backend server without an entry.
         instance: InstanceId,
     },
-    /// This balancer begins or ceases to follow the store.
+    /// This balancer has begun or ceased to follow the store.
     WatchRole {
         /// Whether it follows the store now.
         watching: bool,
-        /// How many others are known to.
+        /// Number of other balancers that are known to follow it.
         others: usize,
     },
-    /// The store answers this balancer again, or does not any more.
+    /// The store has begun or ceased to answer this balancer.
     StoreLink {
-        /// For which kind of objects.
+        /// Kind of objects concerned.
         kind: StoreKind,
-        /// Whether it answers.
+        /// Whether the store answers.
         answers: bool,
     },
-    /// The store answers from another era than before: it was restored from an older copy.
+    /// The store answers from another era than before, which means that it was restored from an
+    /// older copy.
     StoreEra {
-        /// For which kind of objects.
+        /// Kind of objects concerned.
         kind: StoreKind,
-        /// The era of the answer before.
+        /// Era of the previous answer.
         former: StoreEra,
-        /// Where the store stands now.
+        /// Current position of the store.
         position: StorePosition,
     },
-    /// The store does not have the history that a watch asked for.
+    /// The store no longer has the history that a watch asked for.
     HistoryGone {
-        /// For which kind of objects.
+        /// Kind of objects concerned.
         kind: StoreKind,
-        /// The position that the watch was to go on from.
+        /// Position from which the watch was to continue.
         position: StorePosition,
     },
     /// Another balancer was heard for the first time.
     PeerFound {
-        /// Its address.
+        /// Address of the balancer.
         peer: SocketAddrV4,
     },
-    /// Nothing was heard of a balancer for long.
+    /// A balancer has not been heard for so long that it counts as lost.
     PeerLost {
-        /// Its address.
+        /// Address of the balancer.
         peer: SocketAddrV4,
     },
-    /// What is known may be out of date, or is confirmed again.
+    /// The knowledge of this balancer may be out of date, or has been confirmed again.
     Certainty {
-        /// Whether the store has confirmed it lately.
+        /// Whether the store has confirmed the knowledge recently.
         is_certain: bool,
         /// Version of the configuration in force.
         version: ConfigurationVersion,
     },
-    /// Another balancer is asked for a newer configuration, or for all that it knows.
+    /// Another balancer was asked for a newer configuration, or for everything it knows.
     Asked {
-        /// The other balancer.
+        /// The balancer that was asked.
         peer: SocketAddrV4,
         /// Version of the configuration here.
         version: ConfigurationVersion,
-        /// Up to which position every change of backend servers is known here; the start: all is asked for.
+        /// Position up to which all changes of backend servers are known here; the start position
+        /// asks for everything.
         known_until: StorePosition,
     },
-    /// An answer of several datagrams to another balancer.
+    /// Another balancer was sent an answer of several datagrams.
     Answered {
-        /// The other balancer.
+        /// The balancer that asked.
         peer: SocketAddrV4,
         /// Version of the configuration here.
         version: ConfigurationVersion,
-        /// How many datagrams.
+        /// Number of datagrams in the answer.
         datagrams: usize,
     },
-    /// An answer of another balancer did not come whole in time; the rest is asked for again.
+    /// An answer of another balancer was not complete in time. The rest is requested again.
     AnswerIncomplete(IncompleteAnswer),
-    /// The process stood still for a time.
+    /// The process was paused.
     Paused {
-        /// For how long.
+        /// Length of the pause.
         time: Duration,
     },
 }
 
-/// `FlowPlacement` is where a new flow goes, and why.
+/// Where a new flow was placed, and why.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FlowPlacement {
-    /// The flow.
+    /// The flow that was placed.
     pub flow: FlowAddresses,
-    /// The service.
+    /// The service that the flow asked for.
     pub service: ServiceName,
-    /// The backend server.
+    /// The chosen backend server.
     pub instance: InstanceId,
-    /// Its availability zone.
+    /// Availability zone of the chosen backend server.
     pub zone: ZoneName,
-    /// Another availability zone that was drawn for the flow, since that of this balancer is too busy.
+    /// The other availability zone that was drawn for the flow, if that of this balancer is too
+    /// busy.
     pub drawn_zone: Option<ZoneName>,
-    /// Its load in requests a slot, with what its pace, its zone and a cold start add.
+    /// Load of the backend server in requests per slot, including the weights for its pace, its
+    /// zone and a cold start.
     pub load: f64,
-    /// How many times as long as those of the others its answers take; 1 at least.
+    /// Time of its answers as a multiple of the median of its service; at least 1.
     pub pace: f64,
-    /// What speaks against it.
+    /// Reason to expect that it may not serve the flow.
     pub doubt: ChoiceDoubt,
-    /// How many could have been chosen.
+    /// Number of backend servers to choose from.
     pub candidates: usize,
-    /// How many more take new flows, but not of this address, or not now.
+    /// Number of backend servers that take new flows but were excluded: not allowed for this
+    /// address, or not at present.
     pub left_out: usize,
-    /// The one that showed no life before, if this is a copy of the opening packet.
+    /// The backend server that did not answer this flow before, if the packet is a copy of the
+    /// opening packet.
     pub instead_of: Option<InstanceId>,
-    /// Version of the configuration.
+    /// Version of the configuration in force.
     pub version: ConfigurationVersion,
-    /// How long ago the store confirmed what is known.
+    /// Time since the store last confirmed what is known; `None` if it never did.
     pub age: Option<Duration>,
 }
 
-/// `DroppedPacket` is a packet that went nowhere, and what was known then.
+/// A packet that was dropped or held back, and what was known at that time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DroppedPacket {
-    /// The flow.
+    /// Addresses of the packet's flow.
     pub flow: FlowAddresses,
-    /// Why.
+    /// Why the packet was not forwarded.
     pub reason: DropReason,
-    /// The token that the packet had.
+    /// The token that the packet carried.
     pub token: ShortToken,
     /// The backend server that the flow was known to have, if any.
     pub instance: Option<InstanceId>,
-    /// The store's position up to which all backend servers were known.
+    /// Position of the store up to which all backend servers were known.
     pub known_until: StorePosition,
-    /// How long ago the store confirmed what is known.
+    /// Time since the store last confirmed what is known; `None` if it never did.
     pub age: Option<Duration>,
 }
 
-/// `IncompleteAnswer` is what came of an answer.
+/// What arrived of an answer that was not complete in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct IncompleteAnswer {
     /// The balancer that answered.
     pub peer: SocketAddrV4,
-    /// What the answer was about.
+    /// Kind of objects that the answer was about.
     pub kind: StoreKind,
-    /// Version of the configuration, or revision up to which backend servers were told.
+    /// Version of the configuration, or revision up to which backend servers were reported.
     pub state: u64,
-    /// How many datagrams came that had something new.
+    /// Number of datagrams received that contained something new.
     pub came: usize,
-    /// How many were asked for; 0: that is for the other balancer to say.
+    /// Number of datagrams asked for; 0 if the other balancer decides how many to send.
     pub expected: usize,
-    /// Time since the question.
+    /// Time since the query.
     pub waited: Duration,
 }
 
-/// `EvacuationPhase` is what operators have done about an availability zone.
+/// Whether operators have begun or ended the evacuation of an availability zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EvacuationPhase {
-    /// It is to get no new flows.
+    /// The zone is to get no new flows.
     Begun,
-    /// It was taken back.
+    /// The evacuation has ended.
     TakenBack,
 }
 
 impl EvacuationPhase {
-    /// `name` gives the phase as logs have it.
+    /// Returns the name of the phase that appears in logs.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -308,22 +318,22 @@
     }
 }
 
-/// `NewsSource` is who told of something.
+/// Where a piece of information came from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NewsSource {
-    /// The store.
+    /// It was read from the store.
     Store,
-    /// Another balancer.
+    /// Another balancer, with this address, sent it.
     Peer(SocketAddrV4),
 }
 
-/// `AnswerTime` is how long a backend server took to answer, as a caller saw it.
+/// Time that a backend server took to answer, as seen by the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AnswerTime {
-    /// The backend server.
+    /// The backend server that answered.
     pub instance: InstanceId,
-    /// Whether it answered an opening packet; otherwise a request.
+    /// Whether the answer was to an opening packet; otherwise it was to a request.
     pub opening: bool,
-    /// From the packet to the caller's acknowledgement of the answer.
+    /// Time from the packet to the caller's acknowledgement of the answer.
     pub time: Duration,
 }
--- a/crates/valvestage-policy/src/steering/entry_policy.rs
+++ b/crates/valvestage-policy/src/steering/entry_policy.rs
@@ -1,4 +1,4 @@
-//! All decisions of one entry VM.
+//! The policy of one entry VM as a whole.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -21,78 +21,84 @@
 use crate::steering::store::store_follower::StoreReply;
 use crate::steering::store::store_link::BackendNews;
 
-/// Time between two rounds of forgetting what is too old.
+/// Interval at which outdated records are removed.
 const CLEANING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two looks at what is due.
+/// Interval at which timers are checked.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A gap between two turns from which on the process counts as having been paused. Turns come at least
-/// each 100 ms; a VM that is slow or busy takes some more.
+/// A gap between two ticks of at least this length counts as a pause of the process. Ticks come at
+/// least every 100 ms, and somewhat later on a slow or busy VM.
 const PAUSE: Duration = Duration::from_secs(1);
 
-/// A gap between two turns from which on packets may have come that are not read yet: two turns of
-/// [`TICK_INTERVAL`] were left out. Requests are missed after 400 ms at the earliest.
+/// After a gap between two ticks of at least this length, packets may have arrived that have not
+/// been read yet: two ticks of [`TICK_INTERVAL`] were missed. A request is overdue after 400 ms at
+/// the earliest.
 const STANDSTILL: Duration = Duration::from_millis(300);
 
-/// A balancer that the store has not confirmed anything to for this time, through others or by itself, may be cut off from it.
-/// Confirmations come every 1.5 s, and within 3.3 s where those who follow the store have died.
+/// A balancer may be cut off from the store if the store has confirmed nothing to it for this time,
+/// neither directly nor through other balancers. Confirmations come every 1.5 s, and within 3.3 s
+/// if the balancers that follow the store have died.
 const ISOLATED_AFTER: Duration = Duration::from_millis(3_500);
 
-/// And from other availability zones, if none of their balancers was heard for this time: four of all are told each 400 ms.
+/// A balancer may be cut off from the other availability zones if it has heard none of their
+/// balancers for this time. Each balancer sends a heartbeat to four of all others every 400 ms.
 const SILENT_ZONES: Duration = Duration::from_millis(1_500);
 
-/// `EntryOptions` is what a balancer is told at its start.
+/// Start-up options of a balancer.
 #[derive(Debug, Clone)]
 pub struct EntryOptions {
-    /// Limits and weights of steering, with the availability zone of this VM.
+    /// Limits and weights of steering, including the availability zone of this VM.
     pub steering: SteeringOptions,
-    /// Where this balancer takes messages of others.
+    /// Address at which this balancer receives messages from its peers.
     pub peer_address: SocketAddrV4,
-    /// Where some others may take messages.
+    /// Addresses at which some of the other balancers may receive messages.
     pub seeds: Vec<SocketAddrV4>,
-    /// What the link of this VM sends, megabits a second.
+    /// Bandwidth of the VM's uplink in megabits per second.
     pub link_mbps: f64,
-    /// The availability zones that operators may evacuate; none: they do not do so here.
+    /// The availability zones that operators may evacuate; `None` if this deployment has no
+    /// evacuations.
     pub evacuable_zones: Option<BTreeSet<ZoneName>>,
-    /// Whether the whole deployment starts for the first time: then no peer knows anything.
+    /// Whether the whole deployment starts for the first time, in which case no peer knows
+    /// anything.
     pub is_first_start: bool,
-    /// Seed of all draws.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
-/// A time in which the process stood still.
+/// An interval in which the process stood still.
 #[derive(Debug, Clone, Copy)]
 struct Standstill {
-    /// When it had its last turn before.
+    /// Time of the last tick before the interval.
     since: Instant,
-    /// Until when messages that came meanwhile may be read. After `since`.
+    /// Time until which messages that arrived in the interval may be read; later than `since`.
     read_until: Instant,
 }
 
-/// `EntryPolicy` steers packets by what it keeps up to date.
+/// Steers packets by the knowledge that it keeps up to date.
 #[derive(Debug)]
 pub struct EntryPolicy {
     knowledge: Knowledge,
-    /// Whether operators may evacuate this availability zone in favour of others.
+    /// Whether there are other availability zones that can take over when operators evacuate this
+    /// one.
     has_other_zones: bool,
     steering: SteeringPolicy,
     keeper: KnowledgeKeeper,
     next_tick: Instant,
     next_cleaning: Instant,
     last_tick: Instant,
-    /// Whether it was noted that the process stood still since the last tick.
+    /// Whether a standstill since the last tick has been noted already.
     is_gap_noted: bool,
-    /// The last time in which the process stood still.
+    /// The latest interval in which the process stood still.
     standstill: Option<Standstill>,
-    /// What others are told of what is seen here; as of the last tick.
+    /// The report to other balancers on what is seen here, as of the last tick.
     report: BalancerReport,
-    /// What was decided since it was last taken.
+    /// Decisions since the last call of [`Self::take_decisions`].
     decisions: Vec<Decision>,
 }
 
 impl EntryPolicy {
-    /// `new` knows nothing yet.
+    /// Creates a policy that knows nothing yet.
     #[must_use]
     pub fn new(options: EntryOptions, now: Instant) -> Self {
         let mut knowledge = Knowledge::default();
@@ -119,13 +125,13 @@
         }
     }
 
-    /// `is_ready` tells whether enough is known to place flows.
+    /// Reports whether enough is known to place flows.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.knowledge.is_complete()
     }
 
-    /// `take_decisions` gives what was decided and learned since the last call.
+    /// Returns the decisions made since the last call.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         let mut decisions = std::mem::take(&mut self.decisions);
 
@@ -134,54 +140,55 @@
         decisions
     }
 
-    /// `take_answers` gives the answers of backend servers seen since the last call.
+    /// Returns the answers of backend servers observed since the last call.
     pub fn take_answers(&mut self) -> Vec<AnswerTime> {
         self.steering.take_answers()
     }
 
-    /// `take_resets` gives the callers to be told since the last call that their flows are over, besides
-    /// those whose packets get that verdict.
+    /// Returns the resets to be sent since the last call, apart from those that are verdicts on
+    /// packets.
     pub fn take_resets(&mut self) -> Vec<FlowReset> {
         self.steering.take_resets()
     }
 
-    /// `knowledge` gives what is known.
+    /// Returns what is known about routes and backend servers.
     #[must_use]
     pub fn knowledge(&self) -> &Knowledge {
         &self.knowledge
     }
 
-    /// `keeper` gives how it is kept up to date.
+    /// Returns the keeper of the knowledge, for inspection.
     #[must_use]
     pub fn keeper(&self) -> &KnowledgeKeeper {
         &self.keeper
     }
 
-    /// `steering` gives what is known of flows.
+    /// Returns the steering policy, which holds the flow state.
     #[must_use]
     pub fn steering(&self) -> &SteeringPolicy {
         &self.steering
     }
 
-    /// `on_packet` decides about a packet of a caller.
+    /// Decides about a packet of a caller.
     pub fn on_packet(&mut self, packet: &CallerPacket, now: Instant) -> PacketVerdict {
         self.note_gap(now);
 
         self.steering.on_packet(&self.knowledge, packet, now)
     }
 
-    /// `can_decide` tells whether enough is known to decide about a packet that was held.
+    /// Reports whether enough is known to decide about a packet that was held back.
     #[must_use]
     pub fn can_decide(&self, packet: &CallerPacket) -> bool {
         self.steering.can_decide(&self.knowledge, packet)
     }
 
-    /// `on_held_too_long` takes in that a packet waited in vain until enough is known.
+    /// Records that a packet was held back in vain, since what it needs did not become known in
+    /// time.
     pub fn on_held_too_long(&mut self, packet: &CallerPacket, now: Instant) {
         self.steering.on_held_too_long(&self.knowledge, packet, now);
     }
 
-    /// `on_message` takes a message of another balancer in.
+    /// Handles a message of another balancer.
     pub fn on_message(
         &mut self,
         sender: SocketAddrV4,
@@ -206,7 +213,7 @@
         actions
     }
 
-    /// `on_routes_reply` takes the store's answer about the configuration in.
+    /// Handles the store's reply about the configuration.
     pub fn on_routes_reply(
         &mut self,
         reply: StoreReply<RouteMap>,
@@ -217,7 +224,7 @@
         self.step_keeper(now)
     }
 
-    /// `on_backends_reply` takes the store's answer about backend servers in.
+    /// Handles the store's reply about backend servers.
     pub fn on_backends_reply(
         &mut self,
         reply: StoreReply<BackendNews>,
@@ -228,7 +235,7 @@
         self.step_keeper(now)
     }
 
-    /// `on_evacuations_reply` takes the store's answer about evacuated zones in.
+    /// Handles the store's reply about evacuated availability zones.
     pub fn on_evacuations_reply(
         &mut self,
         reply: StoreReply<EvacuationNews>,
@@ -239,25 +246,26 @@
         self.step_keeper(now)
     }
 
-    /// `on_seeds` takes in that the settings name other balancers than before.
+    /// Replaces the configured addresses of other balancers.
     pub fn on_seeds(&mut self, seeds: &[SocketAddrV4]) {
         self.keeper.on_seeds(seeds);
     }
 
-    /// `next_due` gives when [`Self::on_tick`] is to be called at the latest.
+    /// Returns the latest time at which [`Self::on_tick`] is to be called.
     #[must_use]
     pub fn next_due(&self) -> Instant {
         self.next_tick.min(self.keeper.next_due())
     }
 
-    /// `on_tick` does what is due.
+    /// Performs all work that is due.
     pub fn on_tick(&mut self, now: Instant) -> Vec<KeeperAction> {
         if now < self.next_due() {
             return Vec::new();
         }
 
         self.note_gap(now);
-        // What is not read yet may be the acknowledgement that a request seems to miss.
+        // The acknowledgement that a request seems to miss may be among the packets that are not
+        // read yet.
         if !std::mem::take(&mut self.is_gap_noted) {
             self.steering.judge_overdue(&self.knowledge, now);
         }
@@ -276,7 +284,7 @@
         actions
     }
 
-    /// Looks at what is the case with this availability zone and the others.
+    /// Updates the members of this availability zone, the ended evacuations and the isolation.
     fn look_at_zones(&mut self, now: Instant) {
         if self.steering.limits_cold() {
             let members = self.keeper.zone_members(now);
@@ -292,8 +300,9 @@
         }
     }
 
-    /// Whether this balancer is cut off with its availability zone from all others and from the store. Operators may
-    /// have evacuated the zone, but nothing else can serve its callers then.
+    /// Reports whether this balancer is cut off, together with its availability zone, from all
+    /// other zones and from the store. Operators may have evacuated the zone, but nothing else can
+    /// serve its callers in that case.
     fn is_isolated(&self, now: Instant) -> bool {
         let is_unconfirmed = self.knowledge.age(now).is_some_and(|age| age >= ISOLATED_AFTER);
         let hears_others = self.knowledge.contacts.hears_others(SILENT_ZONES, now);
@@ -301,8 +310,8 @@
         self.has_other_zones && is_unconfirmed && !hears_others
     }
 
-    /// Notes whether the process stood still since the last tick. Packets that came meanwhile are read
-    /// before the next one.
+    /// Notes whether the process stood still since the last tick. Packets that arrived meanwhile
+    /// are read before the next tick.
     fn note_gap(&mut self, now: Instant) {
         let gap = now.saturating_duration_since(self.last_tick);
         if self.is_gap_noted || gap < STANDSTILL {
@@ -313,10 +322,11 @@
         let read_until = now + TICK_INTERVAL;
         self.standstill = Some(Standstill { since: self.last_tick, read_until });
         self.steering.on_standstill(now);
-        // After a longer one beliefs are old: others are asked at once.
+        // After a longer gap the knowledge is outdated, so other balancers are asked at once.
         if gap >= PAUSE {
             self.decisions.push(Decision::Paused { time: gap });
-            // Nor is it known whether the store was away meanwhile: entries that lapsed before have their time anew.
+            // The store may have been unavailable in the meantime, so entries that lapsed before
+            // get the full time to return.
             self.knowledge.settle_at(now + RETURN_TIME);
             self.keeper.on_pause(now);
             self.steering.on_pause();
--- a/crates/valvestage-policy/src/steering/seeded_draw.rs
+++ b/crates/valvestage-policy/src/steering/seeded_draw.rs
@@ -1,19 +1,19 @@
-//! Draws that repeat themselves for a seed.
+//! Random draws that are reproducible from a seed.
 
-/// `SeededDraw` is the SplitMix64 generator: enough for spreading in time and over peers.
+/// SplitMix64 generator, which is good enough for jitter and for spreading load over peers.
 #[derive(Debug, Clone)]
 pub struct SeededDraw {
     state: u64,
 }
 
 impl SeededDraw {
-    /// `new` starts at a seed.
+    /// Creates a generator with a given seed.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self { state: seed }
     }
 
-    /// `next_number` gives any number.
+    /// Returns the next number of the sequence, evenly distributed over all values.
     pub fn next_number(&mut self) -> u64 {
         self.state = self.state.wrapping_add(0x9e37_79b9_7f4a_7c15);
 
@@ -23,20 +23,20 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// `below` gives a number below a limit above 0.
+    /// Returns a number from 0 up to, but not including, `limit`. A limit of 0 counts as 1.
     pub fn below(&mut self, limit: usize) -> usize {
         let limit = u64::try_from(limit).unwrap_or(u64::MAX).max(1);
 
         usize::try_from(self.next_number() % limit).unwrap_or(0)
     }
 
-    /// `unit` gives a number from 0 up to 1.
+    /// Returns a number in `[0, 1)`.
     pub fn unit(&mut self) -> f64 {
         unit_of(self.next_number())
     }
 }
 
-/// `unit_of` gives any number as one from 0 up to 1, by its lower bits.
+/// Maps any number to `[0, 1)` by its lowest 20 bits.
 #[must_use]
 pub fn unit_of(number: u64) -> f64 {
     const STEPS: u32 = 1 << 20;
