--- a/crates/valvestage-policy/src/steering/placement.rs
+++ b/crates/valvestage-policy/src/steering/placement.rs
@@ -1,15 +1,15 @@
-//! Where a new flow goes.
+//! Placement of new flows.
 //!
 //! | module | contents |
 //! |---|---|
-//! | `flow_placer` | the backend server for a flow |
-//! | [`backend_choice`] | the best of some backend servers |
-//! | [`fleet_demand`] | what callers ask of each service, over the whole deployment |
-//! | [`zone_shares`] | the availability zones of new flows, by that |
-//! | [`cold_shares`] | what this balancer may ask of cold backend servers |
-//! | [`backend_load`] | how busy each one is, as seen here |
-//! | `left_out` | why backend servers get no new flows now |
-//! | [`steering_options`] | limits and weights |
+//! | `flow_placer` | choice of the backend server for a flow |
+//! | [`backend_choice`] | choice of the best among several backend servers |
+//! | [`fleet_demand`] | demand of the callers for each service, over the whole deployment |
+//! | [`zone_shares`] | shares of new flows by availability zone, derived from the demand |
+//! | [`cold_shares`] | limit on the requests that this balancer sends to cold backend servers |
+//! | [`backend_load`] | load of each backend server as seen by this balancer |
+//! | `left_out` | reasons why backend servers get no new flows at present |
+//! | [`steering_options`] | limits and weights of steering |
 
 pub mod backend_choice;
 pub mod backend_load;
--- a/crates/valvestage-policy/src/steering/placement/backend_choice.rs
+++ b/crates/valvestage-policy/src/steering/placement/backend_choice.rs
@@ -1,24 +1,24 @@
-//! Where a new flow goes.
+//! Choice among the backend servers that may take a new flow.
 
 use crate::steering::knowledge::backend_entry::BackendEntry;
 
-/// `ChoiceCandidate` is a backend server that may take a new flow.
+/// A backend server that may take a new flow.
 #[derive(Debug, Clone, Copy)]
 pub struct ChoiceCandidate<'a> {
-    /// The backend server.
+    /// Entry of the backend server.
     pub entry: &'a BackendEntry,
-    /// Its load in requests a slot, with everything that counts against it.
+    /// Load in requests per slot, including all penalties.
     pub load: f64,
-    /// How many times as long as those of the others its answers take; part of the load.
+    /// Time of its answers as a multiple of the median of its service; included in the load.
     pub pace: f64,
-    /// What speaks against it.
+    /// Reason to expect that it may not serve the flow.
     pub doubt: ChoiceDoubt,
 }
 
-/// `ChoiceDoubt` is what speaks against a backend server; the worst comes last.
+/// Reason to expect that a backend server may not serve a flow, in ascending order of severity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ChoiceDoubt {
-    /// Nothing.
+    /// There is no such reason.
     None,
     /// It does not answer.
     Silent,
@@ -26,8 +26,8 @@
     Missing,
 }
 
-/// `choose` gives the least loaded candidate; those that seem dead come last, and equal ones are
-/// told apart by a draw, so that balancers with the same view do not all take the same.
+/// Returns the candidate with the least load; those in doubt come last. Ties are broken by the
+/// draw, so that balancers with the same view do not all choose the same backend server.
 #[must_use]
 pub fn choose<'a>(candidates: &[ChoiceCandidate<'a>], draw: u64) -> Option<ChoiceCandidate<'a>> {
     let rank = |candidate: &ChoiceCandidate<'_>| {
--- a/crates/valvestage-policy/src/steering/placement/backend_load.rs
+++ b/crates/valvestage-policy/src/steering/placement/backend_load.rs
@@ -1,15 +1,15 @@
-//! How much the flows of one backend server ask of it.
+//! Load that flows put on a backend server.
 
 use serde::{Deserialize, Serialize};
 
 use crate::steering::packets::flow_record::FlowRecord;
 
-/// `BackendLoad` counts what one balancer sees of a backend server's flows.
+/// Counts the flows of one backend server that this balancer sees.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendLoad {
-    /// Flows that have something under way.
+    /// Flows with a request or an opening packet that is not answered yet.
     pub busy: u32,
-    /// Flows that rest and may send more.
+    /// Idle flows whose caller may still send requests.
     pub resting: u32,
 }
 
@@ -30,13 +30,14 @@
         }
     }
 
-    /// `is_zero` tells whether there is nothing to count.
+    /// Reports whether there are no flows that count.
     #[must_use]
     pub fn is_zero(&self) -> bool {
         *self == Self::default()
     }
 
-    /// `in_requests` gives the load as a number of requests.
+    /// Returns the load as a number of requests, where each idle flow counts as
+    /// `resting_flow_load`.
     #[must_use]
     pub fn in_requests(&self, resting_flow_load: f64) -> f64 {
         f64::from(self.busy) + f64::from(self.resting) * resting_flow_load
--- a/crates/valvestage-policy/src/steering/placement/cold_shares.rs
+++ b/crates/valvestage-policy/src/steering/placement/cold_shares.rs
@@ -1,10 +1,13 @@
-//! What this balancer may ask of cold backend servers.
+//! Limit on the requests that this balancer sends to cold backend servers.
 //!
-//! A backend server that has just started bears few requests a second, from all balancers together, and these neither share a count
-//! nor can ask anybody: they may be cut off from each other. So the rate is given to few of them. Those that come first for the
-//! backend server by rendezvous hashing over the balancers of its own availability zone have equal parts of it, which each
-//! keeps by itself, and nobody else gives it flows. Whoever is cut off from the zone does not reach the backend server either,
-//! so that both sides of a cut cannot use up the same rate. A balancer that the others may not know yet has no part.
+//! A backend server that has just started can process only few requests per second from all
+//! balancers together. The balancers neither share a counter nor can they coordinate, since they
+//! may be cut off from each other. The rate is therefore divided among few of them: the first ones
+//! by rendezvous hashing over the balancers of the backend server's availability zone get equal
+//! parts, each of which enforces its own part, and no other balancer sends flows to the backend
+//! server. A balancer that is cut off from the zone does not reach the backend server either, so
+//! the two sides of a partition cannot both use the same rate. A balancer that may still be unknown
+//! to the others gets no part.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hasher;
@@ -19,39 +22,42 @@
 use crate::steering::knowledge::cold_rate::ColdRate;
 use crate::steering::peers::zone_members::ZoneMembers;
 
-/// Balancers that have parts in the rate of one backend server. With more each has less than one request of a low rate; with
-/// fewer the death of one takes more of it away.
+/// Number of balancers among which the rate of one backend server is divided. With more of them,
+/// each has less than one request of a low rate; with fewer, the death of one takes a larger part
+/// of the rate away.
 const SHARE_HOLDERS: usize = 4;
 
-/// The time over which requests are counted, and some more for timers that are coarse.
+/// Sliding window over which requests are counted: one second, and a margin for coarse timers.
 const WINDOW: Duration = Duration::from_millis(1_010);
 
-/// `ColdLimit` is how much more than its rate a cold backend server may get, as operators say.
+/// How far a cold backend server may exceed its rate; set by operators.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdLimit {
-    /// Times its rate; above 0.
+    /// Factor on the rate; above 0.
     pub over: f64,
-    /// Requests a second beyond that; not below 0.
+    /// Requests per second allowed on top of that; not negative.
     pub slack: f64,
 }
 
 impl ColdLimit {
-    /// `allowed` gives the requests that a backend server of a rate may get in any second.
+    /// Returns the maximum number of requests in any second for a backend server with the given
+    /// rate.
     #[must_use]
     pub fn allowed(self, rate: ColdRate) -> f64 {
         rate.per_second() * self.over + self.slack
     }
 }
 
-/// `part_of` gives how many requests of those that are allowed in a second the holder of a rank may send, of so many
-/// holders. All parts together leave room for one holder more: balancers may differ for a moment in whom they know.
+/// Returns how many of the allowed requests per second the holder with this rank may send. All
+/// parts together leave room for one further holder, since the balancers may briefly disagree on
+/// which of them exist.
 #[must_use]
 pub fn part_of(allowed: f64, rank: usize, holders: usize) -> usize {
     if rank >= holders {
         return 0;
     }
 
-    // Some millions at most, and not below 0.
+    // At most a few millions, and not negative.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     let allowed = allowed.max(0.0) as usize;
     let mut total = allowed * holders / (holders + 1);
@@ -61,17 +67,18 @@
     (total + holders - 1 - rank) / holders
 }
 
-/// `ColdShares` keeps this balancer within its parts.
+/// Enforces this balancer's parts in the rates of cold backend servers.
 #[derive(Debug, Default)]
 pub struct ColdShares {
-    /// Requests a second that this balancer may send to each cold backend server; none for those not named.
+    /// Requests per second that this balancer may send to each cold backend server; 0 for those not
+    /// listed.
     parts: HashMap<InstanceId, usize>,
-    /// When it sent the last ones.
+    /// Times of the requests sent within the last [`WINDOW`].
     sent: HashMap<InstanceId, VecDeque<Instant>>,
 }
 
 impl ColdShares {
-    /// `rate_of` gives the rate that limits a backend server now; none: it has no such limit.
+    /// Returns the rate that limits a backend server at present; `None` if it has no such limit.
     #[must_use]
     pub fn rate_of(
         limit: Option<ColdLimit>,
@@ -85,7 +92,7 @@
         Some(limit.allowed(*rate))
     }
 
-    /// `renew` works out the parts anew; to be called several times a second.
+    /// Recomputes the parts; to be called several times per second.
     pub fn renew(
         &mut self,
         limit: Option<ColdLimit>,
@@ -107,7 +114,7 @@
         }
     }
 
-    /// `has_room` tells whether a cold backend server may get one more request from this balancer now.
+    /// Reports whether this balancer may send one more request to a cold backend server now.
     #[must_use]
     pub fn has_room(&self, instance: InstanceId, now: Instant) -> bool {
         let part = self.parts.get(&instance).copied().unwrap_or_default();
@@ -116,7 +123,7 @@
         sent.filter(|at| now.saturating_duration_since(**at) < WINDOW).count() < part
     }
 
-    /// `on_request` takes in that a cold backend server gets a request.
+    /// Records that a request is sent to a cold backend server.
     pub fn on_request(&mut self, instance: InstanceId, now: Instant) {
         let sent = self.sent.entry(instance).or_default();
 
@@ -127,7 +134,8 @@
     }
 }
 
-/// The place of this balancer among the members by rendezvous hashing, and how many of them have parts.
+/// Returns the rank of this balancer among the members by rendezvous hashing, and the number of
+/// balancers that hold parts.
 fn rank_in(members: &ZoneMembers, instance: InstanceId) -> (usize, usize) {
     let own = weight_of(members.own, instance);
     let before = members.others.iter().filter(|other| weight_of(**other, instance) > own).count();
--- a/crates/valvestage-policy/src/steering/placement/fleet_demand.rs
+++ b/crates/valvestage-policy/src/steering/placement/fleet_demand.rs
@@ -1,7 +1,8 @@
-//! What callers ask of each service, over the whole deployment.
+//! Demand of the callers for each service, over the whole deployment.
 //!
-//! Each balancer knows how many of its own flows wait for an answer, and tells the others with its heartbeats. At hundreds of
-//! balancers one hears some of each zone within a few seconds, and takes them for the rest of their zone.
+//! Each balancer knows how many of its own flows wait for an answer, and reports it to the others
+//! in its heartbeats. With hundreds of balancers, each hears some of every zone within a few
+//! seconds, and takes these as a sample of their zone.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddrV4;
@@ -21,33 +22,39 @@
 use crate::steering::peers::peer_message::{ServiceDemand, ServiceDigest};
 use crate::steering::text_digest::text_digest;
 
-/// Time over which the flows that wait for an answer are averaged. Requests take some tens of milliseconds, so that a
-/// balancer sees several in it. With twice the time 6,359 in place of 5,446 of 180,000 tries were refused on 295 balancers with
-/// 86% of the slots busy, and 647 in place of 475 with two zones short of slots.
+/// Time constant of the average of flows that wait for an answer. Requests take some tens of
+/// milliseconds, so that a balancer sees several within it. With twice the time, 6,359 instead of
+/// 5,446 of 180,000 tries were refused on 295 balancers with 86% of the slots busy, and 647 instead
+/// of 475 with two zones short of slots.
 const SMOOTHING: Duration = Duration::from_millis(500);
 
-/// Age at which a balancer's word counts for a third of a fresh one. News matters more than number: of 295 balancers in
-/// five zones one hears two of each zone a second, whose mean is off by a third, but what all of them do evens that out. Words that
-/// count alike for 6 s left 18,892 refusals where 5,291 are left now (86% of the slots busy, demand that swings by 15% in 11 s).
+/// Age at which the weight of a report has fallen to 1/e. Recent reports matter more than many: of
+/// 295 balancers in five zones, each hears two of every zone per second, whose mean is off by a
+/// third, but the errors of all balancers even out. With equal weights for 6 s there were 18,892
+/// refusals instead of 5,291 (86% of the slots busy, demand that varies by 15% with a period of 11
+/// s).
 const TOLD_FOR: Duration = Duration::from_millis(500);
 
-/// A zone of which no balancer was heard for so long may be cut off: nothing is sent there for being idle.
+/// A zone none of whose balancers was heard for this time may be cut off, so no flows are sent
+/// there because of its spare slots.
 const REACHED_WITHIN: Duration = Duration::from_secs(3);
 
-/// Time between two looks at the shares. What is averaged over a second changes little within it.
+/// Interval between two computations of the shares. The demand is averaged over a longer time, and
+/// changes little within it.
 const RENEW_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Services told in one heartbeat at most, the busiest: seven bytes each, ten times a second.
+/// Maximum number of services reported in a heartbeat, the busiest first. Each takes seven bytes,
+/// ten times per second.
 const MAX_SERVICES: usize = 8;
 
-/// `service_digest` gives the number by which balancers name a service to each other. Two services with one number would
-/// share what is known of their load, and nothing else.
+/// Returns the number that identifies a service in messages between balancers. If two services had
+/// the same number, only their load reports would be mixed up.
 #[must_use]
 pub fn service_digest(service: &str) -> ServiceDigest {
     text_digest(service)
 }
 
-/// What another balancer told last.
+/// The latest report of another balancer.
 #[derive(Debug)]
 struct PeerDemand {
     zone: ZoneName,
@@ -55,26 +62,27 @@
     demands: Vec<ServiceDemand>,
 }
 
-/// What was told by the balancers of one zone.
+/// Sum of the reports of the balancers of one zone.
 #[derive(Debug, Default)]
 struct ZoneReports {
-    /// Balancers that were heard in the time for which they are remembered.
+    /// Number of balancers whose reports are still remembered.
     heard: u32,
-    /// Weights of their words together.
+    /// Sum of the weights of the reports.
     weight: f64,
-    /// What they have under way together by their words, by service.
+    /// Weighted sum of the requests under way, by service.
     demands: HashMap<ServiceDigest, f64>,
-    /// When one was heard last.
+    /// Time of the latest report.
     last_heard: Option<Instant>,
 }
 
 impl ZoneReports {
-    /// Whether it was heard lately.
+    /// Reports whether a balancer of the zone was heard recently.
     fn is_reached(&self, now: Instant) -> bool {
         self.last_heard.is_some_and(|at| now.saturating_duration_since(at) < REACHED_WITHIN)
     }
 
-    /// What the balancers of the zone have under way at a service, if each has as much as those that were heard.
+    /// Returns the number of requests that so many balancers of the zone have under way for a
+    /// service, if each has the weighted mean of the reports.
     fn demand(&self, service: ServiceDigest, balancers: f64) -> f64 {
         let told = self.demands.get(&service).copied().unwrap_or_default();
 
@@ -99,25 +107,26 @@
     }
 }
 
-/// `FleetDemand` knows what callers ask of each service in each availability zone, and draws the zones of new flows by it.
+/// Tracks the demand for each service in each availability zone, and draws the zones of new flows
+/// from it.
 #[derive(Debug, Default)]
 pub struct FleetDemand {
-    /// Requests under way here, averaged.
+    /// Moving average of the requests under way at this balancer.
     own: HashMap<ServiceDigest, f64>,
     sampled_at: Option<Instant>,
-    /// In the order of their addresses, so that sums are the same on every run.
+    /// Latest report of each other balancer, ordered by address so that sums are reproducible.
     told: BTreeMap<SocketAddrV4, PeerDemand>,
-    /// Services of which some flows go to other zones.
+    /// Services of which some new flows go to other zones.
     shares: HashMap<ServiceName, ZoneShares>,
-    /// Services that are asked for more than the backend servers of this region have room for.
+    /// Services with more demand than the backend servers of this region have room for.
     short: HashSet<ServiceName>,
     renew_at: Option<Instant>,
-    /// What was decided since it was last taken.
+    /// Decisions since the last call of [`Self::take_decisions`].
     decisions: Vec<Decision>,
 }
 
 impl FleetDemand {
-    /// `on_told` takes in what another balancer has under way.
+    /// Records the demand that another balancer reports.
     pub fn on_told(
         &mut self,
         peer: SocketAddrV4,
@@ -130,7 +139,7 @@
         self.told.insert(peer, told);
     }
 
-    /// `reports` gives what others are to know: the busiest services first.
+    /// Returns the demand to report to other balancers, the busiest services first.
     #[must_use]
     pub fn reports(&self) -> Vec<ServiceDemand> {
         let own = self.own.iter();
@@ -145,27 +154,29 @@
         reports
     }
 
-    /// `drawn_zone` gives another availability zone for a new flow of a service; none: it stays in this one. The draw is
-    /// from 0 up to 1.
+    /// Returns the other availability zone that a draw from `[0, 1)` selects for a new flow of a
+    /// service; `None` if the flow stays in this zone.
     #[must_use]
     pub fn drawn_zone(&self, service: &str, draw: f64) -> Option<&ZoneName> {
         self.shares.get(service).and_then(|shares| shares.draw(draw))
     }
 
-    /// `is_short` tells whether a service is asked for more than its backend servers in this region have room for.
+    /// Reports whether the demand for a service exceeds the room of its backend servers in this
+    /// region.
     #[must_use]
     pub fn is_short(&self, service: &str) -> bool {
         self.short.contains(service)
     }
 
-    /// `shares` gives where the flows of a service go; none: all stay in this zone.
+    /// Returns the shares of a service's new flows by zone; `None` if all of them stay in this
+    /// zone.
     #[must_use]
     pub fn shares(&self, service: &str) -> Option<&ZoneShares> {
         self.shares.get(service)
     }
 
-    /// `on_tick` looks at the flows that are under way, and works out the shares anew where it is time. So many other
-    /// balancers are known, heard or not.
+    /// Samples the flows under way, and recomputes the shares if it is time. `peer_count` is the
+    /// number of other balancers known, including those not heard yet.
     pub(in crate::steering) fn on_tick(
         &mut self,
         options: &SteeringOptions,
@@ -190,7 +201,7 @@
         self.shares = shares;
     }
 
-    /// Notes which services begin or cease to give flows away.
+    /// Records a decision for each service that begins or ceases to send flows to other zones.
     fn note_changes(&mut self, shares: &HashMap<ServiceName, ZoneShares>) {
         let begin = shares.iter().filter(|(service, _)| !self.shares.contains_key(*service));
         let end = self.shares.keys().filter(|service| !shares.contains_key(*service));
@@ -204,21 +215,21 @@
         self.decisions.extend(decisions);
     }
 
-    /// `take_decisions` gives what was decided since the last call.
+    /// Returns the decisions made since the last call.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         std::mem::take(&mut self.decisions)
     }
 
-    /// `forget` drops what balancers told that were not heard for as long as they are remembered.
+    /// Removes the reports of balancers that were last heard before the given time.
     pub fn forget(&mut self, before: Instant) {
         self.told.retain(|_, told| told.at >= before);
     }
 
-    /// Averages the flows that wait for an answer.
+    /// Updates the moving average of the flows that wait for an answer.
     fn sample(&mut self, knowledge: &Knowledge, flows: &FlowTracker, now: Instant) {
         let mut busy: HashMap<ServiceDigest, f64> = HashMap::new();
         for (instance, load) in flows.loads() {
-            // What waits for one that is gone says nothing of what is asked.
+            // Flows that wait for a backend server that is gone do not indicate demand.
             let entry = knowledge.directory.get(instance).filter(|entry| !entry.is_gone());
             if let Some(entry) = entry {
                 *busy.entry(service_digest(&entry.service)).or_default() += f64::from(load.busy);
@@ -237,7 +248,7 @@
         }
     }
 
-    /// Works out the shares of all services.
+    /// Computes the shares of all services.
     fn renewed(
         &self,
         options: &SteeringOptions,
@@ -248,7 +259,8 @@
         let zones = self.reports_by_zone(&options.zone, now);
         let heard: u32 = zones.values().map(|reports| reports.heard).sum();
         let others = u32::try_from(peer_count).unwrap_or(u32::MAX);
-        // Those that were not heard yet are spread over the zones like those that were.
+        // Balancers that were not heard yet are assumed to be spread over the zones like the
+        // others.
         let balancers_for_heard = f64::from(others.saturating_add(1).max(heard)) / f64::from(heard);
 
         let shares_of = |(service, slots): (&&ServiceName, &BTreeMap<&ZoneName, f64>)| {
@@ -266,7 +278,7 @@
         slots.iter().map(shares_of).collect()
     }
 
-    /// What is known of each zone, the own one among them.
+    /// Sums the reports by zone. The zone of this balancer includes its own demand.
     fn reports_by_zone<'a>(
         &'a self,
         own: &'a ZoneName,
@@ -284,8 +296,9 @@
     }
 }
 
-/// What usable backend servers work on at once, by service and availability zone. One that is slow from its start counts
-/// for less; one that is to get few requests meanwhile, or none since its zone is evacuated, counts for nothing.
+/// Returns the number of requests that the usable backend servers can process at the same time, by
+/// service and availability zone. A backend server that is slow after its start counts less; one
+/// whose cold rate is limited, or whose zone is evacuated, does not count.
 fn slots_by_service<'a>(
     options: &SteeringOptions,
     knowledge: &'a Knowledge,
@@ -303,7 +316,7 @@
         let counted = if knowledge.evacuated.holds(zone) {
             0.0
         } else {
-            // Slots of one service are far fewer than a number has digits.
+            // The slots of one service are far below 2^53, so the conversion is exact.
             #[allow(clippy::cast_precision_loss)]
             let all = (backends.slots() - apart.slots) as f64;
             all - slots_lost_to_starts(options, knowledge, backends, health, now)
@@ -313,14 +326,15 @@
     slots
 }
 
-/// Some backend servers of a service in a zone.
+/// Number of some backend servers of a service in a zone, and their slots.
 #[derive(Debug, Clone, Copy, Default)]
 struct BackendCount {
     backends: usize,
     slots: u64,
 }
 
-/// Those that take new flows by their entries, and are missing or seem dead.
+/// Counts the backend servers that are ready by their entries, but whose entry is missing or that
+/// are suspected to be dead.
 fn unusable_backends<'a>(
     knowledge: &'a Knowledge,
     health: &BackendHealth,
@@ -340,7 +354,7 @@
     counts
 }
 
-/// What is to be left out of the slots of usable backend servers since they have just started.
+/// Returns the slots that do not count because their backend servers have just started.
 fn slots_lost_to_starts(
     options: &SteeringOptions,
     knowledge: &Knowledge,
--- a/crates/valvestage-policy/src/steering/placement/flow_placer.rs
+++ b/crates/valvestage-policy/src/steering/placement/flow_placer.rs
@@ -1,4 +1,4 @@
-//! Choosing a backend server for a new flow.
+//! Choice of a backend server for a new flow.
 
 use std::time::{Duration, Instant};
 
@@ -18,16 +18,16 @@
 use crate::steering::packets::flow_tracker::FlowTracker;
 use crate::steering::seeded_draw::unit_of;
 
-/// `ZoneChoice` is which availability zones are looked at.
+/// The set of availability zones to search for backend servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ZoneChoice {
-    /// The one in which a flow is to stay.
+    /// Only the zone that the flow is meant for.
     Home,
-    /// All but that one.
+    /// All zones except that one.
     Others,
 }
 
-/// `FlowPlacer` looks at everything that speaks for or against a backend server.
+/// Evaluates all criteria for and against each backend server.
 pub(in crate::steering) struct FlowPlacer<'a> {
     pub options: &'a SteeringOptions,
     pub knowledge: &'a Knowledge,
@@ -39,8 +39,9 @@
 }
 
 impl FlowPlacer<'_> {
-    /// `place` chooses a backend server of a service. One that showed no life to this flow comes
-    /// after all others. Where none may take the flow, it says why.
+    /// Chooses a backend server of a service. `instead_of` is the one that did not answer this flow
+    /// before, and comes after all others. Returns the reason for a refusal if no backend server
+    /// may take the flow.
     pub(in crate::steering) fn place(
         &self,
         flow: FlowAddresses,
@@ -51,7 +52,7 @@
         let left_out = LeftOutCount::default();
         let may_take = |entry: &&BackendEntry| !left_out.note(self.why_left_out(flow, entry));
         let median = self.backends.pace().median(service, self.now);
-        // Ties are drawn by other bits of it.
+        // Uses other bits of the draw than the selection among equally loaded candidates.
         let drawn_zone = self.demand.drawn_zone(service, unit_of(mix(draw, 0)));
         let home = drawn_zone.unwrap_or(&self.options.zone);
         let candidates_in = |zones: ZoneChoice| {
@@ -86,7 +87,8 @@
         })
     }
 
-    /// The backend servers of a service that take new flows and whose tokens name them.
+    /// Returns the backend servers of a service that are ready for new flows and that own their
+    /// tokens.
     fn ready_entries(
         &self,
         service: &str,
@@ -104,7 +106,8 @@
             .filter(|entry| directory.owns_token(entry))
     }
 
-    /// Whether the best of these candidates is better than any in another zone can be, whose load has the distance in it.
+    /// Reports whether the best of the candidates has at most the load that distance alone adds to
+    /// any candidate in another zone, so that none of those can be better.
     fn is_best_at_home(&self, candidates: &[ChoiceCandidate<'_>]) -> bool {
         let nearest = self.options.zone_preference.min(self.options.region_preference);
 
@@ -113,7 +116,8 @@
             .any(|candidate| candidate.doubt == ChoiceDoubt::None && candidate.load <= nearest)
     }
 
-    /// `why_left_out` tells why a backend server that takes new flows gets none of an address now; none: it may.
+    /// Returns why a backend server that is ready for new flows gets none for an address at
+    /// present; `None` if it may get them.
     pub(in crate::steering) fn why_left_out(
         &self,
         flow: FlowAddresses,
@@ -131,20 +135,22 @@
         is_full.then_some(LeftOut::Cold)
     }
 
-    /// Whether a zone gets no new flows. One that is cut off with all that it could use instead goes on by itself.
+    /// Reports whether a zone gets no new flows. A balancer that is cut off from all other zones
+    /// still uses its own zone.
     fn is_evacuated(&self, zone: &ZoneName) -> bool {
         let is_last_resort = self.knowledge.is_isolated() && *zone == self.options.zone;
 
         self.knowledge.evacuated.holds(zone) && !is_last_resort
     }
 
-    /// Whether a backend server is to get few requests, since it has just started.
+    /// Reports whether requests to a backend server are limited because it has just started.
     fn is_limited(&self, entry: &BackendEntry) -> bool {
         ColdShares::rate_of(self.options.cold_limit, self.knowledge, entry, self.now).is_some()
     }
 
-    /// Where the others have no room, cold backend servers get what they bear. A balancer among many sees too little of the
-    /// others to notice by their load.
+    /// Keeps only the cold backend servers if there are any: while the others are short of slots,
+    /// cold ones get as much as they can process. One balancer among many sees too few of the
+    /// others' requests to notice the shortage by their load.
     fn prefer_cold(&self, candidates: &mut Vec<ChoiceCandidate<'_>>) {
         if candidates.iter().any(|candidate| self.is_limited(candidate.entry)) {
             candidates.retain(|candidate| self.is_limited(candidate.entry));
@@ -161,7 +167,7 @@
         let requests = self.flows.load(entry.instance).in_requests(self.options.resting_flow_load);
         let is_cold = entry.cold_until.is_some_and(|until| until > self.now);
         let cold_factor = if is_cold { self.options.cold_factor } else { 1.0 };
-        // Its pace may show the cold start already, which counts once.
+        // The pace may include the effect of the cold start already, which is to count once.
         let pace = self.backends.pace().factor(entry.instance, median_pace, self.now);
         let factor = pace.max(cold_factor);
         let is_avoided = self.backends.outliers().is_avoided(entry.instance, self.now);
@@ -177,7 +183,8 @@
         }
     }
 
-    /// What the way to a backend server adds to its load, for a flow that is to stay in a zone.
+    /// Returns what the distance to a backend server adds to its load, for a flow that is meant for
+    /// the zone `home`.
     fn distance(&self, entry: &BackendEntry, home: &ZoneName) -> f64 {
         if entry.zone == *home {
             0.0
@@ -200,6 +207,7 @@
     }
 }
 
-/// Time in which a backend server answers an opening packet, or acknowledges data. Callers send
-/// again after 200 ms; two packets that were read together show nothing.
+/// Time within which a backend server answers an opening packet or acknowledges data. Callers
+/// retransmit after 200 ms; a copy that arrives earlier says nothing, since two packets may have
+/// been read together.
 pub(in crate::steering) const ANSWER_TIME: Duration = Duration::from_millis(150);
--- a/crates/valvestage-policy/src/steering/placement/left_out.rs
+++ b/crates/valvestage-policy/src/steering/placement/left_out.rs
@@ -1,21 +1,22 @@
-//! Why backend servers get no new flows now.
+//! Reasons why backend servers get no new flows at present.
 
 use std::cell::Cell;
 
 use crate::steering::packets::caller_packet::ResetReason;
 
-/// `LeftOut` is why one that takes new flows gets none.
+/// Why a backend server that is ready for new flows gets none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::steering) enum LeftOut {
-    /// It is in a region to which the address does not lead.
+    /// The backend server is in a region to which the address must not lead.
     OtherRegion,
-    /// Its availability zone is evacuated.
+    /// The availability zone of the backend server is evacuated.
     Evacuated,
-    /// It has just started, and gets no more from this balancer at the moment.
+    /// The backend server has just started, and this balancer has used up its share of the rate for
+    /// it.
     Cold,
 }
 
-/// `LeftOutCount` counts those that a new flow could not go to.
+/// Counts the backend servers that were excluded from the choice for one new flow, by reason.
 #[derive(Debug, Default)]
 pub(in crate::steering) struct LeftOutCount {
     other_region: Cell<usize>,
@@ -24,7 +25,8 @@
 }
 
 impl LeftOutCount {
-    /// `note` counts one, if it is left out; true if it is.
+    /// Counts a backend server if there is a reason to exclude it, and reports whether there is
+    /// one.
     pub(in crate::steering) fn note(&self, cause: Option<LeftOut>) -> bool {
         let Some(cause) = cause else { return false };
         let count = match cause {
@@ -37,13 +39,13 @@
         true
     }
 
-    /// `total` gives the number of all.
+    /// Returns the number of excluded backend servers.
     pub(in crate::steering) fn total(&self) -> usize {
         self.other_region.get() + self.evacuated.get() + self.cold.get()
     }
 
-    /// `reason` gives why a flow is refused for which there is nobody else: what passes first is told, since it says when it
-    /// is worth another try.
+    /// Returns the reason to refuse a flow for which no backend server is left. Of several reasons,
+    /// it is the one that passes first, since it tells the caller when to retry.
     pub(in crate::steering) fn reason(&self) -> ResetReason {
         if self.cold.get() > 0 {
             ResetReason::BackendsCold
--- a/crates/valvestage-policy/src/steering/placement/steering_options.rs
+++ b/crates/valvestage-policy/src/steering/placement/steering_options.rs
@@ -8,39 +8,42 @@
 use super::cold_shares::ColdLimit;
 use crate::steering::knowledge::entry_times::EntryTimes;
 
-/// `SteeringOptions` are the limits and weights of steering.
+/// Limits and weights of steering, set at the start of a balancer.
 #[derive(Debug, Clone)]
 pub struct SteeringOptions {
     /// Availability zone of this VM.
     pub zone: ZoneName,
-    /// Availability zones of other regions.
+    /// Availability zones that are in other regions than this VM.
     pub far_zones: BTreeSet<ZoneName>,
-    /// The region of each availability zone, as far as it is known.
+    /// Region of each availability zone, as far as known.
     pub zone_regions: BTreeMap<ZoneName, RegionName>,
-    /// What all balancers together may ask of a cold backend server whose service has a rate for it; none: no such limit.
+    /// Limit on the requests that all balancers together send to a cold backend server whose
+    /// service has a configured cold rate; `None` disables the limit.
     pub cold_limit: Option<ColdLimit>,
     /// How soon entries of backend servers lapse and are written again.
     pub entry_times: EntryTimes,
-    /// Flows remembered at most. A record has some 100 bytes; the size to design for has 6,200 flows
-    /// a balancer.
+    /// Maximum number of tracked flows. A record takes some 100 bytes; the reference deployment has
+    /// 6,200 flows per balancer.
     pub max_flows: usize,
-    /// Load of an open flow that has no request under way, in requests. A long flow sends about one
-    /// request a second, which takes some 40 ms.
+    /// Load of an open idle flow, in requests. A long-lived flow sends about one request per
+    /// second, which takes some 40 ms.
     pub resting_flow_load: f64,
-    /// How much busier, in requests a slot, the servers of this zone may be before a flow is placed
-    /// in another zone. From the trials that docs/DECISIONS.md lists.
+    /// Additional load, in requests per slot, that the servers of this zone may have before a flow
+    /// is placed in another zone. docs/DECISIONS.md lists the trials behind the value.
     pub zone_preference: f64,
-    /// How much busier the servers of all zones of this region may be before a flow is placed in another
-    /// region: there each packet of a request takes tens of milliseconds more. docs/DECISIONS.md.
+    /// Additional load, in requests per slot, that the servers of all zones of this region may have
+    /// before a flow is placed in another region, where each packet of a request takes tens of
+    /// milliseconds longer. docs/DECISIONS.md lists the trials behind the value.
     pub region_preference: f64,
-    /// How much busier, in requests a slot, the others may be before a flow is placed on a backend
-    /// server that fails more requests than they do. Twice the preference for the own zone: another
-    /// zone is better than a failing backend server. When all are avoided, none is.
+    /// Additional load, in requests per slot, that the others may have before a flow is placed on a
+    /// backend server that fails more requests than they do. It is twice the preference for the own
+    /// zone, since another zone is better than a failing backend server. If all are avoided, the
+    /// penalty has no effect.
     pub avoidance: f64,
-    /// Load factor of a backend server that is still slow from its start.
+    /// Factor on the load of a backend server that is still slow after its start.
     pub cold_factor: f64,
-    /// A gone backend server is remembered for so long, so that its flows can be told. Flows are
-    /// forgotten after 60 s.
+    /// How long a backend server that is gone is remembered, so that the callers of its flows can
+    /// be notified. Flows are forgotten after 60 s.
     pub remember_gone: Duration,
 }
 
--- a/crates/valvestage-policy/src/steering/placement/zone_shares.rs
+++ b/crates/valvestage-policy/src/steering/placement/zone_shares.rs
@@ -1,50 +1,58 @@
-//! In which availability zones new flows go, by what the whole deployment asks of each.
+//! Shares of new flows by availability zone, derived from the demand of the whole deployment.
 //!
-//! A balancer among hundreds sees so little of a backend server that its own zone never looks busy to it. So the zone of a
-//! new flow is drawn by shares that follow from what all balancers' callers ask for, and what each zone has. What is asked
-//! for does not depend on where flows are placed: many balancers that hear the same word spread their flows alike, and
-//! none of them moves all of its flows at once.
+//! Among hundreds of balancers, a single one sees so few requests of a backend server that its own
+//! zone never looks busy to it. The zone of a new flow is therefore drawn by shares that follow
+//! from the demand of all balancers' callers and the slots of each zone. Demand does not depend on
+//! where flows are placed, so many balancers that receive the same reports spread their flows
+//! alike, and none of them moves all of its flows at once.
 
 use valvestage_core::ids::ZoneName;
 
-/// Share of its slots from which on a zone, or a region, gives flows away, if others have more room.
+/// Used share of its slots above which a zone, or a region, sends flows elsewhere if there is more
+/// room.
 ///
-/// On 295 balancers, with a zone whose callers ask for all of its slots, shares leave 55 of 31,516 refusals by full backend servers
-/// (of some 210,000 tries in 60 s). From 0.6 on there are a quarter fewer than from 0.9 on, but flows in another zone stand
-/// still while it is cut off: on 8 balancers a day's worth falls by 0.001 with 0.6, and by 0.0002 to 0.0008 with 0.9.
+/// With 295 balancers and one zone whose callers ask for all of its slots, the shares reduce
+/// refusals by full backend servers from 31,516 to 55 (of some 210,000 tries in 60 s). A value of
+/// 0.6 gives a quarter fewer refusals than 0.9, but flows in another zone stall while that zone is
+/// cut off: with 8 balancers the score of a simulated day falls by 0.001 with 0.6, and by 0.0002 to
+/// 0.0008 with 0.9.
 pub const SPILL_FROM: f64 = 0.9;
 
-/// `ZoneLoad` is what is asked of one service by the callers of an availability zone, and what the zone has.
+/// Demand for one service by the callers of an availability zone, and the slots of the service
+/// there.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ZoneLoad {
-    /// The zone.
+    /// Name of the availability zone.
     pub zone: ZoneName,
-    /// Whether it is in another region than this balancer.
+    /// Whether the zone is in another region than this balancer.
     pub is_far: bool,
-    /// Requests that its callers have under way at once; not below 0.
+    /// Requests that the zone's callers have under way at the same time; not negative.
     pub demand: f64,
-    /// Requests that its backend servers work on at once; not below 0.
+    /// Requests that the zone's backend servers can process at the same time; not negative.
     pub slots: f64,
 }
 
 impl ZoneLoad {
-    /// What the zone can take from others if a share of its slots is used.
+    /// Returns the number of requests that the zone can take from others until this share of its
+    /// slots is in use.
     fn spare(&self, level: f64) -> f64 {
         (level * self.slots - self.demand).max(0.0)
     }
 }
 
-/// `ZoneShares` is where the callers of one availability zone get their flows.
+/// Distribution of the new flows of one availability zone's callers over the zones.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ZoneShares {
-    /// Shares of other zones, each above 0. Their sum is 1 at most, and the rest stays at home.
+    /// Shares of other zones, each above 0. Their sum is at most 1, and the remainder stays in the
+    /// zone of the callers.
     away: Vec<(ZoneName, f64)>,
-    /// Whether the callers of this region ask for more than the level of all its slots.
+    /// Whether the callers of this region ask for more than [`SPILL_FROM`] of all its slots.
     is_short: bool,
 }
 
 impl ZoneShares {
-    /// `new` works out the shares of a zone. What it has no room for goes where there is room, in proportion to it.
+    /// Computes the shares for the zone `home`. Demand that exceeds its room is divided among other
+    /// zones in proportion to their spare slots.
     #[must_use]
     pub fn new(home: &ZoneName, zones: &[ZoneLoad]) -> Self {
         let (far, near): (Vec<_>, Vec<_>) = zones.iter().partition(|zone| zone.is_far);
@@ -59,7 +67,8 @@
         let far_share = share_of(leaves_region, demand);
         let mut away = split(far_share, &far, SPILL_FROM);
 
-        // Where the region is busier than the level everywhere, its zones become equally busy.
+        // If every zone of the region is above the spill level, all of them get the same
+        // utilization.
         let level = share_of(demand - leaves_region, slots).max(SPILL_FROM);
         let excess = own.demand * (1.0 - far_share) - level * own.slots;
         let others: Vec<_> = near.iter().copied().filter(|zone| zone.zone != *home).collect();
@@ -67,25 +76,26 @@
         Self { away, is_short: demand > SPILL_FROM * slots }
     }
 
-    /// `is_short` tells whether the callers of this region ask for more than its zones should take.
+    /// Reports whether the callers of this region ask for more than its zones should take.
     #[must_use]
     pub fn is_short(&self) -> bool {
         self.is_short
     }
 
-    /// `stays_home` tells whether no flow goes elsewhere.
+    /// Reports whether all flows stay in the zone of their callers.
     #[must_use]
     pub fn stays_home(&self) -> bool {
         self.away.is_empty()
     }
 
-    /// `away` gives the share of flows that go to other zones.
+    /// Returns the share of flows that go to other zones, from 0 to 1.
     #[must_use]
     pub fn away(&self) -> f64 {
         self.away.iter().map(|(_, share)| share).sum()
     }
 
-    /// `draw` gives the zone that a draw from 0 up to 1 falls on; none: the zone of the caller.
+    /// Returns the other zone that a draw from `[0, 1)` selects; `None` selects the zone of the
+    /// caller.
     #[must_use]
     pub fn draw(&self, unit: f64) -> Option<&ZoneName> {
         let mut left = unit;
@@ -100,12 +110,12 @@
     }
 }
 
-/// A part as a share of a whole; 0 of nothing.
+/// Returns a part as a share of a whole, or 0 if the whole is 0.
 fn share_of(part: f64, whole: f64) -> f64 {
     if whole > 0.0 { part / whole } else { 0.0 }
 }
 
-/// Splits a share over zones by their room.
+/// Divides a share among zones in proportion to their spare slots.
 fn split(share: f64, zones: &[&ZoneLoad], level: f64) -> Vec<(ZoneName, f64)> {
     let room: f64 = zones.iter().map(|zone| zone.spare(level)).sum();
     if share <= 0.0 || room <= 0.0 {
