--- a/crates/valvestage-policy/src/steering/health.rs
+++ b/crates/valvestage-policy/src/steering/health.rs
@@ -1,17 +1,17 @@
-//! What callers' packets show about backend servers.
+//! State of backend servers, inferred from the packets of callers.
 //!
 //! | module | contents |
 //! |---|---|
-//! | [`backend_observer`] | all of it together |
-//! | [`backend_health`] | which backend servers seem dead |
-//! | [`backend_pace`] | which take longer than usual |
-//! | [`flow_request`] | a request that is under way |
-//! | [`overdue_queue`] | when requests are missed |
-//! | [`answer_norm`] | what an ordinary answer is like |
-//! | [`request_judge`] | how requests end |
-//! | [`outcome_count`] | counts of how they ended |
-//! | [`outlier_detector`] | which backend servers fail more of them than others |
-//! | `outlier_record` | what is kept of one backend server for that |
+//! | [`backend_observer`] | entry point that feeds all detectors |
+//! | [`backend_health`] | detection of backend servers that seem dead |
+//! | [`backend_pace`] | detection of backend servers that are slower than the others |
+//! | [`flow_request`] | the request that is under way on a flow |
+//! | [`overdue_queue`] | deadlines of the requests under way |
+//! | [`answer_norm`] | usual size and time of answers |
+//! | [`request_judge`] | classification of ended requests |
+//! | [`outcome_count`] | decaying counts of requests by outcome |
+//! | [`outlier_detector`] | detection of backend servers that fail more requests than the others |
+//! | `outlier_record` | state of one backend server for that detection |
 
 pub mod answer_norm;
 pub mod backend_health;
--- a/crates/valvestage-policy/src/steering/health/answer_norm.rs
+++ b/crates/valvestage-policy/src/steering/health/answer_norm.rs
@@ -1,48 +1,52 @@
-//! What answers at one address of a service are usually like.
+//! Usual size and time of the answers at one address of a service.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Answers by which a size is judged. Some seconds of a busy address; 128 bytes an address.
+/// Number of answer sizes that are kept: some seconds of a busy address, and 128 bytes per address.
 const WINDOW: usize = 32;
 
-/// Weight of one more answer time once enough were seen: the mean follows the last some 30.
+/// Weight of a new answer time in the moving average after the start-up phase, so that the average
+/// covers about 30 answers.
 const WEIGHT: f64 = 1.0 / 32.0;
 
-/// Answers before a norm says anything.
+/// Number of answers before anything counts as usual.
 const MIN_SAMPLES: usize = 16;
 
-/// How many standard deviations below the median, in logarithms, an answer counts as short. Hardly any
-/// answer of a log-normal or an even size lies there.
+/// Number of standard deviations below the median, on a logarithmic scale, from which an answer
+/// counts as short. Hardly any answer of a log-normal or a uniform size distribution lies there.
 const SHORT_DEVIATIONS: f64 = 3.5;
 
-/// An answer of more than a third of the usual size is never short, however alike the others are: the
-/// logarithm of 3. An error has some 150 bytes.
+/// Minimum distance of a short answer from the median, as a natural logarithm (ln 3): an answer of
+/// more than a third of the usual size is never short, however similar the others are. An error has
+/// some 150 bytes.
 const SHORT_AT_LEAST: f64 = 1.098_6;
 
-/// A request is overdue when it has waited for so many times the usual.
+/// A request is overdue after this multiple of the usual answer time.
 const OVERDUE_FACTOR: u32 = 6;
 
-/// No request is overdue earlier: a lost packet is sent again after 200 ms.
+/// Minimum time before a request is overdue; a lost packet is retransmitted after 200 ms.
 const OVERDUE_AT_LEAST: Duration = Duration::from_millis(400);
 
-/// Times below this one are alike: that of a datagram to and fro within an availability zone.
+/// Shorter times are treated as equal to this one, the round-trip time of a datagram within an
+/// availability zone.
 const SHORTEST_TIME: Duration = Duration::from_micros(500);
 
-/// `AnswerNorm` follows the size of answers and the time that they take.
+/// Tracks the usual size of answers and the usual time that they take.
 #[derive(Debug, Clone, Default)]
 pub struct AnswerNorm {
-    /// Logarithms of the last sizes in bytes, the oldest first; [`WINDOW`] at most.
+    /// Natural logarithms of the latest sizes in bytes, oldest first; at most [`WINDOW`].
     log_sizes: VecDeque<f64>,
     times: usize,
-    /// Mean time, seconds.
+    /// Moving average of the times, in seconds.
     seconds: f64,
-    /// Mean of the logarithms of times in seconds: single long waits hardly move it.
+    /// Moving average of the logarithms of the times in seconds, on which single long waits have
+    /// little effect.
     log_seconds: f64,
 }
 
 impl AnswerNorm {
-    /// `on_size` takes in how many bytes an answer had.
+    /// Records the size of an answer.
     pub fn on_size(&mut self, bytes: u32) {
         if self.log_sizes.len() == WINDOW {
             self.log_sizes.pop_front();
@@ -51,7 +55,7 @@
         self.log_sizes.push_back(log_of(bytes));
     }
 
-    /// `on_time` takes in how long an answer took.
+    /// Records the time that an answer took.
     pub fn on_time(&mut self, time: Duration) {
         self.times = self.times.saturating_add(1);
 
@@ -60,17 +64,17 @@
         self.log_seconds += weight * (log_of_time(time) - self.log_seconds);
     }
 
-    /// `log_ratio` gives the logarithm of how many times the usual an answer took; none while nothing
-    /// is usual.
+    /// Returns the natural logarithm of the ratio between a time and the usual one; `None` until
+    /// enough answers were seen.
     #[must_use]
     pub fn log_ratio(&self, time: Duration) -> Option<f64> {
         (self.times >= MIN_SAMPLES).then(|| log_of_time(time) - self.log_seconds)
     }
 
-    /// `is_short` tells whether an answer is much shorter than usual.
+    /// Reports whether an answer is much shorter than usual.
     ///
-    /// Usual is the median, and the spread is that of the answers above it: errors are short, so that
-    /// they move neither unless they are half of all answers.
+    /// The usual size is the median, and the spread is computed from the answers above it. Errors
+    /// are short, so they affect neither unless they make up half of all answers.
     #[must_use]
     pub fn is_short(&self, bytes: u32) -> bool {
         if self.log_sizes.len() < MIN_SAMPLES {
@@ -88,7 +92,8 @@
         log_of(bytes) < median - margin
     }
 
-    /// `patience` gives how long a request may wait before it is overdue; none while nothing is usual.
+    /// Returns how long a request may wait before it is overdue; `None` until enough answers were
+    /// seen.
     #[must_use]
     pub fn patience(&self) -> Option<Duration> {
         if self.times < MIN_SAMPLES {
@@ -100,7 +105,8 @@
     }
 }
 
-/// The first samples weigh more, so that the mean does not start at zero.
+/// Returns the weight of a sample. The first samples weigh more, so that the average is not biased
+/// towards its initial value 0.
 fn weight_after(samples: usize) -> f64 {
     (1.0 / as_f64(samples)).max(WEIGHT)
 }
--- a/crates/valvestage-policy/src/steering/health/backend_health.rs
+++ b/crates/valvestage-policy/src/steering/health/backend_health.rs
@@ -1,9 +1,9 @@
-//! Which backend servers seem dead, from what callers have to send again.
+//! Detection of backend servers that seem dead, from retransmissions of callers.
 //!
-//! Answers go past the balancers. A caller that sends a packet again shows that an answer is missing;
-//! one that acknowledges more than before shows that the backend server lives. One missing answer may
-//! be a lost datagram, so a backend server is suspected only when several flows miss answers and none
-//! got one meanwhile.
+//! Answers bypass the balancers. A caller that retransmits a packet shows that an answer is
+//! missing; one that acknowledges more than before shows that the backend server lives. One missing
+//! answer may be a lost datagram, so a backend server is suspected only if several flows miss
+//! answers and no flow got one meanwhile.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -16,52 +16,53 @@
 use crate::steering::packets::flow_record::FlowSign;
 use crate::steering::placement::flow_placer::ANSWER_TIME;
 
-/// Flows that have to miss an answer before their backend server is suspected. One flow alone may
-/// have lost datagrams.
+/// Number of flows that have to miss an answer before their backend server is suspected. A single
+/// flow may have lost datagrams.
 const FLOWS_TO_SUSPECT: usize = 2;
 
-/// Flows that have to miss an answer before open flows are ended. A reset of a flow whose backend
-/// server lives is worse than a wait, so it takes more than a suspicion.
+/// Number of flows that have to miss an answer before open flows are ended. Resetting a flow whose
+/// backend server lives is worse than a wait, so this takes more than a suspicion.
 const FLOWS_TO_GIVE_UP: usize = 3;
 
-/// Flows that are enough for that when another balancer says the same.
+/// The same number while another balancer also reports the suspicion.
 const FLOWS_TO_AGREE: usize = 1;
 
-/// How long a suspicion lasts; then a new flow tries the backend server again. Entries of dead
-/// backend servers go after some 2.3 s.
+/// Duration of a suspicion, after which a new flow tries the backend server again. The entry of a
+/// dead backend server disappears after some 2.3 s.
 const SUSPECT_FOR: Duration = Duration::from_millis(2_500);
 
-/// Missing answers further apart than this have nothing to do with each other.
+/// Missing answers further apart than this are treated as unrelated.
 const MISS_WINDOW: Duration = Duration::from_secs(2);
 
-/// How long another balancer's word counts; it says it again with each heartbeat.
+/// How long a suspicion reported by another balancer counts. Each heartbeat repeats it.
 const TOLD_FOR: Duration = Duration::from_millis(1_000);
 
-/// Suspects named in one heartbeat, the latest: more of them mean that the fault is elsewhere, and with
-/// counts and avoidances these keep control within 4 KB a second.
+/// Maximum number of suspects reported in a heartbeat, the latest first. More suspects mean that
+/// the fault is elsewhere, and together with counts and avoidances this limit keeps control traffic
+/// within 4 KB per second.
 pub(in crate::steering) const MAX_TOLD: usize = 8;
 
-/// `HealthRecord` is what is known about one backend server.
+/// Signs of life and missing answers of one backend server.
 #[derive(Debug, Default)]
 struct HealthRecord {
     last_life: Option<Instant>,
-    /// Flows that miss an answer, with the time of the latest sign; no flow twice.
+    /// Flows that miss an answer, each at most once, with the time of the latest sign.
     misses: Vec<(FlowAddresses, Instant)>,
     suspect_until: Option<Instant>,
-    /// Since when it has seemed dead without a break; kept after its end.
+    /// Start of the current or latest uninterrupted suspicion; kept after its end.
     suspect_since: Option<Instant>,
-    /// Until when another balancer's word for it counts.
+    /// Time until which a suspicion reported by another balancer counts.
     told_until: Option<Instant>,
 }
 
-/// `BackendHealth` collects signs of life and of death.
+/// Failure detector that collects signs of life and missing answers of backend servers.
 #[derive(Debug, Default)]
 pub struct BackendHealth {
     records: HashMap<InstanceId, HealthRecord>,
 }
 
 impl BackendHealth {
-    /// `observe` takes a sign in, and gives what is believed anew.
+    /// Records what a packet shows, and returns the decision if it starts or ends a suspicion.
     pub fn observe(
         &mut self,
         instance: InstanceId,
@@ -87,9 +88,9 @@
         was_suspect.then_some(Decision::Cleared { instance })
     }
 
-    /// `on_told` takes in that a backend server seems dead to another balancer.
+    /// Records that another balancer suspects a backend server.
     pub fn on_told(&mut self, instance: InstanceId, now: Instant) {
-        /// A sign of life seen here within this time goes before what another one says.
+        /// A sign of life seen here within this time takes precedence over reports of others.
         const LIFE_COUNTS_FOR: Duration = Duration::from_millis(500);
 
         let record = self.records.entry(instance).or_default();
@@ -98,7 +99,8 @@
         }
     }
 
-    /// `suspects` gives the backend servers that seem dead from here, those first that began last.
+    /// Returns the backend servers that are suspected from packets seen here, the latest suspicions
+    /// first.
     #[must_use]
     pub fn suspects(&self, now: Instant) -> Vec<InstanceId> {
         let is_suspect = |record: &HealthRecord| record.suspect_until.is_some_and(|at| at > now);
@@ -110,7 +112,8 @@
         suspects.into_iter().map(|(_, instance)| instance).collect()
     }
 
-    /// Returns the backend servers that seem dead, by what was seen here or told by others, in no order.
+    /// Returns the backend servers that are suspected from packets seen here or by reports of other
+    /// balancers, in no particular order.
     pub fn all_suspects(&self, now: Instant) -> impl Iterator<Item = InstanceId> {
         self.records.keys().copied().filter(move |instance| self.is_suspect(*instance, now))
     }
@@ -142,7 +145,7 @@
         is_new.then_some(Decision::Suspected { instance, flows, waited })
     }
 
-    /// `is_suspect` tells whether a backend server seems dead.
+    /// Reports whether a backend server is suspected to be dead.
     #[must_use]
     pub fn is_suspect(&self, instance: InstanceId, now: Instant) -> bool {
         self.records
@@ -150,7 +153,7 @@
             .is_some_and(|record| record.suspect_until.max(record.told_until) > Some(now))
     }
 
-    /// `is_given_up` tells whether flows of a backend server are to be ended.
+    /// Reports whether enough flows miss an answer for the flows of a backend server to be ended.
     #[must_use]
     pub fn is_given_up(&self, instance: InstanceId, now: Instant) -> bool {
         self.records.get(&instance).is_some_and(|record| {
@@ -161,7 +164,7 @@
         })
     }
 
-    /// `shows_life_since` tells whether a backend server has answered any flow since a time.
+    /// Reports whether a backend server has answered any flow at or after a time.
     #[must_use]
     pub fn shows_life_since(&self, instance: InstanceId, since: Instant) -> bool {
         self.records
@@ -169,7 +172,7 @@
             .is_some_and(|record| record.last_life.is_some_and(|life| life >= since))
     }
 
-    /// `shows_life_after` tells whether a backend server has answered any flow later than at a time.
+    /// Reports whether a backend server has answered any flow after a time.
     #[must_use]
     pub fn shows_life_after(&self, instance: InstanceId, time: Instant) -> bool {
         self.records
@@ -177,8 +180,8 @@
             .is_some_and(|record| record.last_life.is_some_and(|life| life > time))
     }
 
-    /// `shows_anything_since` tells whether a backend server has answered any flow since a time, or any flow misses an
-    /// answer since then.
+    /// Reports whether at or after a time a backend server has answered any flow, or a flow has
+    /// shown that it misses an answer.
     #[must_use]
     pub fn shows_anything_since(&self, instance: InstanceId, since: Instant) -> bool {
         let misses = |record: &HealthRecord| record.misses.iter().any(|(_, at)| *at >= since);
@@ -186,7 +189,7 @@
         self.shows_life_since(instance, since) || self.records.get(&instance).is_some_and(misses)
     }
 
-    /// `forget` drops what is known about a backend server.
+    /// Removes the records of all backend servers for which `keep` returns false.
     pub fn forget(&mut self, keep: impl Fn(InstanceId) -> bool) {
         self.records.retain(|instance, _| keep(*instance));
     }
--- a/crates/valvestage-policy/src/steering/health/backend_observer.rs
+++ b/crates/valvestage-policy/src/steering/health/backend_observer.rs
@@ -1,4 +1,4 @@
-//! What callers' packets show about backend servers.
+//! Entry point for everything that callers' packets show about backend servers.
 
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
@@ -18,23 +18,25 @@
 use crate::steering::packets::flow_tracker::{FlowObservation, FlowTracker};
 use crate::steering::peers::peer_message::HealthReport;
 
-/// `BackendObserver` finds out which backend servers seem dead, which fail too much, and which are slow.
+/// Detects the backend servers that seem dead, fail too many requests, or are slow.
 #[derive(Debug)]
 pub struct BackendObserver {
     health: BackendHealth,
     judge: RequestJudge,
     outliers: OutlierDetector,
     pace: BackendPace,
-    /// What is believed anew since it was last taken.
+    /// Decisions since the last call of [`Self::take_decisions`].
     decisions: Vec<Decision>,
-    /// Answers since they were last taken.
+    /// Answers since the last call of [`Self::take_answers`].
     answers: Vec<AnswerTime>,
-    /// Answers to requests that began earlier are not timed; none: all are.
+    /// Answers to requests that started before this time are not used as samples of the pace;
+    /// `None` if all are used.
     timed_from: Option<Instant>,
 }
 
 impl BackendObserver {
-    /// `new` has seen nothing. The seed is for what is drawn.
+    /// Creates an observer without observations. The seed is for the random part of avoidance
+    /// times.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
@@ -48,35 +50,35 @@
         }
     }
 
-    /// `health` gives which backend servers seem dead.
+    /// Returns the detector of backend servers that seem dead.
     #[must_use]
     pub fn health(&self) -> &BackendHealth {
         &self.health
     }
 
-    /// `outliers` gives which backend servers fail too much.
+    /// Returns the detector of backend servers that fail too many requests.
     #[must_use]
     pub fn outliers(&self) -> &OutlierDetector {
         &self.outliers
     }
 
-    /// `pace` gives which backend servers take longer than usual.
+    /// Returns the pace of backend servers.
     #[must_use]
     pub fn pace(&self) -> &BackendPace {
         &self.pace
     }
 
-    /// `take_decisions` gives what is believed anew since the last call.
+    /// Returns the decisions made since the last call.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         std::mem::take(&mut self.decisions)
     }
 
-    /// `take_answers` gives the answers seen since the last call.
+    /// Returns the answers seen since the last call.
     pub fn take_answers(&mut self) -> Vec<AnswerTime> {
         std::mem::take(&mut self.answers)
     }
 
-    /// `report` gives what other balancers are to know.
+    /// Returns the observations to report to other balancers.
     #[must_use]
     pub fn report(&self, now: Instant) -> HealthReport {
         let mut suspects = self.health.suspects(now);
@@ -89,7 +91,7 @@
         }
     }
 
-    /// `on_report` takes in what another balancer has seen.
+    /// Records the observations that another balancer reports.
     pub fn on_report(&mut self, peer: SocketAddrV4, report: &HealthReport, now: Instant) {
         for instance in &report.suspects {
             self.health.on_told(*instance, now);
@@ -99,7 +101,7 @@
         self.decisions.extend(self.outliers.on_told(peer, &report.outcomes, now));
     }
 
-    /// `observe` takes in what a packet shows about the backend server of its flow.
+    /// Records what a packet shows about the backend server of its flow.
     pub fn observe(
         &mut self,
         knowledge: &Knowledge,
@@ -129,8 +131,8 @@
         self.decisions.extend(self.health.observe(instance, flow, sign, now));
     }
 
-    /// `judge_overdue` looks at requests that should have had their answer; to be called several times
-    /// a second.
+    /// Ends the requests that should have been answered by now; to be called several times per
+    /// second.
     pub fn judge_overdue(&mut self, knowledge: &Knowledge, flows: &mut FlowTracker, now: Instant) {
         while let Some(entry) = self.judge.pop_overdue(now) {
             let OverdueEntry { started, flow, .. } = entry;
@@ -140,19 +142,19 @@
         }
     }
 
-    /// `on_standstill` takes in that the process stood still until now: what answers were awaited then
-    /// may have come at any time since.
+    /// Records that the process stood still until now. Answers to requests that were under way may
+    /// have arrived at any time since, so their times are unknown.
     pub fn on_standstill(&mut self, now: Instant) {
         self.timed_from = Some(now);
     }
 
-    /// `on_pause` takes in that it did so for long: packets that answer what was under way may
-    /// have been lost, so nothing is held against a backend server.
+    /// Records that the process was paused for long. Packets that acknowledge answers may have been
+    /// lost, so requests under way do not count against a backend server.
     pub fn on_pause(&mut self) {
         self.judge.on_pause();
     }
 
-    /// `forget` drops what is known of backend servers and addresses that are gone.
+    /// Removes the records of backend servers and addresses that no longer exist.
     pub fn forget(&mut self, knowledge: &Knowledge, now: Instant) {
         let is_known = |instance| knowledge.directory.get(instance).is_some();
 
--- a/crates/valvestage-policy/src/steering/health/backend_pace.rs
+++ b/crates/valvestage-policy/src/steering/health/backend_pace.rs
@@ -1,11 +1,12 @@
-//! How much longer answers of one backend server take than usual.
+//! Time of each backend server's answers in relation to the usual time.
 //!
-//! A backend server that is slow answers well, so nothing else speaks against it. With few requests under
-//! way everywhere, it would get as many new flows as the others.
+//! The answers of a slow backend server are correct, so no other detector notices it. While few
+//! requests are under way everywhere, it would get as many new flows as the others.
 //!
-//! Each answer is compared with what is usual at its address, since requests differ by address. What is
-//! usual follows the answers, and so moves with a backend server that gets more flows than the others.
-//! So the median of all backend servers of a service is what one of them is compared with in the end.
+//! Requests differ by address, so each answer is compared with the usual time at its address. That
+//! time is itself an average over the answers, and shifts if one backend server gets more flows
+//! than the others. The final reference is therefore the median of all backend servers of a
+//! service.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -15,42 +16,43 @@
 use super::outcome_count::share_left;
 use crate::steering::decision::Decision;
 
-/// Answers that the pace of the others counts for. On days with slow backend servers a trial with 4
-/// served 0.979 of the requests, with 2 0.980, and with 1 and steps as below 0.983 (docs/DECISIONS.md).
+/// Number of virtual answers at the median pace that are added to those of a backend server. On
+/// simulated days with slow backend servers, 0.979 of the requests were served with 4, 0.980 with
+/// 2, and 0.983 with 1 and the steps below (docs/DECISIONS.md).
 const PRIOR_ANSWERS: f64 = 1.0;
 
-/// An answer that took more than so many times the usual counts as one that took so long: its packet
-/// may have been lost.
+/// Limit on the ratio of one answer to the usual time, since a packet of a slower answer may have
+/// been lost.
 const MOST_FACTOR: f64 = 8.0;
 
-/// Placement heeds the pace in steps of so much: backend servers of about the same pace stay equal, and
-/// none waits for flows only because it was a little slower once.
+/// Placement rounds the pace to multiples of this value, so that backend servers of similar pace
+/// rank equal, and none is deprived of flows because it was slightly slower once.
 const STEP: f64 = 0.25;
 
-/// A backend server that takes so many times the usual is said to be slow. Placement heeds less, too;
-/// this only bounds what is told.
+/// A backend server is logged as slow from this pace on. Placement reacts to smaller factors, too;
+/// this only limits what is logged.
 const SLOW_FACTOR: f64 = 2.0;
 
-/// One that was slow is said to have recovered below this.
+/// A slow backend server is logged as recovered below this pace.
 const RECOVERED_FACTOR: f64 = 1.4;
 
-/// Answers before either is said; times of single answers differ by half of the mean.
+/// Number of answers needed to log either; the times of single answers vary by half of the mean.
 const ANSWERS_TO_TELL: f64 = 3.0;
 
-/// Answers of a backend server that counts for the median.
+/// Number of answers from which on a backend server counts for the median.
 const ANSWERS_TO_COMPARE: f64 = 0.5;
 
-/// Backend servers that a median needs: of two, either may be the one that has changed.
+/// Number of backend servers needed for a median: of two, either may be the one that has changed.
 const LEAST_COMPARED: usize = 3;
 
-/// `PaceRecord` sums logarithms of how many times the usual answers took.
+/// Sum of the logarithms of the ratios of one backend server's answer times to the usual time.
 #[derive(Debug, Clone)]
 struct PaceRecord {
     service: ServiceName,
     log_sum: f64,
     answers: f64,
     counted_at: Instant,
-    /// Whether it was said to be slow.
+    /// Whether the backend server was logged as slow.
     is_slow: bool,
 }
 
@@ -69,7 +71,8 @@
         self.counted_at = now;
     }
 
-    /// What share of the answers counts still: they fade as requests that end badly do.
+    /// Returns the fraction of their weight that the answers still have. They decay like outcomes
+    /// of requests.
     fn left(&self, now: Instant) -> f64 {
         share_left(now.saturating_duration_since(self.counted_at))
     }
@@ -78,12 +81,12 @@
         self.answers * self.left(now)
     }
 
-    /// Mean logarithm of how many times the usual answers took, whatever their age.
+    /// Returns the mean logarithm of the ratios, regardless of their age.
     fn log_pace(&self) -> f64 {
         self.log_sum / self.answers
     }
 
-    /// How many times as long as the median they took, as far as the answers show it.
+    /// Returns the pace as a multiple of the median, closer to 1 the fewer answers there are.
     fn factor(&self, median: f64, now: Instant) -> f64 {
         let answers = self.answers(now);
         let confidence = answers / (answers + PRIOR_ANSWERS);
@@ -92,16 +95,16 @@
     }
 }
 
-/// `BackendPace` follows the pace of each backend server, from the answers seen here.
+/// Tracks the pace of each backend server from the answers seen by this balancer.
 #[derive(Debug, Default)]
 pub struct BackendPace {
-    /// Invariant: each record has an answer.
+    /// Invariant: each record contains at least one answer.
     records: HashMap<InstanceId, PaceRecord>,
 }
 
 impl BackendPace {
-    /// `on_answer` takes in the logarithm of how many times the usual an answer took, and gives what is
-    /// believed anew.
+    /// Records an answer by the logarithm of its ratio to the usual time, and returns the decision
+    /// if the backend server has become slow or recovered.
     pub fn on_answer(
         &mut self,
         instance: InstanceId,
@@ -116,8 +119,8 @@
         self.judge(instance, now)
     }
 
-    /// `median` gives the median pace of a service, as a logarithm; none while too few of its backend
-    /// servers have answered lately.
+    /// Returns the logarithm of the median pace of a service; `None` while too few of its backend
+    /// servers have answered recently.
     #[must_use]
     pub fn median(&self, service: &str, now: Instant) -> Option<f64> {
         let of_service = self.records.values().filter(|record| record.service == service);
@@ -132,8 +135,9 @@
         Some(*median)
     }
 
-    /// `factor` gives how many times as long as the median of its service a request takes, 1 at least:
-    /// one that answers sooner than the others may do so with errors. 1, too, while there is no median.
+    /// Returns the pace of a backend server as a multiple of the median of its service, at least 1,
+    /// since a backend server that answers sooner than the others may return errors. Also returns 1
+    /// while there is no median.
     #[must_use]
     pub fn factor(&self, instance: InstanceId, median: Option<f64>, now: Instant) -> f64 {
         let (Some(record), Some(median)) = (self.records.get(&instance), median) else {
@@ -143,12 +147,12 @@
         ((record.factor(median, now) / STEP).round() * STEP).max(1.0)
     }
 
-    /// `forget` drops what is known about a backend server.
+    /// Removes the records of all backend servers for which `keep` returns false.
     pub fn forget(&mut self, keep: impl Fn(InstanceId) -> bool) {
         self.records.retain(|instance, _| keep(*instance));
     }
 
-    /// Notes whether a backend server is slow, and gives that if it is news.
+    /// Updates whether a backend server is slow, and returns the decision if that has changed.
     fn judge(&mut self, instance: InstanceId, now: Instant) -> Option<Decision> {
         let record = self.records.get(&instance)?;
         let answers = record.answers(now);
--- a/crates/valvestage-policy/src/steering/health/flow_request.rs
+++ b/crates/valvestage-policy/src/steering/health/flow_request.rs
@@ -1,18 +1,19 @@
-//! The request that is under way on a flow, or was the last one.
+//! The current or latest request of a flow.
 
 use std::time::Instant;
 
-/// `FlowRequest` is a request whose outcome is not known yet.
+/// A request whose outcome is not known yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FlowRequest {
-    /// When its first byte came.
+    /// Arrival time of its first byte.
     pub started: Instant,
-    /// Number of the first byte of its answer.
+    /// Sequence number of the first byte of its answer.
     pub answer_from: u32,
 }
 
 impl FlowRequest {
-    /// `end` gives how the request ended, with the number after the last byte that the caller has.
+    /// Returns how the request ended. `acknowledged` is the sequence number after the last byte
+    /// that the caller has received.
     #[must_use]
     pub fn end(&self, acknowledged: u32) -> EndedRequest {
         let bytes = acknowledged.wrapping_sub(self.answer_from);
@@ -22,9 +23,9 @@
     }
 }
 
-/// `EndedRequest` is a request after which the caller went on, or ended the flow.
+/// A request after which the caller has sent another one or ended the flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndedRequest {
-    /// Bytes of the answer that the caller acknowledged; 0: it gave up without one.
+    /// Bytes of the answer that the caller acknowledged; 0 if it gave up without an answer.
     pub answer_bytes: u32,
 }
--- a/crates/valvestage-policy/src/steering/health/outcome_count.rs
+++ b/crates/valvestage-policy/src/steering/health/outcome_count.rs
@@ -1,37 +1,37 @@
-//! Requests counted by how they ended, with old ones counting less.
+//! Exponentially decaying counts of requests by outcome.
 
 use std::time::{Duration, Instant};
 
-/// Time after which a request counts half. A backend server of today's deployments gets some ten
-/// requests a second, and trouble with one lasts seconds.
+/// Time after which the weight of a request has halved. In the reference deployment a backend
+/// server gets some ten requests per second, and faults of a backend server last seconds.
 const HALF_LIFE: Duration = Duration::from_secs(4);
 
-/// `OutcomeCount` counts requests of one backend server or of several.
+/// Weighted number of requests of one or several backend servers, by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct OutcomeCount {
-    /// Requests that got an ordinary answer.
+    /// Requests with an ordinary answer.
     pub answered: f64,
-    /// Requests that got a much shorter answer than usual, or none in time.
+    /// Requests whose answer was much shorter than usual, or did not come in time.
     pub poor: f64,
-    /// How many of them were expected: each counts the share of poor ones that the others of its
-    /// service had then, at the balancer that saw it.
+    /// Expected number of poor requests: each request adds the share of poor ones among the other
+    /// backend servers of its service at that time, as seen by the balancer that counted it.
     pub expected: f64,
 }
 
 impl OutcomeCount {
-    /// `total` gives all requests.
+    /// Returns the number of all requests.
     #[must_use]
     pub fn total(&self) -> f64 {
         self.answered + self.poor
     }
 
-    /// `poor_share` gives the share that ended badly; 0 where there was none.
+    /// Returns the share of requests that ended badly; 0 if there are no requests.
     #[must_use]
     pub fn poor_share(&self) -> f64 {
         if self.total() > 0.0 { self.poor / self.total() } else { 0.0 }
     }
 
-    /// `plus` gives the sum of two.
+    /// Returns the sum of two counts.
     #[must_use]
     pub fn plus(&self, other: &Self) -> Self {
         Self {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// `minus` gives what is left without a part of it.
+    /// Returns the count without a part of it; no component becomes negative.
     #[must_use]
     pub fn minus(&self, part: &Self) -> Self {
         Self {
@@ -52,7 +52,7 @@
     }
 }
 
-/// `FadingCount` is a count whose requests count half after each half-life.
+/// A count that halves after each [`HALF_LIFE`].
 #[derive(Debug, Clone, Copy)]
 pub struct FadingCount {
     count: OutcomeCount,
@@ -60,25 +60,25 @@
 }
 
 impl FadingCount {
-    /// `new` has counted nothing, or what was told at that time.
+    /// Creates a count with this value at the time `now`.
     #[must_use]
     pub fn new(count: OutcomeCount, now: Instant) -> Self {
         Self { count, counted_at: now }
     }
 
-    /// `add` counts further requests.
+    /// Adds requests to the decayed count.
     pub fn add(&mut self, further: &OutcomeCount, now: Instant) {
         self.count = self.at(now).plus(further);
         self.counted_at = now;
     }
 
-    /// `age` gives the time since the last request was counted.
+    /// Returns the time since the last request was counted.
     #[must_use]
     pub fn age(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.counted_at)
     }
 
-    /// `at` gives what the requests count now.
+    /// Returns the decayed count at a time.
     #[must_use]
     pub fn at(&self, now: Instant) -> OutcomeCount {
         let left = share_left(self.age(now));
@@ -91,7 +91,7 @@
     }
 }
 
-/// What share of something seen so long ago counts still.
+/// Returns the weight that an observation of this age still has, from 0 to 1.
 pub(in crate::steering) fn share_left(age: Duration) -> f64 {
     (-age.as_secs_f64() / HALF_LIFE.as_secs_f64()).exp2()
 }
--- a/crates/valvestage-policy/src/steering/health/outlier_detector.rs
+++ b/crates/valvestage-policy/src/steering/health/outlier_detector.rs
@@ -1,10 +1,11 @@
-//! Which backend servers fail more of their requests than the others of their service.
+//! Detection of backend servers that fail more of their requests than the others of their service.
 //!
-//! A balancer reads no answers. What it sees is how many bytes callers acknowledged of each answer and
-//! how long they waited. An error is mostly much shorter than an answer; a request that hangs, or whose
-//! flow its backend server broke off, gets no answer at all. Either may also happen for good reasons,
-//! but then at every backend server alike: so what counts is a share far above that of the others.
-//! Many balancers see few requests each, and so tell each other their counts for those in question.
+//! A balancer does not read answers. It sees how many bytes of each answer callers acknowledge and
+//! how long they wait. An error is usually much shorter than a regular answer; a request that
+//! hangs, or whose flow the backend server broke off, gets no answer. Both may also have legitimate
+//! causes, but these affect all backend servers alike, so only a share far above that of the others
+//! counts. With many balancers each one sees few requests, so they exchange their counts of the
+//! backend servers in question.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -19,65 +20,67 @@
 use crate::steering::peers::peer_message::{AvoidanceReport, OutcomeReport};
 use crate::steering::seeded_draw::SeededDraw;
 
-/// Standard deviations by which the poor requests have to exceed what the others' share lets expect.
-/// Few answers are short by themselves: of 15 requests, three by chance at [`MIN_EXPECTED_SHARE`] are one
-/// case in 300, and are not enough.
+/// Standard deviations by which the number of poor requests has to exceed the number expected from
+/// the share of the others. Some answers are short without a fault: of 15 requests, three are poor
+/// by chance in one of 300 cases at [`MIN_EXPECTED_SHARE`], which is not sufficient.
 const DEVIATIONS: f64 = 2.5;
 
-/// Poor requests beyond that.
+/// Additional poor requests required on top of the deviations.
 const MARGIN: f64 = 2.0;
 
-/// The least share expected, where the others had hardly any poor request.
+/// Minimum expected share, used if the others had hardly any poor requests.
 const MIN_EXPECTED_SHARE: f64 = 0.02;
 
-/// Share of poor requests from which on a backend server that has failed before fails again, with
-/// [`RETURN_POOR`] of them.
+/// Share of poor requests from which on a backend server that has failed before counts as failing
+/// again, given at least [`RETURN_POOR`] poor requests.
 const RETURN_SHARE: f64 = 0.2;
 
-/// Poor requests that are enough after a return.
+/// Number of poor requests that is sufficient after an earlier failure.
 const RETURN_POOR: f64 = 1.0;
 
-/// How many times what is expected they have to be then.
+/// Factor by which the poor requests then have to exceed the expected number.
 const RETURN_FACTOR: f64 = 3.0;
 
-/// Poor requests seen at one balancer from which on it asks others for their counts.
+/// Number of poor requests seen by one balancer from which on it asks others for their counts.
 const POOR_TO_ASK: f64 = 0.9;
 
-/// How long a count told by another balancer is used. In the largest deployment of today each one
-/// hears two thirds of the others within this time.
+/// How long a count reported by another balancer is used. In the largest reference deployment, each
+/// balancer hears two thirds of the others within this time.
 const TOLD_FOR: Duration = Duration::from_secs(6);
 
-/// How long counts are told after they were asked for.
+/// How long counts are reported after they were asked for.
 pub(in crate::steering) const ASKED_FOR: Duration = Duration::from_secs(2);
 
-/// Poor requests that are next to none.
+/// Number of poor requests below which a backend server counts as free of failures.
 pub(in crate::steering) const HARDLY_POOR: f64 = 0.5;
 
-/// Longest avoidance that another balancer's word can start.
+/// Longest avoidance that a report of another balancer can start.
 const LONGEST_TOLD: Duration = Duration::from_secs(48);
 
-/// Backend servers reported in one heartbeat at most: some 11 bytes each for counts, 8 for those that are
-/// avoided. With 16 of each, control took up to 5 KB a second while many fail; with 8, days on which a
-/// quarter of all backend servers fail are served no worse (docs/DECISIONS.md).
+/// Maximum number of backend servers reported in a heartbeat, for counts and for avoidances each. A
+/// count takes some 11 bytes, an avoidance 8. With 16 of each, control traffic took up to 5 KB per
+/// second while many fail; with 8, simulated days on which a quarter of all backend servers fail
+/// are served no worse (docs/DECISIONS.md).
 const MAX_REPORTS: usize = 8;
 
-/// `OutlierDetector` compares the backend servers of each service.
+/// Outlier detector that compares the backend servers of each service.
 #[derive(Debug)]
 pub struct OutlierDetector {
     records: HashMap<InstanceId, OutlierRecord>,
-    /// Requests seen here, of all backend servers of a service.
+    /// Requests seen here, summed over all backend servers of a service.
     services: HashMap<ServiceName, FadingCount>,
     draw: SeededDraw,
 }
 
 impl OutlierDetector {
-    /// `new` has seen nothing. The seed is for how long backend servers are avoided.
+    /// Creates a detector without observations. The seed is for the random part of avoidance times.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self { records: HashMap::new(), services: HashMap::new(), draw: SeededDraw::new(seed) }
     }
 
-    /// `observe` takes in how a request ended, and gives what is believed anew.
+    /// Records how a request ended, and returns the decision if the backend server is avoided from
+    /// now on.
     pub fn observe(
         &mut self,
         instance: InstanceId,
@@ -102,7 +105,8 @@
         if is_poor { self.judge(instance, now) } else { None }
     }
 
-    /// `on_told` takes another balancer's counts in, and gives what is believed anew.
+    /// Records the counts that another balancer reports, and returns the decisions about backend
+    /// servers that are avoided from now on.
     pub fn on_told(
         &mut self,
         peer: SocketAddrV4,
@@ -112,7 +116,8 @@
         let mut decisions = Vec::new();
 
         for report in reports {
-            // Of a backend server without requests from here there is nothing to decide.
+            // Without requests from this balancer to the backend server, there is nothing to
+            // decide.
             let Some(record) = self.records.get_mut(&report.instance) else { continue };
             let count = report.count();
             if count.poor >= POOR_TO_ASK {
@@ -127,8 +132,8 @@
         decisions
     }
 
-    /// `on_told_avoided` takes in which backend servers another balancer has begun to avoid, and gives
-    /// what is believed anew.
+    /// Records which backend servers another balancer has begun to avoid, and returns the decisions
+    /// about those that are avoided here, too, from now on.
     pub fn on_told_avoided(
         &mut self,
         peer: SocketAddrV4,
@@ -149,8 +154,7 @@
         decisions
     }
 
-    /// `avoidances` gives the backend servers that others are to be told to avoid, those first that began
-    /// last.
+    /// Returns the avoidances to report to other balancers, the latest first.
     #[must_use]
     pub fn avoidances(&self, now: Instant) -> Vec<AvoidanceReport> {
         let is_told =
@@ -167,7 +171,7 @@
         reports.take(MAX_REPORTS).collect()
     }
 
-    /// `reports` gives the counts that other balancers are to know: the poorest first.
+    /// Returns the counts to report to other balancers, those with the most poor requests first.
     #[must_use]
     pub fn reports(&self, now: Instant) -> Vec<OutcomeReport> {
         let is_asked =
@@ -184,20 +188,21 @@
         reports.into_iter().map(|(instance, count)| OutcomeReport::new(instance, &count)).collect()
     }
 
-    /// `is_avoided` tells whether a backend server is to get new flows only if the others are much
-    /// busier.
+    /// Reports whether a backend server is avoided, so that it gets new flows only if the others
+    /// are much busier.
     #[must_use]
     pub fn is_avoided(&self, instance: InstanceId, now: Instant) -> bool {
         self.records.get(&instance).is_some_and(|record| record.is_avoided(now))
     }
 
-    /// `avoided_count` gives how many are avoided.
+    /// Returns the number of backend servers that are avoided.
     #[must_use]
     pub fn avoided_count(&self, now: Instant) -> usize {
         self.records.values().filter(|record| record.is_avoided(now)).count()
     }
 
-    /// `forget` drops what is known of backend servers, and old counts of other balancers.
+    /// Removes the records of all backend servers for which `keep` returns false, and outdated
+    /// counts of other balancers.
     pub fn forget(&mut self, keep: impl Fn(InstanceId) -> bool, now: Instant) {
         self.records.retain(|instance, _| keep(*instance));
         for record in self.records.values_mut() {
@@ -229,7 +234,7 @@
     }
 }
 
-/// Whether requests ended badly far more often than those of the other backend servers did meanwhile.
+/// Reports whether far more requests ended badly than expected from the other backend servers.
 fn stands_out(count: &OutcomeCount, has_failed: bool) -> bool {
     let OutcomeCount { poor, expected, .. } = *count;
     let is_back = poor >= RETURN_POOR
--- a/crates/valvestage-policy/src/steering/health/outlier_record.rs
+++ b/crates/valvestage-policy/src/steering/health/outlier_record.rs
@@ -1,4 +1,4 @@
-//! What is known of the requests of one backend server.
+//! State of one backend server for outlier detection.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -9,38 +9,41 @@
 use super::outcome_count::{FadingCount, OutcomeCount};
 use super::outlier_detector::{ASKED_FOR, HARDLY_POOR};
 
-/// How long a backend server is avoided the first time; doubled each further time. Each balancer
-/// draws up to [`JITTER`] more, so that the first that tries it again can warn the others.
+/// Duration of the first avoidance; doubled with each further one. Each balancer adds a random time
+/// of up to [`JITTER`] of it, so that the first one that tries the backend server again can warn
+/// the others.
 const FIRST_AVOIDANCE: Duration = Duration::from_secs(4);
 
-/// Share of an avoidance that is drawn on top of it.
+/// Maximum random addition to an avoidance, as a share of it.
 const JITTER: f64 = 0.5;
 
-/// Times that the avoidance doubles at most: 32 s then.
+/// Maximum number of doublings, which limits an avoidance to 32 s before jitter.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// A backend server that did not fail for so long after its return has never failed.
+/// Time without failures after the end of an avoidance after which earlier failures no longer
+/// count.
 const TRUST_AFTER: Duration = Duration::from_secs(20);
 
-/// Requests answered here, with next to none poor, that outweigh what others tell: a backend server
-/// may fail for the callers of one availability zone only.
+/// Number of ordinary answers seen here, with almost no poor ones, that takes precedence over
+/// reports of others: a backend server may fail only for the callers of one availability zone.
 const ANSWERED_HERE: f64 = 4.0;
 
-/// `OutlierRecord` is what is known of one backend server.
+/// Request counts and avoidance of one backend server.
 #[derive(Debug)]
 pub(in crate::steering) struct OutlierRecord {
     pub(in crate::steering) service: ServiceName,
-    /// Requests seen here.
+    /// Requests seen by this balancer.
     pub(in crate::steering) own: FadingCount,
-    /// Counts of other balancers, one each.
+    /// Latest count reported by each other balancer.
     pub(in crate::steering) told: HashMap<SocketAddrV4, FadingCount>,
-    /// Until when counts are told to others.
+    /// Time until which the counts are reported to others.
     pub(in crate::steering) in_question_until: Option<Instant>,
-    /// Until when it is, or was, avoided.
+    /// End of the current or latest avoidance.
     pub(in crate::steering) avoided_until: Option<Instant>,
-    /// Until when others are told that it is. What others told is not told on.
+    /// Time until which the avoidance is reported to others. An avoidance that was started by a
+    /// report is not passed on.
     pub(in crate::steering) telling_until: Option<Instant>,
-    /// How often it has failed; 0 again after [`TRUST_AFTER`].
+    /// Number of failures; starts again at 1 if none occurred for [`TRUST_AFTER`].
     failures: u32,
 }
 
@@ -67,7 +70,8 @@
         told.fold(self.own.at(now), |sum, count| sum.plus(&count))
     }
 
-    /// Whether what was seen here speaks so clearly for it that others' counts are not asked.
+    /// Reports whether the requests seen here are so clearly good that counts of others are
+    /// disregarded.
     pub(in crate::steering) fn is_fine_here(&self, now: Instant) -> bool {
         let own = self.own.at(now);
 
@@ -78,7 +82,7 @@
         self.failures > 0 && self.avoided_until.is_some_and(|until| now < until + TRUST_AFTER)
     }
 
-    /// Starts an avoidance by what is known here, and gives for how long.
+    /// Starts an avoidance because of the counts known here, and returns its duration.
     pub(in crate::steering) fn avoid(&mut self, draw: f64, now: Instant) -> Duration {
         self.failures = if self.has_failed_before(now) { self.failures + 1 } else { 1 };
         let time = FIRST_AVOIDANCE * (1 << (self.failures - 1).min(MAX_DOUBLINGS));
@@ -89,13 +93,13 @@
         time
     }
 
-    /// Avoids it as another balancer does, which may have seen more failures.
+    /// Starts an avoidance because another balancer reports one, which may have seen more failures.
     pub(in crate::steering) fn avoid_as_told(&mut self, left: Duration, draw: f64, now: Instant) {
         self.failures = self.failures.max(1);
         self.avoid_until(now + left.mul_f64(1.0 + JITTER * draw), now);
     }
 
-    /// What was counted so far has had its effect.
+    /// Sets the end of the avoidance, and clears the counts that led to it.
     fn avoid_until(&mut self, until: Instant, now: Instant) {
         self.avoided_until = Some(until);
         self.own = FadingCount::new(OutcomeCount::default(), now);
--- a/crates/valvestage-policy/src/steering/health/overdue_queue.rs
+++ b/crates/valvestage-policy/src/steering/health/overdue_queue.rs
@@ -1,4 +1,4 @@
-//! When each request that is under way becomes overdue.
+//! Deadlines of the requests that are under way.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -6,37 +6,37 @@
 
 use crate::steering::packets::caller_packet::FlowAddresses;
 
-/// `OverdueEntry` is one request under way. Ordered by when it becomes overdue.
+/// Deadline of one request. Entries are ordered by the time at which requests become overdue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OverdueEntry {
-    /// When it becomes overdue.
+    /// Time at which the request becomes overdue.
     pub due: Instant,
-    /// When it began; tells it from other requests of the flow.
+    /// Start of the request, which identifies it among the requests of its flow.
     pub started: Instant,
-    /// Its flow.
+    /// The flow that the request was sent on.
     pub flow: FlowAddresses,
 }
 
-/// `OverdueQueue` holds the requests under way. Those that ended meanwhile stay until they are due.
+/// Priority queue of requests by deadline. Requests that have ended stay in it until they are due.
 #[derive(Debug, Default)]
 pub struct OverdueQueue {
     entries: BinaryHeap<Reverse<OverdueEntry>>,
 }
 
 impl OverdueQueue {
-    /// `push` adds a request.
+    /// Adds a request to the queue.
     pub fn push(&mut self, entry: OverdueEntry) {
         self.entries.push(Reverse(entry));
     }
 
-    /// `pop_due` gives a request that has become overdue, if it is still under way.
+    /// Removes and returns a request whose deadline has passed; it may have ended already.
     pub fn pop_due(&mut self, now: Instant) -> Option<OverdueEntry> {
         self.entries.peek().filter(|Reverse(entry)| entry.due <= now)?;
 
         self.entries.pop().map(|Reverse(entry)| entry)
     }
 
-    /// `clear` forgets all.
+    /// Removes all requests.
     pub fn clear(&mut self) {
         self.entries.clear();
     }
--- a/crates/valvestage-policy/src/steering/health/request_judge.rs
+++ b/crates/valvestage-policy/src/steering/health/request_judge.rs
@@ -1,4 +1,4 @@
-//! How requests end, by what is usual at their address.
+//! Classification of ended requests by what is usual at their address.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -9,17 +9,18 @@
 use super::overdue_queue::{OverdueEntry, OverdueQueue};
 use crate::steering::packets::caller_packet::FlowAddresses;
 
-/// `RequestJudge` tells ordinary requests from those that got a much shorter answer than usual, or
-/// none in time.
+/// Distinguishes ordinary requests from those whose answer was much shorter than usual, or did not
+/// come in time.
 #[derive(Debug, Default)]
 pub struct RequestJudge {
-    /// By address and port that callers send to: requests of different kinds have different ones.
+    /// Norms by the address and port that callers send to, since requests of different kinds use
+    /// different ones.
     norms: HashMap<SocketAddrV4, AnswerNorm>,
     overdue: OverdueQueue,
 }
 
 impl RequestJudge {
-    /// `on_began` takes in that a request began.
+    /// Records the start of a request, and sets its deadline if the usual answer time is known.
     pub fn on_began(&mut self, flow: FlowAddresses, started: Instant) {
         let patience = self.norms.get(&flow.service).and_then(AnswerNorm::patience);
 
@@ -28,8 +29,8 @@
         }
     }
 
-    /// `on_answer_time` takes in how long an answer took, and gives the logarithm of how many times
-    /// the usual that is; none while nothing is usual.
+    /// Records the time that an answer took, and returns the natural logarithm of its ratio to the
+    /// usual time; `None` until enough answers were seen.
     pub fn on_answer_time(&mut self, service: SocketAddrV4, time: Duration) -> Option<f64> {
         let norm = self.norms.entry(service).or_default();
         let log_ratio = norm.log_ratio(time);
@@ -38,7 +39,7 @@
         log_ratio
     }
 
-    /// `is_poor` tells whether a request ended badly, and takes its answer in.
+    /// Records how a request ended, and reports whether it ended badly.
     pub fn is_poor(&mut self, service: SocketAddrV4, ended: EndedRequest) -> bool {
         if ended.answer_bytes == 0 {
             return true;
@@ -50,17 +51,18 @@
         is_short
     }
 
-    /// `pop_overdue` gives a request that should have had its answer, if it still waits.
+    /// Removes and returns a request whose deadline has passed. It may have ended already.
     pub fn pop_overdue(&mut self, now: Instant) -> Option<OverdueEntry> {
         self.overdue.pop_due(now)
     }
 
-    /// `on_pause` takes in that the process stood still: what requests waited for may have come.
+    /// Records that the process was paused: the answers of requests under way may have arrived, so
+    /// their deadlines are dropped.
     pub fn on_pause(&mut self) {
         self.overdue.clear();
     }
 
-    /// `forget` drops the norms of addresses without a route.
+    /// Removes the norms of all addresses for which `keep` returns false.
     pub fn forget(&mut self, keep: impl Fn(&SocketAddrV4) -> bool) {
         self.norms.retain(|address, _| keep(address));
     }
