--- a/crates/valvestage-policy/src/steering/health/backend_observer.rs
+++ b/crates/valvestage-policy/src/steering/health/backend_observer.rs
@@ -29,7 +29,7 @@
     decisions: Vec<Decision>,
     /// Answers since the last call of [`Self::take_answers`].
     answers: Vec<AnswerTime>,
-    /// Answers to requests that started before this time are not used as samples of the pace;
+    /// Answers to requests that started before this time are not used as samples of answer times;
     /// `None` if all are used.
     timed_from: Option<Instant>,
 }
--- a/crates/valvestage-policy/tests/steering/backend_health.rs
+++ b/crates/valvestage-policy/tests/steering/backend_health.rs
@@ -1,4 +1,4 @@
-//! When a backend server seems dead.
+//! Detection of backend servers that seem dead.
 
 use valvestage_policy::steering::health::backend_health::BackendHealth;
 use valvestage_policy::steering::packets::flow_record::{AnswerSign, FlowSign};
@@ -85,7 +85,7 @@
     health.on_told(SERVER, now);
     assert!(health.is_suspect(SERVER, now + millis(100)));
     assert!(!health.is_suspect(SERVER, now + millis(2_000)));
-    // It is not passed on: what is told goes no further than one balancer.
+    // It is not passed on: reports of other balancers are never repeated to further ones.
     assert!(health.suspects(now + millis(100)).is_empty());
 }
 
@@ -117,7 +117,7 @@
     let (mut health, now) = (BackendHealth::default(), start());
 
     health.on_told(SERVER, now + millis(190));
-    assert!(!health.is_given_up(SERVER, now + millis(191)), "hearsay alone ends no flow");
+    assert!(!health.is_given_up(SERVER, now + millis(191)), "a report of another balancer alone ends no flow");
     health.observe(SERVER, flow(1), FlowSign::Unanswered(now), now + millis(200));
     assert!(health.is_given_up(SERVER, now + millis(211)));
 }
--- a/crates/valvestage-policy/tests/steering/cold_backends.rs
+++ b/crates/valvestage-policy/tests/steering/cold_backends.rs
@@ -1,6 +1,6 @@
-//! Pattern: the backend servers of a service start together and bear few requests a second, while callers ask for more than that
-//! through every balancer of the zone. Counted over all balancers, no second may bring one of them more than it bears; and what it
-//! bears is to be used.
+//! All backend servers of a service start together and can process only few requests per second,
+//! while callers ask for more through every balancer of the zone. Summed over all balancers, no
+//! backend server may get more than its limit in any second, and most of the limit is to be used.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -16,15 +16,15 @@
 
 use crate::fixtures::{AWAY, HOME, backend, data, flow, knowledge, millis, opening, seeded, start};
 
-/// What users allow beyond the rate.
+/// How far operators allow the rate to be exceeded.
 const LIMIT: ColdLimit = ColdLimit { over: 1.5, slack: 5.0 };
 
-/// Cold backend servers in the zone.
+/// Number of cold backend servers in the zone.
 const SERVERS: u64 = 4;
 
 const TICK: Duration = Duration::from_millis(100);
 
-/// Balancers of one availability zone, and what callers open through them.
+/// The balancers of one availability zone, and the flows that callers open through them.
 struct ColdZone {
     now: Instant,
     known: Knowledge,
@@ -32,7 +32,7 @@
     members: Vec<ZoneMembers>,
     draw: SeededDraw,
     port: u16,
-    /// When each backend server got opening packets.
+    /// Times at which each backend server got opening packets.
     taken: HashMap<u64, Vec<Instant>>,
     refused: usize,
 }
@@ -43,7 +43,7 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 2, high, low), 7_000)
 }
 
-/// All balancers of a zone, as one of them knows them.
+/// Returns the members of a zone with `count` balancers as the balancer `own` knows them.
 fn view(own: usize, count: usize) -> ZoneMembers {
     let others = (0..count).filter(|other| *other != own).map(member);
 
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Callers open so many flows a second, each through any balancer.
+    /// Opens `per_second` flows per second, each through a random balancer.
     fn run(&mut self, time: Duration, per_second: u32) {
         let (end, step) = (self.now + time, Duration::from_secs(1) / per_second);
         let mut next_tick = self.now;
@@ -123,7 +123,7 @@
         }
     }
 
-    /// The most that one backend server got in any second.
+    /// Returns the largest number of flows that one backend server got in any second.
     fn most_in_a_second(&self) -> usize {
         let most = |times: &Vec<Instant>| {
             let counts = times.iter().enumerate().map(|(first, from)| {
@@ -144,7 +144,7 @@
     LIMIT.allowed(ColdRate::try_from(per_second).unwrap())
 }
 
-/// Balancers of one zone in deployments of 8, 90 and 295, and a zone of one.
+/// Balancers per zone in deployments of 8, 90 and 295 balancers, and a zone with a single one.
 const ZONE_SIZES: [usize; 4] = [1, 3, 30, 59];
 
 #[test]
@@ -160,10 +160,10 @@
     }
 }
 
-/// Share of what is allowed that is to be used where callers ask for more.
+/// Share of the limit that is to be used if callers ask for more.
 const AIM: f64 = 0.7;
 
-/// Share of what is allowed that is used where callers ask for more.
+/// Returns the share of the limit that is used if callers ask for more.
 fn used_share(balancers: usize, rate: f64, demand: u32) -> f64 {
     let seconds = 8;
     let mut zone = ColdZone::new(balancers, rate);
@@ -176,7 +176,7 @@
 #[test]
 fn most_of_it_is_used_where_callers_ask_for_more() {
     for balancers in [30, 59] {
-        // Through each balancer callers open some flows more than its parts are.
+        // Callers open somewhat more flows through each balancer than its shares allow.
         for (rate, each) in [(3.0, 20), (50.0, 100)] {
             let share = used_share(balancers, rate, each * u32::try_from(balancers).unwrap());
             assert!(share >= AIM, "{balancers} balancers, {rate}: {share:.2}");
@@ -184,7 +184,8 @@
     }
 }
 
-/// Prints what is used, also where it is less than the aim: few balancers leave much room for one more.
+/// Prints the used share, also where it is below [`AIM`]: with few holders, the room kept for one
+/// more is a large part of the limit.
 #[test]
 #[ignore = "by hand"]
 fn table_of_what_is_used() {
@@ -208,7 +209,7 @@
 #[test]
 fn one_holder_more_than_others_know_of_breaks_nothing() {
     let mut zone = ColdZone::new(30, 3.0);
-    // The last one counts as known, and half of the others have not heard of it.
+    // The last balancer counts as settled, but half of the others have not heard of it.
     for members in zone.members.iter_mut().take(15) {
         members.others.retain(|other| *other != member(29));
     }
@@ -224,7 +225,7 @@
 
     zone.policies.truncate(14);
     zone.run(Duration::from_secs(2), 400);
-    // Some have forgotten the dead ones, the others have not yet.
+    // Some balancers have removed the dead ones from their members, the others have not yet.
     for own in 0..7 {
         zone.members[own] = view(own, 14);
     }
@@ -272,7 +273,8 @@
     assert_eq!(zone.refused, 0);
 }
 
-/// A balancer that alone has parts in a cold backend server, of some 6 requests a second.
+/// Returns a balancer that holds the only share of a cold backend server, some 6 requests per
+/// second.
 fn alone() -> (SteeringPolicy, Knowledge, Instant) {
     let now = start();
     let mut known = knowledge(&[cold(1, HOME, now)]);
@@ -311,7 +313,7 @@
     let (mut policy, known, mut now) = alone();
     let PacketVerdict::Forward { token, .. } = policy.on_packet(&known, &opening(flow(1), 0), now)
     else {
-        panic!("it is not placed")
+        panic!("the first flow was not placed")
     };
     policy.on_packet(&known, &data(flow(1), token, 1_001, 100, 501), now);
     now += millis(2_000);
--- a/crates/valvestage-policy/tests/steering/fleet.rs
+++ b/crates/valvestage-policy/tests/steering/fleet.rs
@@ -1,5 +1,6 @@
-//! Pattern: a hundred balancers, of which each sees a hundredth of what its backend servers have to do. One availability
-//! zone has a tenth of the slots that the others have, and its callers ask for more than that.
+//! A hundred balancers, each of which sees a hundredth of the load of its backend servers. One
+//! availability zone has a tenth of the slots of each other zone, and its callers ask for more than
+//! that.
 
 use std::time::{Duration, Instant};
 
@@ -16,26 +17,26 @@
 const ZONES: usize = 5;
 const BALANCERS: usize = 100;
 
-/// Backend servers of each zone; `fixtures::backend` gives each two slots.
+/// Backend servers per zone; `fixtures::backend` gives each of them two slots.
 const SERVERS: [usize; ZONES] = [2, 20, 20, 20, 20];
 
-/// Requests that a backend server lets wait before it refuses.
+/// Requests that a backend server queues before it refuses.
 const QUEUE: usize = 8;
 
-/// New flows in each zone in each step, each with one request: 200 a second, or ten under way.
+/// New flows per zone and step, each with one request: 200 per second, or ten under way at a time.
 const FLOWS_EACH: usize = 2;
 
 const STEP: Duration = Duration::from_millis(10);
 const WORK: Duration = Duration::from_millis(50);
 
-/// Time in which balancers learn what is asked.
+/// Time for the balancers to learn the demand.
 const LEARNING: Duration = Duration::from_secs(3);
 
 fn zone_name(zone: usize) -> String {
     format!("zone-{zone}")
 }
 
-/// What a backend server has taken and not answered yet.
+/// A request that a backend server has accepted and not answered yet.
 struct OpenRequest {
     ends_at: Instant,
     balancer: usize,
@@ -47,15 +48,15 @@
     now: Instant,
     known: Knowledge,
     balancers: Vec<SteeringPolicy>,
-    /// When each slot of each backend server is free.
+    /// Time at which each slot of each backend server is free.
     slots: Vec<Vec<Instant>>,
     open: Vec<OpenRequest>,
     draw: SeededDraw,
     port: u16,
-    /// Whether balancers hear each other.
+    /// Whether the balancers exchange reports.
     talks: bool,
     refused: usize,
-    /// New flows of each zone.
+    /// New flows placed in each zone.
     placed: [usize; ZONES],
 }
 
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Each balancer tells four others.
+    /// Each balancer sends its report to four others.
     fn talk(&mut self) {
         for teller in 0..BALANCERS {
             let report = self.balancers[teller].report(self.now);
@@ -178,7 +179,8 @@
     assert_eq!(fleet.refused, 0);
 }
 
-/// The callers of a zone that is evacuated ask for ten requests at once, and three zones have room for twenty more each.
+/// The callers of the evacuated zone have ten requests under way, and three zones have room for
+/// twenty more each.
 #[test]
 fn the_callers_of_an_evacuated_zone_are_spread_over_the_others() {
     let mut fleet = Fleet::new(true);
@@ -190,7 +192,7 @@
     (fleet.refused, fleet.placed) = (0, [0; ZONES]);
     fleet.run(Duration::from_secs(2));
     assert_eq!((fleet.refused, fleet.placed[1]), (0, 0));
-    // The one without slots gives away as much as before.
+    // Zone 0, which is short of slots, still sends the same share away.
     let (least, most) = (fleet.placed[2..].iter().min(), fleet.placed[2..].iter().max());
     assert!(most.unwrap() - least.unwrap() <= most.unwrap() / 3, "{:?}", fleet.placed);
 }
@@ -202,7 +204,7 @@
     fleet.run(LEARNING);
     fleet.refused = 0;
     fleet.run(Duration::from_secs(2));
-    assert!(fleet.refused > 0, "what is told makes no difference here");
+    assert!(fleet.refused > 0, "no refusals even without reports");
 }
 
 #[test]
@@ -220,12 +222,14 @@
         let placed: Vec<usize> = seconds.iter().map(|second| second[zone]).collect();
         let mean = placed.iter().sum::<usize>() / placed.len();
         let swing = placed.iter().map(|count| count.abs_diff(mean)).max().unwrap();
-        // Draws alone have a variance of the mean: four standard deviations.
+        // Random draws alone have a variance equal to the mean: this allows four standard
+        // deviations.
         assert!(swing * swing <= 16 * mean, "zone {zone}: {placed:?}");
     }
 }
 
-/// A balancer of a zone that is short of slots. Another one of its zone is asked for four requests at once.
+/// Returns a balancer of a zone that is short of slots. Another balancer of its zone has four
+/// requests under way.
 fn in_a_zone_that_is_short(seed: u64, now: Instant) -> SteeringPolicy {
     let options = SteeringOptions { zone: zone_name(0), ..Default::default() };
     let mut policy = SteeringPolicy::new(options, seed);
@@ -236,7 +240,7 @@
     policy
 }
 
-/// The only other balancer of a zone tells what it is asked for.
+/// Reports the demand of the only other balancer of a zone.
 fn tell(policy: &mut SteeringPolicy, zone: usize, now: Instant) {
     let asked = if zone == 0 { 4.0 } else { 2.0 };
     let word = [ServiceDemand::new(service_digest("core"), asked)];
@@ -256,7 +260,7 @@
     knowledge(&backends)
 }
 
-/// Where each of a hundred new flows goes, through each of a hundred balancers.
+/// Returns the zones of a hundred new flows, each placed through each balancer.
 fn homes(policies: &[SteeringPolicy]) -> Vec<String> {
     let draws = (0..100).map(|draw| f64::from(draw) / 100.0);
     let each = |draw: f64| {
@@ -278,7 +282,7 @@
 
     let homes = homes(&policies);
     let count = |zone: &str| homes.iter().filter(|home| *home == zone).count();
-    // Of four requests 1.8 fit here; the others have the same room.
+    // Of four requests 1.8 fit here; the other two zones have equal room.
     assert!(count("zone-0").abs_diff(4_500) <= 200, "{}", count("zone-0"));
     assert!(count("zone-1").abs_diff(2_750) <= 200, "{}", count("zone-1"));
     assert!(count("zone-2").abs_diff(2_750) <= 200, "{}", count("zone-2"));
@@ -296,7 +300,7 @@
     tell(&mut policy, 2, later);
     policy.look_at_demand(&known, 3, later);
     let homes = homes(std::slice::from_ref(&policy));
-    assert!(homes.iter().all(|home| home != "zone-1"), "it may be cut off");
+    assert!(homes.iter().all(|home| home != "zone-1"), "flows are sent to a zone that may be cut off");
     assert!(homes.iter().any(|home| home == "zone-2"));
 }
 
--- a/crates/valvestage-policy/tests/steering/outliers.rs
+++ b/crates/valvestage-policy/tests/steering/outliers.rs
@@ -1,4 +1,4 @@
-//! Backend servers that fail more of their requests than others.
+//! Avoidance of backend servers that fail more of their requests than others.
 
 use std::time::Instant;
 
@@ -15,8 +15,8 @@
 const SERVER: u64 = 7;
 const OTHERS: [u64; 3] = [8, 9, 10];
 
-/// Requests at all backend servers, of which some end badly at [`SERVER`] only. Gives when it was
-/// avoided first.
+/// Observes requests at all backend servers, of which some end badly at [`SERVER`] only. Returns
+/// the time at which it was first avoided.
 fn observe_some(
     detector: &mut OutlierDetector,
     is_poor: impl Fn(u64) -> bool,
@@ -41,7 +41,7 @@
     let at = observe_some(&mut detector, |request| request % 2 == 0, now).expect("avoided");
     assert!(detector.is_avoided(SERVER, at));
     assert!(detector.is_avoided(SERVER, at + millis(3_900)));
-    assert!(!detector.is_avoided(SERVER, at + millis(6_000)), "it gets another chance");
+    assert!(!detector.is_avoided(SERVER, at + millis(6_000)), "the avoidance is still in force after 6 s");
 }
 
 #[test]
@@ -51,7 +51,7 @@
 
     let back = at + millis(6_000);
     let again = detector.observe(SERVER, "core", true, back);
-    assert!(matches!(again, Some(Decision::Avoided { .. })), "one poor request is enough");
+    assert!(matches!(again, Some(Decision::Avoided { .. })), "one poor request after the return is not enough");
     assert!(detector.is_avoided(SERVER, back + millis(7_000)));
 }
 
@@ -82,7 +82,8 @@
     let (mut here, now) = (OutlierDetector::new(1), start());
     let mut there = OutlierDetector::new(2);
 
-    // Here, one request at each ends badly. There, half of them do wherever they go.
+    // Here, one request ends badly at each backend server. There, half of all requests do at every
+    // one.
     for request in 0..200_u64 {
         let at = now + millis(request);
         for instance in OTHERS {
@@ -103,7 +104,7 @@
             detector.observe(SERVER, "core", port < 2, now + millis(port));
             detector.observe(OTHERS[0], "core", false, now + millis(port));
         }
-        assert!(!detector.is_avoided(SERVER, now + millis(10)), "two are too few");
+        assert!(!detector.is_avoided(SERVER, now + millis(10)), "avoided after two poor requests");
     }
 
     let [first, second] = &mut detectors;
@@ -142,7 +143,7 @@
     detector.on_told(address(1, 7_400), &[report], now + millis(10));
     let reports = detector.reports(now + millis(20));
     assert_eq!(reports.len(), 1);
-    assert!(reports[0].answered_tenths > 90, "what speaks for it is told, too");
+    assert!(reports[0].answered_tenths > 90, "ordinary answers are missing in the report");
     assert!(detector.reports(now + millis(5_000)).is_empty());
 }
 
@@ -174,13 +175,13 @@
     other.observe(SERVER, "core", false, at);
     assert_eq!(other.on_told_avoided(address(1, 7_400), &told, at).len(), 1);
     assert!(other.is_avoided(SERVER, at + millis(1_000)));
-    assert!(other.avoidances(at).is_empty(), "a mistake goes no further than one balancer's word");
+    assert!(other.avoidances(at).is_empty(), "a reported avoidance was passed on");
 
     let mut content = OutlierDetector::new(3);
     for _ in 0..10 {
         content.observe(SERVER, "core", false, at);
     }
-    assert!(content.on_told_avoided(address(1, 7_400), &told, at).is_empty(), "it answers here");
+    assert!(content.on_told_avoided(address(1, 7_400), &told, at).is_empty(), "avoided although it answers here");
 }
 
 #[test]
@@ -199,7 +200,7 @@
 fn an_answer_of_a_fifth_is_short_where_all_are_alike() {
     let mut norm = AnswerNorm::default();
 
-    // Two in five are errors already.
+    // Two of five answers are errors already.
     for step in 0..100 {
         norm.on_size(if step % 5 < 2 { 152 } else { 775 });
     }
@@ -259,13 +260,13 @@
 
     unanswered_after_answered(&mut policy, &known, now);
     policy.judge_overdue(&known, now + millis(300));
-    assert_eq!(policy.avoided_count(now + millis(300)), 0, "not yet");
+    assert_eq!(policy.avoided_count(now + millis(300)), 0, "avoided before requests are overdue");
     policy.judge_overdue(&known, now + millis(1_000));
     assert_eq!(policy.avoided_count(now + millis(1_000)), 1);
 }
 
 fn unanswered_after_answered(policy: &mut SteeringPolicy, known: &Knowledge, now: Instant) {
-    // Enough to know what is usual.
+    // Enough answers to establish the usual size and time.
     for port in 1..=20 {
         answer_one(policy, known, port, now, true);
     }
--- a/crates/valvestage-policy/tests/steering/pace.rs
+++ b/crates/valvestage-policy/tests/steering/pace.rs
@@ -1,4 +1,4 @@
-//! Backend servers that answer well, but take longer than the others.
+//! Backend servers whose answers are correct, but take longer than those of the others.
 
 use std::time::Instant;
 
@@ -12,17 +12,17 @@
 /// The backend server whose pace changes.
 const SLOW: u64 = 1;
 
-/// Backend servers, the slow one among them.
+/// Number of backend servers, including the slow one.
 const SERVERS: u64 = 5;
 
-/// Milliseconds from one request to the next: each is over before the next one begins, so that nobody
-/// has anything under way when a flow is placed.
+/// Milliseconds between two requests. Each request ends before the next one starts, so that no
+/// backend server is busy when a flow is placed.
 const INTERVAL: u64 = 100;
 
 /// Milliseconds that an answer usually takes.
 const USUAL: u64 = 15;
 
-/// One balancer before five backend servers.
+/// One balancer in front of five backend servers.
 struct Site {
     policy: SteeringPolicy,
     known: Knowledge,
@@ -43,8 +43,9 @@
         }
     }
 
-    /// Requests on flows of their own, of which some milliseconds are those of the slow one; gives how
-    /// many went there.
+    /// Sends requests, each on a flow of its own. Answers take `at_slow` milliseconds at the slow
+    /// backend server and `at_others` at the others. Returns how many requests went to the slow
+    /// one.
     fn send(&mut self, requests: u16, at_slow: u64, at_others: u64) -> u16 {
         let mut to_slow = 0;
 
@@ -75,15 +76,15 @@
 fn a_slow_backend_server_gets_few_new_flows_and_its_share_again_later() {
     let mut site = Site::new();
     let even = site.send(200, USUAL, USUAL);
-    assert!((20..=60).contains(&even), "an even share is 40: {even}");
+    assert!((20..=60).contains(&even), "{even} requests instead of an even share of 40");
 
     site.send(50, 5 * USUAL, USUAL);
     let slow = site.send(200, 5 * USUAL, USUAL);
-    assert!(slow <= 12, "an even share is 40: {slow}");
+    assert!(slow <= 12, "{slow} requests to the slow one; an even share is 40");
 
     site.send(100, USUAL, USUAL);
     let again = site.send(200, USUAL, USUAL);
-    assert!(again >= 20, "an even share is 40: {again}");
+    assert!(again >= 20, "{again} requests after the recovery; an even share is 40");
 }
 
 #[test]
@@ -93,7 +94,7 @@
 
     site.send(100, 5 * USUAL, 5 * USUAL);
     let share = site.send(200, 5 * USUAL, 5 * USUAL);
-    assert!((20..=60).contains(&share), "an even share is 40: {share}");
+    assert!((20..=60).contains(&share), "{share} requests instead of an even share of 40");
 }
 
 #[test]
@@ -102,10 +103,10 @@
 
     site.send(200, USUAL, USUAL);
     let share = site.send(200, 1, USUAL);
-    assert!((20..=60).contains(&share), "an even share is 40: {share}");
+    assert!((20..=60).contains(&share), "{share} requests instead of an even share of 40");
 }
 
-/// All backend servers at the usual pace, with so many answers each.
+/// Returns a state in which all backend servers have given this many answers at the usual pace.
 fn usual_pace(answers: u64, now: Instant) -> BackendPace {
     let mut pace = BackendPace::default();
 
--- a/crates/valvestage-policy/tests/steering/regions.rs
+++ b/crates/valvestage-policy/tests/steering/regions.rs
@@ -1,4 +1,5 @@
-//! Pattern: an address leads to backend servers of some regions only, and the balancer that takes its packets may be in another one.
+//! An address leads to backend servers of some regions only, and the balancer that receives its
+//! packets may be in another region.
 
 use valvestage_policy::steering::peers::route_catalogue::RouteCatalogue;
 use valvestage_policy::steering::{
@@ -9,7 +10,8 @@
     AWAY, HOME, at, backend, flow, front, knowledge, opening, routes, start, target,
 };
 
-/// A balancer in the region west; one backend server there and one in the region east.
+/// Returns a balancer in the region west. There is one backend server in that region and one in the
+/// region east.
 fn balancer() -> SteeringPolicy {
     let options = SteeringOptions {
         zone: HOME.to_owned(),
--- a/crates/valvestage-policy/tests/steering/requests.rs
+++ b/crates/valvestage-policy/tests/steering/requests.rs
@@ -1,4 +1,4 @@
-//! Requests on flows of their own, one of whose backend servers is bad.
+//! Load of requests on one flow each, with one backend server that answers differently.
 
 use std::time::Instant;
 
@@ -11,31 +11,31 @@
 /// The backend server that answers differently.
 const BAD: u64 = 1;
 
-/// Backend servers, the bad one among them.
+/// Number of backend servers, including the bad one.
 const SERVERS: u64 = 5;
 
-/// Requests, of which the second half is counted.
+/// Number of requests, of which the second half is counted.
 const REQUESTS: u16 = 400;
 
-/// `FixedAnswers` says what backend servers answer.
+/// Size of the answers of backend servers.
 pub struct FixedAnswers {
-    /// Bytes of an answer of all but the bad one.
+    /// Bytes of an answer of a good backend server.
     pub usual: u32,
-    /// Bytes of an answer of the bad one; 0: callers give up without an answer.
+    /// Bytes of an answer of the bad backend server; 0 if callers give up without an answer.
     pub at_bad: u32,
 }
 
-/// `RequestRun` is where requests went.
+/// Distribution of the requests over backend servers.
 #[derive(Debug)]
 pub struct RequestRun {
-    /// Of the second half, how many went to the bad one.
+    /// Requests of the second half that went to the bad backend server.
     pub at_bad_late: usize,
-    /// Of the second half, how many an even share is.
+    /// An even share of the second half.
     pub per_server_late: usize,
 }
 
 impl RequestRun {
-    /// `play` sends a request every 10 ms.
+    /// Sends a request every 10 ms, and returns where they went.
     pub fn play(mut policy: SteeringPolicy, answers: FixedAnswers) -> Self {
         let servers: Vec<_> = (1..=SERVERS).map(|id| backend(id, "core", HOME)).collect();
         let known = knowledge(&servers);
@@ -53,8 +53,8 @@
     }
 }
 
-/// One request, from its opening packet to the caller's last; its answer comes at once, so that
-/// all backend servers stay equally busy.
+/// Plays one request, from its opening packet to the last packet of the caller. The answer comes at
+/// once, so that all backend servers stay equally busy.
 fn play_one(
     policy: &mut SteeringPolicy,
     known: &Knowledge,
--- a/crates/valvestage-policy/tests/steering/zone_shares.rs
+++ b/crates/valvestage-policy/tests/steering/zone_shares.rs
@@ -1,4 +1,4 @@
-//! Pattern: one availability zone has fewer slots than its callers ask for, and others idle.
+//! One availability zone has fewer slots than its callers ask for, while other zones are idle.
 
 use quickcheck::TestResult;
 use valvestage_policy::steering::placement::zone_shares::{SPILL_FROM, ZoneLoad, ZoneShares};
@@ -12,7 +12,7 @@
     ZoneLoad { zone: zone.to_owned(), is_far: zone == FAR, demand, slots }
 }
 
-/// The share of a zone, by a thousand even draws.
+/// Returns the share of a zone, from a thousand evenly spaced draws.
 fn share(shares: &ZoneShares, zone: &str) -> f64 {
     const DRAWS: u32 = 1_000;
     let falls_there = |draw: &u32| {
@@ -30,7 +30,7 @@
 
 #[track_caller]
 fn assert_near(found: f64, expected: f64) {
-    assert!((found - expected).abs() < 0.01, "{found} in place of {expected}");
+    assert!((found - expected).abs() < 0.01, "{found} instead of {expected}");
 }
 
 #[test]
@@ -45,7 +45,7 @@
     let zones = [load(HOME, 20.0, 10.0), load(AWAY, 10.0, 100.0), load(THIRD, 5.0, 50.0)];
     let shares = shares(&zones);
 
-    // Of 20 requests 9 fit; the others have room for 80 and 40.
+    // Of 20 requests 9 fit; the other zones have room for 80 and 40.
     assert_near(share(&shares, HOME), 9.0 / 20.0);
     assert_near(share(&shares, AWAY), 11.0 / 20.0 * 80.0 / 120.0);
     assert_near(share(&shares, THIRD), 11.0 / 20.0 * 40.0 / 120.0);
@@ -96,7 +96,8 @@
     assert!(shares(&[load(HOME, 0.0, 0.0), load(AWAY, 0.0, 0.0)]).stays_home());
 }
 
-/// When each zone's callers go by their shares, no zone of the region is asked for more than the level, or than all are.
+/// If the callers of each zone follow their shares, no zone of the region gets more demand than the
+/// spill level, or than the average utilization if that is higher.
 #[test]
 fn together_they_overload_no_zone() {
     fn property(mut zones: Vec<(u8, u8)>) -> TestResult {
