--- a/crates/valvestage-policy/src/steering/entry_policy.rs
+++ b/crates/valvestage-policy/src/steering/entry_policy.rs
@@ -29,12 +29,12 @@
 
 /// A gap between two ticks of at least this length counts as a pause of the process. Ticks come at
 /// least every 100 ms, and somewhat later on a slow or busy VM.
-const PAUSE: Duration = Duration::from_secs(1);
+const MIN_PAUSE: Duration = Duration::from_secs(1);
 
 /// After a gap between two ticks of at least this length, packets may have arrived that have not
 /// been read yet: two ticks of [`TICK_INTERVAL`] were missed. A request is overdue after 400 ms at
 /// the earliest.
-const STANDSTILL: Duration = Duration::from_millis(300);
+const MIN_STANDSTILL: Duration = Duration::from_millis(300);
 
 /// A balancer may be cut off from the store if the store has confirmed nothing to it for this time,
 /// neither directly nor through other balancers. Confirmations come every 1.5 s, and within 3.3 s
@@ -43,7 +43,7 @@
 
 /// A balancer may be cut off from the other availability zones if it has heard none of their
 /// balancers for this time. Each balancer sends a heartbeat to four of all others every 400 ms.
-const SILENT_ZONES: Duration = Duration::from_millis(1_500);
+const ZONE_SILENCE: Duration = Duration::from_millis(1_500);
 
 /// Start-up options of a balancer.
 #[derive(Debug, Clone)]
@@ -271,7 +271,7 @@
         }
         self.last_tick = now;
         self.next_tick = now + TICK_INTERVAL;
-        self.look_at_zones(now);
+        self.update_zones(now);
         self.steering.look_at_demand(&self.knowledge, self.keeper.peer_count(), now);
         self.steering.look_at_wanted(&self.knowledge, now);
         self.report = self.steering.report(now);
@@ -285,7 +285,7 @@
     }
 
     /// Updates the members of this availability zone, the ended evacuations and the isolation.
-    fn look_at_zones(&mut self, now: Instant) {
+    fn update_zones(&mut self, now: Instant) {
         if self.steering.limits_cold() {
             let members = self.keeper.zone_members(now);
             self.steering.look_at_members(&self.knowledge, &members, now);
@@ -305,7 +305,7 @@
     /// serve its callers in that case.
     fn is_isolated(&self, now: Instant) -> bool {
         let is_unconfirmed = self.knowledge.age(now).is_some_and(|age| age >= ISOLATED_AFTER);
-        let hears_others = self.knowledge.contacts.hears_others(SILENT_ZONES, now);
+        let hears_others = self.knowledge.contacts.hears_others(ZONE_SILENCE, now);
 
         self.has_other_zones && is_unconfirmed && !hears_others
     }
@@ -314,7 +314,7 @@
     /// are read before the next tick.
     fn note_gap(&mut self, now: Instant) {
         let gap = now.saturating_duration_since(self.last_tick);
-        if self.is_gap_noted || gap < STANDSTILL {
+        if self.is_gap_noted || gap < MIN_STANDSTILL {
             return;
         }
 
@@ -323,7 +323,7 @@
         self.standstill = Some(Standstill { since: self.last_tick, read_until });
         self.steering.on_standstill(now);
         // After a longer gap the knowledge is outdated, so other balancers are asked at once.
-        if gap >= PAUSE {
+        if gap >= MIN_PAUSE {
             self.decisions.push(Decision::Paused { time: gap });
             // The store may have been unavailable in the meantime, so entries that lapsed before
             // get the full time to return.
--- a/crates/valvestage-policy/src/steering/health/answer_norm.rs
+++ b/crates/valvestage-policy/src/steering/health/answer_norm.rs
@@ -20,17 +20,17 @@
 /// Minimum distance of a short answer from the median, as a natural logarithm (ln 3): an answer of
 /// more than a third of the usual size is never short, however similar the others are. An error has
 /// some 150 bytes.
-const SHORT_AT_LEAST: f64 = 1.098_6;
+const MIN_SHORT_MARGIN: f64 = 1.098_6;
 
 /// A request is overdue after this multiple of the usual answer time.
 const OVERDUE_FACTOR: u32 = 6;
 
 /// Minimum time before a request is overdue; a lost packet is retransmitted after 200 ms.
-const OVERDUE_AT_LEAST: Duration = Duration::from_millis(400);
+const MIN_OVERDUE_AFTER: Duration = Duration::from_millis(400);
 
 /// Shorter times are treated as equal to this one, the round-trip time of a datagram within an
 /// availability zone.
-const SHORTEST_TIME: Duration = Duration::from_micros(500);
+const MIN_TIME: Duration = Duration::from_micros(500);
 
 /// Tracks the usual size of answers and the usual time that they take.
 #[derive(Debug, Clone, Default)]
@@ -59,7 +59,7 @@
     pub fn on_time(&mut self, time: Duration) {
         self.times = self.times.saturating_add(1);
 
-        let weight = weight_after(self.times);
+        let weight = sample_weight(self.times);
         self.seconds += weight * (time.as_secs_f64() - self.seconds);
         self.log_seconds += weight * (log_of_time(time) - self.log_seconds);
     }
@@ -88,26 +88,26 @@
         let squares = upper.iter().map(|log| (log - median).powi(2)).sum::<f64>();
         let deviation = (squares / as_f64(upper.len())).sqrt();
 
-        let margin = (SHORT_DEVIATIONS * deviation).max(SHORT_AT_LEAST);
+        let margin = (SHORT_DEVIATIONS * deviation).max(MIN_SHORT_MARGIN);
         log_of(bytes) < median - margin
     }
 
     /// Returns how long a request may wait before it is overdue; `None` until enough answers were
     /// seen.
     #[must_use]
-    pub fn patience(&self) -> Option<Duration> {
+    pub fn overdue_after(&self) -> Option<Duration> {
         if self.times < MIN_SAMPLES {
             return None;
         }
 
         let usual = Duration::try_from_secs_f64(self.seconds).unwrap_or(Duration::MAX);
-        Some(usual.saturating_mul(OVERDUE_FACTOR).max(OVERDUE_AT_LEAST))
+        Some(usual.saturating_mul(OVERDUE_FACTOR).max(MIN_OVERDUE_AFTER))
     }
 }
 
 /// Returns the weight of a sample. The first samples weigh more, so that the average is not biased
 /// towards its initial value 0.
-fn weight_after(samples: usize) -> f64 {
+fn sample_weight(samples: usize) -> f64 {
     (1.0 / as_f64(samples)).max(WEIGHT)
 }
 
@@ -116,7 +116,7 @@
 }
 
 fn log_of_time(time: Duration) -> f64 {
-    time.max(SHORTEST_TIME).as_secs_f64().ln()
+    time.max(MIN_TIME).as_secs_f64().ln()
 }
 
 fn as_f64(count: usize) -> f64 {
--- a/crates/valvestage-policy/src/steering/health/backend_health.rs
+++ b/crates/valvestage-policy/src/steering/health/backend_health.rs
@@ -25,7 +25,7 @@
 const FLOWS_TO_GIVE_UP: usize = 3;
 
 /// The same number while another balancer also reports the suspicion.
-const FLOWS_TO_AGREE: usize = 1;
+const FLOWS_TO_CONFIRM: usize = 1;
 
 /// Duration of a suspicion, after which a new flow tries the backend server again. The entry of a
 /// dead backend server disappears after some 2.3 s.
@@ -35,12 +35,12 @@
 const MISS_WINDOW: Duration = Duration::from_secs(2);
 
 /// How long a suspicion reported by another balancer counts. Each heartbeat repeats it.
-const TOLD_FOR: Duration = Duration::from_millis(1_000);
+const PEER_REPORT_TTL: Duration = Duration::from_millis(1_000);
 
 /// Maximum number of suspects reported in a heartbeat, the latest first. More suspects mean that
 /// the fault is elsewhere, and together with counts and avoidances this limit keeps control traffic
 /// within 4 KB per second.
-pub(in crate::steering) const MAX_TOLD: usize = 8;
+pub(in crate::steering) const MAX_REPORTED_SUSPECTS: usize = 8;
 
 /// Signs of life and missing answers of one backend server.
 #[derive(Debug, Default)]
@@ -52,7 +52,7 @@
     /// Start of the current or latest uninterrupted suspicion; kept after its end.
     suspect_since: Option<Instant>,
     /// Time until which a suspicion reported by another balancer counts.
-    told_until: Option<Instant>,
+    peer_suspects_until: Option<Instant>,
 }
 
 /// Failure detector that collects signs of life and missing answers of backend servers.
@@ -84,18 +84,18 @@
         record.last_life = Some(now);
         record.misses.clear();
         record.suspect_until = None;
-        record.told_until = None;
+        record.peer_suspects_until = None;
         was_suspect.then_some(Decision::Cleared { instance })
     }
 
     /// Records that another balancer suspects a backend server.
-    pub fn on_told(&mut self, instance: InstanceId, now: Instant) {
+    pub fn on_peer_suspicion(&mut self, instance: InstanceId, now: Instant) {
         /// A sign of life seen here within this time takes precedence over reports of others.
-        const LIFE_COUNTS_FOR: Duration = Duration::from_millis(500);
+        const LIFE_PRECEDENCE: Duration = Duration::from_millis(500);
 
         let record = self.records.entry(instance).or_default();
-        if record.last_life.is_none_or(|life| now - life > LIFE_COUNTS_FOR) {
-            record.told_until = Some(now + TOLD_FOR);
+        if record.last_life.is_none_or(|life| now - life > LIFE_PRECEDENCE) {
+            record.peer_suspects_until = Some(now + PEER_REPORT_TTL);
         }
     }
 
@@ -150,15 +150,15 @@
     pub fn is_suspect(&self, instance: InstanceId, now: Instant) -> bool {
         self.records
             .get(&instance)
-            .is_some_and(|record| record.suspect_until.max(record.told_until) > Some(now))
+            .is_some_and(|record| record.suspect_until.max(record.peer_suspects_until) > Some(now))
     }
 
     /// Reports whether enough flows miss an answer for the flows of a backend server to be ended.
     #[must_use]
     pub fn is_given_up(&self, instance: InstanceId, now: Instant) -> bool {
         self.records.get(&instance).is_some_and(|record| {
-            let is_told = record.told_until > Some(now);
-            let needed = if is_told { FLOWS_TO_AGREE } else { FLOWS_TO_GIVE_UP };
+            let is_confirmed = record.peer_suspects_until > Some(now);
+            let needed = if is_confirmed { FLOWS_TO_CONFIRM } else { FLOWS_TO_GIVE_UP };
             let counts = |(_, at): &&(FlowAddresses, Instant)| now - *at <= MISS_WINDOW;
             record.misses.iter().filter(counts).count() >= needed
         })
--- a/crates/valvestage-policy/src/steering/health/backend_observer.rs
+++ b/crates/valvestage-policy/src/steering/health/backend_observer.rs
@@ -5,7 +5,7 @@
 
 use valvestage_core::ids::InstanceId;
 
-use super::backend_health::{BackendHealth, MAX_TOLD};
+use super::backend_health::{BackendHealth, MAX_REPORTED_SUSPECTS};
 use super::backend_pace::BackendPace;
 use super::flow_request::EndedRequest;
 use super::outlier_detector::OutlierDetector;
@@ -83,7 +83,7 @@
     pub fn report(&self, now: Instant) -> HealthReport {
         let mut suspects = self.health.suspects(now);
 
-        suspects.truncate(MAX_TOLD);
+        suspects.truncate(MAX_REPORTED_SUSPECTS);
         HealthReport {
             suspects,
             outcomes: self.outliers.reports(now),
@@ -94,11 +94,11 @@
     /// Records the observations that another balancer reports.
     pub fn on_report(&mut self, peer: SocketAddrV4, report: &HealthReport, now: Instant) {
         for instance in &report.suspects {
-            self.health.on_told(*instance, now);
+            self.health.on_peer_suspicion(*instance, now);
         }
 
-        self.decisions.extend(self.outliers.on_told_avoided(peer, &report.avoided, now));
-        self.decisions.extend(self.outliers.on_told(peer, &report.outcomes, now));
+        self.decisions.extend(self.outliers.on_peer_avoidances(peer, &report.avoided, now));
+        self.decisions.extend(self.outliers.on_peer_counts(peer, &report.outcomes, now));
     }
 
     /// Records what a packet shows about the backend server of its flow.
@@ -175,8 +175,8 @@
         let log_ratio = self.judge.on_answer_time(flow.service, time);
 
         if let (Some(log_ratio), Some(entry)) = (log_ratio, knowledge.directory.get(instance)) {
-            let news = self.pace.on_answer(instance, &entry.service, log_ratio, now);
-            self.decisions.extend(news);
+            let decision = self.pace.on_answer(instance, &entry.service, log_ratio, now);
+            self.decisions.extend(decision);
         }
     }
 
@@ -191,8 +191,8 @@
         let is_poor = self.judge.is_poor(flow.service, ended);
 
         if let Some(entry) = knowledge.directory.get(instance) {
-            let news = self.outliers.observe(instance, &entry.service, is_poor, now);
-            self.decisions.extend(news);
+            let decision = self.outliers.observe(instance, &entry.service, is_poor, now);
+            self.decisions.extend(decision);
         }
     }
 }
--- a/crates/valvestage-policy/src/steering/health/backend_pace.rs
+++ b/crates/valvestage-policy/src/steering/health/backend_pace.rs
@@ -13,7 +13,7 @@
 
 use valvestage_core::ids::{InstanceId, ServiceName};
 
-use super::outcome_count::share_left;
+use super::outcome_count::decayed_weight;
 use crate::steering::decision::Decision;
 
 /// Number of virtual answers at the median pace that are added to those of a backend server. On
@@ -23,11 +23,11 @@
 
 /// Limit on the ratio of one answer to the usual time, since a packet of a slower answer may have
 /// been lost.
-const MOST_FACTOR: f64 = 8.0;
+const MAX_ANSWER_FACTOR: f64 = 8.0;
 
 /// Placement rounds the pace to multiples of this value, so that backend servers of similar pace
 /// rank equal, and none is deprived of flows because it was slightly slower once.
-const STEP: f64 = 0.25;
+const PACE_STEP: f64 = 0.25;
 
 /// A backend server is logged as slow from this pace on. Placement reacts to smaller factors, too;
 /// this only limits what is logged.
@@ -37,13 +37,13 @@
 const RECOVERED_FACTOR: f64 = 1.4;
 
 /// Number of answers needed to log either; the times of single answers vary by half of the mean.
-const ANSWERS_TO_TELL: f64 = 3.0;
+const MIN_ANSWERS_TO_LOG: f64 = 3.0;
 
 /// Number of answers from which on a backend server counts for the median.
-const ANSWERS_TO_COMPARE: f64 = 0.5;
+const MIN_ANSWERS_TO_COMPARE: f64 = 0.5;
 
 /// Number of backend servers needed for a median: of two, either may be the one that has changed.
-const LEAST_COMPARED: usize = 3;
+const MIN_COMPARED_BACKENDS: usize = 3;
 
 /// Sum of the logarithms of the ratios of one backend server's answer times to the usual time.
 #[derive(Debug, Clone)]
@@ -64,7 +64,7 @@
     }
 
     fn add(&mut self, log_ratio: f64, now: Instant) {
-        let left = self.left(now);
+        let left = self.remaining_weight(now);
 
         self.log_sum = self.log_sum * left + log_ratio;
         self.answers = self.answers * left + 1.0;
@@ -73,12 +73,12 @@
 
     /// Returns the fraction of their weight that the answers still have. They decay like outcomes
     /// of requests.
-    fn left(&self, now: Instant) -> f64 {
-        share_left(now.saturating_duration_since(self.counted_at))
+    fn remaining_weight(&self, now: Instant) -> f64 {
+        decayed_weight(now.saturating_duration_since(self.counted_at))
     }
 
     fn answers(&self, now: Instant) -> f64 {
-        self.answers * self.left(now)
+        self.answers * self.remaining_weight(now)
     }
 
     /// Returns the mean logarithm of the ratios, regardless of their age.
@@ -112,7 +112,7 @@
         log_ratio: f64,
         now: Instant,
     ) -> Option<Decision> {
-        let limit = MOST_FACTOR.ln();
+        let limit = MAX_ANSWER_FACTOR.ln();
         let record = self.records.entry(instance).or_insert_with(|| PaceRecord::new(service, now));
 
         record.add(log_ratio.clamp(-limit, limit), now);
@@ -124,9 +124,9 @@
     #[must_use]
     pub fn median(&self, service: &str, now: Instant) -> Option<f64> {
         let of_service = self.records.values().filter(|record| record.service == service);
-        let compared = of_service.filter(|record| record.answers(now) >= ANSWERS_TO_COMPARE);
+        let compared = of_service.filter(|record| record.answers(now) >= MIN_ANSWERS_TO_COMPARE);
         let mut paces: Vec<f64> = compared.map(PaceRecord::log_pace).collect();
-        if paces.len() < LEAST_COMPARED {
+        if paces.len() < MIN_COMPARED_BACKENDS {
             return None;
         }
 
@@ -144,7 +144,7 @@
             return 1.0;
         };
 
-        ((record.factor(median, now) / STEP).round() * STEP).max(1.0)
+        ((record.factor(median, now) / PACE_STEP).round() * PACE_STEP).max(1.0)
     }
 
     /// Removes the records of all backend servers for which `keep` returns false.
@@ -156,7 +156,7 @@
     fn judge(&mut self, instance: InstanceId, now: Instant) -> Option<Decision> {
         let record = self.records.get(&instance)?;
         let answers = record.answers(now);
-        if answers < ANSWERS_TO_TELL {
+        if answers < MIN_ANSWERS_TO_LOG {
             return None;
         }
         let factor = record.factor(self.median(&record.service, now)?, now);
--- a/crates/valvestage-policy/src/steering/health/outcome_count.rs
+++ b/crates/valvestage-policy/src/steering/health/outcome_count.rs
@@ -54,12 +54,12 @@
 
 /// A count that halves after each [`HALF_LIFE`].
 #[derive(Debug, Clone, Copy)]
-pub struct FadingCount {
+pub struct DecayingCount {
     count: OutcomeCount,
     counted_at: Instant,
 }
 
-impl FadingCount {
+impl DecayingCount {
     /// Creates a count with this value at the time `now`.
     #[must_use]
     pub fn new(count: OutcomeCount, now: Instant) -> Self {
@@ -81,7 +81,7 @@
     /// Returns the decayed count at a time.
     #[must_use]
     pub fn at(&self, now: Instant) -> OutcomeCount {
-        let left = share_left(self.age(now));
+        let left = decayed_weight(self.age(now));
 
         OutcomeCount {
             answered: self.count.answered * left,
@@ -92,6 +92,6 @@
 }
 
 /// Returns the weight that an observation of this age still has, from 0 to 1.
-pub(in crate::steering) fn share_left(age: Duration) -> f64 {
+pub(in crate::steering) fn decayed_weight(age: Duration) -> f64 {
     (-age.as_secs_f64() / HALF_LIFE.as_secs_f64()).exp2()
 }
--- a/crates/valvestage-policy/src/steering/health/outlier_detector.rs
+++ b/crates/valvestage-policy/src/steering/health/outlier_detector.rs
@@ -14,7 +14,7 @@
 
 use valvestage_core::ids::{InstanceId, ServiceName};
 
-use super::outcome_count::{FadingCount, OutcomeCount};
+use super::outcome_count::{DecayingCount, OutcomeCount};
 use super::outlier_record::OutlierRecord;
 use crate::steering::decision::Decision;
 use crate::steering::peers::peer_message::{AvoidanceReport, OutcomeReport};
@@ -46,16 +46,16 @@
 
 /// How long a count reported by another balancer is used. In the largest reference deployment, each
 /// balancer hears two thirds of the others within this time.
-const TOLD_FOR: Duration = Duration::from_secs(6);
+const PEER_COUNT_TTL: Duration = Duration::from_secs(6);
 
 /// How long counts are reported after they were asked for.
-pub(in crate::steering) const ASKED_FOR: Duration = Duration::from_secs(2);
+pub(in crate::steering) const REPORT_PERIOD: Duration = Duration::from_secs(2);
 
 /// Number of poor requests below which a backend server counts as free of failures.
-pub(in crate::steering) const HARDLY_POOR: f64 = 0.5;
+pub(in crate::steering) const NEGLIGIBLE_POOR: f64 = 0.5;
 
 /// Longest avoidance that a report of another balancer can start.
-const LONGEST_TOLD: Duration = Duration::from_secs(48);
+const MAX_PEER_AVOIDANCE: Duration = Duration::from_secs(48);
 
 /// Maximum number of backend servers reported in a heartbeat, for counts and for avoidances each. A
 /// count takes some 11 bytes, an avoidance 8. With 16 of each, control traffic took up to 5 KB per
@@ -68,7 +68,7 @@
 pub struct OutlierDetector {
     records: HashMap<InstanceId, OutlierRecord>,
     /// Requests seen here, summed over all backend servers of a service.
-    services: HashMap<ServiceName, FadingCount>,
+    services: HashMap<ServiceName, DecayingCount>,
     draw: SeededDraw,
 }
 
@@ -97,9 +97,9 @@
         let one = OutcomeCount { answered: 1.0 - poor, poor, expected };
         record.own.add(&one, now);
         if record.own.at(now).poor >= POOR_TO_ASK {
-            record.in_question_until = Some(now + ASKED_FOR);
+            record.report_counts_until = Some(now + REPORT_PERIOD);
         }
-        let none = || FadingCount::new(OutcomeCount::default(), now);
+        let none = || DecayingCount::new(OutcomeCount::default(), now);
         self.services.entry(service.to_owned()).or_insert_with(none).add(&one, now);
 
         if is_poor { self.judge(instance, now) } else { None }
@@ -107,7 +107,7 @@
 
     /// Records the counts that another balancer reports, and returns the decisions about backend
     /// servers that are avoided from now on.
-    pub fn on_told(
+    pub fn on_peer_counts(
         &mut self,
         peer: SocketAddrV4,
         reports: &[OutcomeReport],
@@ -121,12 +121,12 @@
             let Some(record) = self.records.get_mut(&report.instance) else { continue };
             let count = report.count();
             if count.poor >= POOR_TO_ASK {
-                record.in_question_until = Some(now + ASKED_FOR);
+                record.report_counts_until = Some(now + REPORT_PERIOD);
             }
             if record.is_avoided(now) {
                 continue;
             }
-            record.told.insert(peer, FadingCount::new(count, now));
+            record.peer_counts.insert(peer, DecayingCount::new(count, now));
             decisions.extend(self.judge(report.instance, now));
         }
         decisions
@@ -134,7 +134,7 @@
 
     /// Records which backend servers another balancer has begun to avoid, and returns the decisions
     /// about those that are avoided here, too, from now on.
-    pub fn on_told_avoided(
+    pub fn on_peer_avoidances(
         &mut self,
         peer: SocketAddrV4,
         reports: &[AvoidanceReport],
@@ -144,11 +144,11 @@
 
         for AvoidanceReport { instance, left_ms } in reports {
             let Some(record) = self.records.get_mut(instance) else { continue };
-            if record.is_avoided(now) || record.is_fine_here(now) {
+            if record.is_avoided(now) || record.is_healthy_here(now) {
                 continue;
             }
-            let left = Duration::from_millis((*left_ms).into()).min(LONGEST_TOLD);
-            record.avoid_as_told(left, self.draw.unit(), now);
+            let left = Duration::from_millis((*left_ms).into()).min(MAX_PEER_AVOIDANCE);
+            record.avoid_as_reported(left, self.draw.unit(), now);
             decisions.push(Decision::AvoidedAsTold { instance: *instance, peer, left });
         }
         decisions
@@ -157,12 +157,12 @@
     /// Returns the avoidances to report to other balancers, the latest first.
     #[must_use]
     pub fn avoidances(&self, now: Instant) -> Vec<AvoidanceReport> {
-        let is_told =
-            |record: &OutlierRecord| record.telling_until.is_some_and(|until| until > now);
-        let told = self.records.iter().filter(|(_, record)| is_told(record));
-        let mut told: Vec<_> = told.collect();
-        told.sort_unstable_by_key(|(instance, record)| (Reverse(record.telling_until), **instance));
-        let reports = told.into_iter().filter_map(|(instance, record)| {
+        let is_reported =
+            |record: &OutlierRecord| record.notify_until.is_some_and(|until| until > now);
+        let sent = self.records.iter().filter(|(_, record)| is_reported(record));
+        let mut sent: Vec<_> = sent.collect();
+        sent.sort_unstable_by_key(|(instance, record)| (Reverse(record.notify_until), **instance));
+        let reports = sent.into_iter().filter_map(|(instance, record)| {
             let left = record.avoided_until?.saturating_duration_since(now);
             let left_ms = u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
             Some(AvoidanceReport { instance: *instance, left_ms })
@@ -175,11 +175,11 @@
     #[must_use]
     pub fn reports(&self, now: Instant) -> Vec<OutcomeReport> {
         let is_asked =
-            |record: &OutlierRecord| record.in_question_until.is_some_and(|until| until > now);
+            |record: &OutlierRecord| record.report_counts_until.is_some_and(|until| until > now);
         let asked = self.records.iter().filter(|(_, record)| is_asked(record));
         let reports = asked.map(|(instance, record)| (*instance, record.own.at(now)));
         let mut reports: Vec<_> =
-            reports.filter(|(_, count)| count.total() >= HARDLY_POOR).collect();
+            reports.filter(|(_, count)| count.total() >= NEGLIGIBLE_POOR).collect();
 
         reports.sort_by(|(a, first), (b, second)| {
             second.poor.total_cmp(&first.poor).then_with(|| a.cmp(b))
@@ -206,7 +206,7 @@
     pub fn forget(&mut self, keep: impl Fn(InstanceId) -> bool, now: Instant) {
         self.records.retain(|instance, _| keep(*instance));
         for record in self.records.values_mut() {
-            record.told.retain(|_, count| count.age(now) < TOLD_FOR);
+            record.peer_counts.retain(|_, count| count.age(now) < PEER_COUNT_TTL);
         }
         let records = &self.records;
         self.services.retain(|service, _| records.values().any(|r| r.service == *service));
@@ -220,15 +220,15 @@
 
         let own = record.own.at(now);
         let has_failed = record.has_failed_before(now);
-        record.told.retain(|_, count| count.age(now) < TOLD_FOR);
-        let known = record.with_told(now);
+        record.peer_counts.retain(|_, count| count.age(now) < PEER_COUNT_TTL);
+        let known = record.total_count(now);
         let is_outlier = stands_out(&own, has_failed)
-            || !record.is_fine_here(now) && stands_out(&known, has_failed);
+            || !record.is_healthy_here(now) && stands_out(&known, has_failed);
         if !is_outlier {
             return None;
         }
 
-        let told_by = record.told.len();
+        let told_by = record.peer_counts.len();
         let avoided_for = record.avoid(self.draw.unit(), now);
         Some(Decision::Avoided { instance, count: known, told_by, avoided_for })
     }
--- a/crates/valvestage-policy/src/steering/health/request_judge.rs
+++ b/crates/valvestage-policy/src/steering/health/request_judge.rs
@@ -22,9 +22,9 @@
 impl RequestJudge {
     /// Records the start of a request, and sets its deadline if the usual answer time is known.
     pub fn on_began(&mut self, flow: FlowAddresses, started: Instant) {
-        let patience = self.norms.get(&flow.service).and_then(AnswerNorm::patience);
+        let overdue_after = self.norms.get(&flow.service).and_then(AnswerNorm::overdue_after);
 
-        if let Some(patience) = patience {
+        if let Some(patience) = overdue_after {
             self.overdue.push(OverdueEntry { due: started + patience, started, flow });
         }
     }
--- a/crates/valvestage-policy/src/steering/placement.rs
+++ b/crates/valvestage-policy/src/steering/placement.rs
@@ -8,14 +8,14 @@
 //! | [`zone_shares`] | shares of new flows by availability zone, derived from the demand |
 //! | [`cold_shares`] | limit on the requests that this balancer sends to cold backend servers |
 //! | [`backend_load`] | load of each backend server as seen by this balancer |
-//! | `left_out` | reasons why backend servers get no new flows at present |
+//! | `exclusion` | reasons why backend servers get no new flows at present |
 //! | [`steering_options`] | limits and weights of steering |
 
 pub mod backend_choice;
 pub mod backend_load;
 pub mod cold_shares;
+pub(in crate::steering) mod exclusion;
 pub mod fleet_demand;
 pub(in crate::steering) mod flow_placer;
-pub(in crate::steering) mod left_out;
 pub mod steering_options;
 pub mod zone_shares;
--- a/crates/valvestage-policy/src/steering/placement/cold_shares.rs
+++ b/crates/valvestage-policy/src/steering/placement/cold_shares.rs
@@ -4,10 +4,10 @@
 //! balancers together. The balancers neither share a counter nor can they coordinate, since they
 //! may be cut off from each other. The rate is therefore divided among few of them: the first ones
 //! by rendezvous hashing over the balancers of the backend server's availability zone get equal
-//! parts, each of which enforces its own part, and no other balancer sends flows to the backend
+//! shares, each of which enforces its own share, and no other balancer sends flows to the backend
 //! server. A balancer that is cut off from the zone does not reach the backend server either, so
 //! the two sides of a partition cannot both use the same rate. A balancer that may still be unknown
-//! to the others gets no part.
+//! to the others gets no share.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hasher;
@@ -49,10 +49,10 @@
 }
 
 /// Returns how many of the allowed requests per second the holder with this rank may send. All
-/// parts together leave room for one further holder, since the balancers may briefly disagree on
+/// shares together leave room for one further holder, since the balancers may briefly disagree on
 /// which of them exist.
 #[must_use]
-pub fn part_of(allowed: f64, rank: usize, holders: usize) -> usize {
+pub fn holder_share(allowed: f64, rank: usize, holders: usize) -> usize {
     if rank >= holders {
         return 0;
     }
@@ -67,12 +67,12 @@
     (total + holders - 1 - rank) / holders
 }
 
-/// Enforces this balancer's parts in the rates of cold backend servers.
+/// Enforces this balancer's shares of the rates of cold backend servers.
 #[derive(Debug, Default)]
 pub struct ColdShares {
     /// Requests per second that this balancer may send to each cold backend server; 0 for those not
     /// listed.
-    parts: HashMap<InstanceId, usize>,
+    shares: HashMap<InstanceId, usize>,
     /// Times of the requests sent within the last [`WINDOW`].
     sent: HashMap<InstanceId, VecDeque<Instant>>,
 }
@@ -92,7 +92,7 @@
         Some(limit.allowed(*rate))
     }
 
-    /// Recomputes the parts; to be called several times per second.
+    /// Recomputes the shares; to be called several times per second.
     pub fn renew(
         &mut self,
         limit: Option<ColdLimit>,
@@ -100,7 +100,7 @@
         (zone, members): (&ZoneName, &ZoneMembers),
         now: Instant,
     ) {
-        self.parts.clear();
+        self.shares.clear();
         self.sent.retain(|_, times| times.back().is_some_and(|at| now - *at < WINDOW));
         if limit.is_none() || !members.is_settled {
             return;
@@ -109,7 +109,7 @@
         for entry in knowledge.directory.iter().filter(|entry| entry.zone == *zone) {
             if let Some(allowed) = Self::rate_of(limit, knowledge, entry, now) {
                 let (rank, holders) = rank_in(members, entry.instance);
-                self.parts.insert(entry.instance, part_of(allowed, rank, holders));
+                self.shares.insert(entry.instance, holder_share(allowed, rank, holders));
             }
         }
     }
@@ -117,10 +117,10 @@
     /// Reports whether this balancer may send one more request to a cold backend server now.
     #[must_use]
     pub fn has_room(&self, instance: InstanceId, now: Instant) -> bool {
-        let part = self.parts.get(&instance).copied().unwrap_or_default();
+        let share = self.shares.get(&instance).copied().unwrap_or_default();
         let sent = self.sent.get(&instance).into_iter().flatten();
 
-        sent.filter(|at| now.saturating_duration_since(**at) < WINDOW).count() < part
+        sent.filter(|at| now.saturating_duration_since(**at) < WINDOW).count() < share
     }
 
     /// Records that a request is sent to a cold backend server.
@@ -135,7 +135,7 @@
 }
 
 /// Returns the rank of this balancer among the members by rendezvous hashing, and the number of
-/// balancers that hold parts.
+/// balancers that hold shares.
 fn rank_in(members: &ZoneMembers, instance: InstanceId) -> (usize, usize) {
     let own = weight_of(members.own, instance);
     let before = members.others.iter().filter(|other| weight_of(**other, instance) > own).count();
--- a/crates/valvestage-policy/src/steering/placement/left_out.rs
+++ b/crates/valvestage-policy/src/steering/placement/exclusion.rs
@@ -6,7 +6,7 @@
 
 /// Why a backend server that is ready for new flows gets none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(in crate::steering) enum LeftOut {
+pub(in crate::steering) enum ExclusionReason {
     /// The backend server is in a region to which the address must not lead.
     OtherRegion,
     /// The availability zone of the backend server is evacuated.
@@ -18,21 +18,21 @@
 
 /// Counts the backend servers that were excluded from the choice for one new flow, by reason.
 #[derive(Debug, Default)]
-pub(in crate::steering) struct LeftOutCount {
+pub(in crate::steering) struct ExclusionCounts {
     other_region: Cell<usize>,
     evacuated: Cell<usize>,
     cold: Cell<usize>,
 }
 
-impl LeftOutCount {
+impl ExclusionCounts {
     /// Counts a backend server if there is a reason to exclude it, and reports whether there is
     /// one.
-    pub(in crate::steering) fn note(&self, cause: Option<LeftOut>) -> bool {
+    pub(in crate::steering) fn note(&self, cause: Option<ExclusionReason>) -> bool {
         let Some(cause) = cause else { return false };
         let count = match cause {
-            LeftOut::OtherRegion => &self.other_region,
-            LeftOut::Evacuated => &self.evacuated,
-            LeftOut::Cold => &self.cold,
+            ExclusionReason::OtherRegion => &self.other_region,
+            ExclusionReason::Evacuated => &self.evacuated,
+            ExclusionReason::Cold => &self.cold,
         };
 
         count.set(count.get() + 1);
--- a/crates/valvestage-policy/src/steering/placement/fleet_demand.rs
+++ b/crates/valvestage-policy/src/steering/placement/fleet_demand.rs
@@ -33,11 +33,11 @@
 /// third, but the errors of all balancers even out. With equal weights for 6 s there were 18,892
 /// refusals instead of 5,291 (86% of the slots busy, demand that varies by 15% with a period of 11
 /// s).
-const TOLD_FOR: Duration = Duration::from_millis(500);
+const REPORT_DECAY: Duration = Duration::from_millis(500);
 
 /// A zone none of whose balancers was heard for this time may be cut off, so no flows are sent
 /// there because of its spare slots.
-const REACHED_WITHIN: Duration = Duration::from_secs(3);
+const MAX_ZONE_SILENCE: Duration = Duration::from_secs(3);
 
 /// Interval between two computations of the shares. The demand is averaged over a longer time, and
 /// changes little within it.
@@ -45,7 +45,7 @@
 
 /// Maximum number of services reported in a heartbeat, the busiest first. Each takes seven bytes,
 /// ten times per second.
-const MAX_SERVICES: usize = 8;
+const MAX_REPORTED_SERVICES: usize = 8;
 
 /// Returns the number that identifies a service in messages between balancers. If two services had
 /// the same number, only their load reports would be mixed up.
@@ -77,16 +77,16 @@
 
 impl ZoneReports {
     /// Reports whether a balancer of the zone was heard recently.
-    fn is_reached(&self, now: Instant) -> bool {
-        self.last_heard.is_some_and(|at| now.saturating_duration_since(at) < REACHED_WITHIN)
+    fn is_reachable(&self, now: Instant) -> bool {
+        self.last_heard.is_some_and(|at| now.saturating_duration_since(at) < MAX_ZONE_SILENCE)
     }
 
     /// Returns the number of requests that so many balancers of the zone have under way for a
     /// service, if each has the weighted mean of the reports.
     fn demand(&self, service: ServiceDigest, balancers: f64) -> f64 {
-        let told = self.demands.get(&service).copied().unwrap_or_default();
+        let reported = self.demands.get(&service).copied().unwrap_or_default();
 
-        told / self.weight.max(f64::MIN_POSITIVE) * balancers
+        reported / self.weight.max(f64::MIN_POSITIVE) * balancers
     }
 
     fn add(
@@ -96,7 +96,7 @@
         now: Instant,
     ) {
         let age = now.saturating_duration_since(at);
-        let weight = (-age.as_secs_f64() / TOLD_FOR.as_secs_f64()).exp();
+        let weight = (-age.as_secs_f64() / REPORT_DECAY.as_secs_f64()).exp();
 
         self.heard += 1;
         self.weight += weight;
@@ -115,7 +115,7 @@
     own: HashMap<ServiceDigest, f64>,
     sampled_at: Option<Instant>,
     /// Latest report of each other balancer, ordered by address so that sums are reproducible.
-    told: BTreeMap<SocketAddrV4, PeerDemand>,
+    peers: BTreeMap<SocketAddrV4, PeerDemand>,
     /// Services of which some new flows go to other zones.
     shares: HashMap<ServiceName, ZoneShares>,
     /// Services with more demand than the backend servers of this region have room for.
@@ -134,9 +134,9 @@
         demands: &[ServiceDemand],
         now: Instant,
     ) {
-        let told = PeerDemand { zone: zone.clone(), at: now, demands: demands.to_vec() };
+        let report = PeerDemand { zone: zone.clone(), at: now, demands: demands.to_vec() };
 
-        self.told.insert(peer, told);
+        self.peers.insert(peer, report);
     }
 
     /// Returns the demand to report to other balancers, the busiest services first.
@@ -150,7 +150,7 @@
         reports.sort_unstable_by_key(|report| {
             (std::cmp::Reverse(report.busy_hundredths), report.service)
         });
-        reports.truncate(MAX_SERVICES);
+        reports.truncate(MAX_REPORTED_SERVICES);
         reports
     }
 
@@ -193,7 +193,7 @@
 
         self.renew_at = Some(now + RENEW_INTERVAL);
         let slots = slots_by_service(options, knowledge, health, now);
-        let all = self.renewed(options, &slots, peer_count, now);
+        let all = self.compute_shares(options, &slots, peer_count, now);
         let short = all.iter().filter(|(_, shares)| shares.is_short());
         self.short = short.map(|(service, _)| service.clone()).collect();
         let shares = all.into_iter().filter(|(_, shares)| !shares.stays_home()).collect();
@@ -222,7 +222,7 @@
 
     /// Removes the reports of balancers that were last heard before the given time.
     pub fn forget(&mut self, before: Instant) {
-        self.told.retain(|_, told| told.at >= before);
+        self.peers.retain(|_, report| report.at >= before);
     }
 
     /// Updates the moving average of the flows that wait for an answer.
@@ -249,7 +249,7 @@
     }
 
     /// Computes the shares of all services.
-    fn renewed(
+    fn compute_shares(
         &self,
         options: &SteeringOptions,
         slots: &BTreeMap<&ServiceName, BTreeMap<&ZoneName, f64>>,
@@ -261,15 +261,15 @@
         let others = u32::try_from(peer_count).unwrap_or(u32::MAX);
         // Balancers that were not heard yet are assumed to be spread over the zones like the
         // others.
-        let balancers_for_heard = f64::from(others.saturating_add(1).max(heard)) / f64::from(heard);
+        let balancers_per_heard = f64::from(others.saturating_add(1).max(heard)) / f64::from(heard);
 
         let shares_of = |(service, slots): (&&ServiceName, &BTreeMap<&ZoneName, f64>)| {
             let digest = service_digest(service);
-            let reached = zones.iter().filter(|(_, reports)| reports.is_reached(now));
+            let reached = zones.iter().filter(|(_, reports)| reports.is_reachable(now));
             let loads = reached.map(|(zone, reports)| ZoneLoad {
                 zone: (*zone).clone(),
                 is_far: options.far_zones.contains(*zone),
-                demand: reports.demand(digest, f64::from(reports.heard) * balancers_for_heard),
+                demand: reports.demand(digest, f64::from(reports.heard) * balancers_per_heard),
                 slots: slots.get(zone).copied().unwrap_or_default(),
             });
             let shares = ZoneShares::new(&options.zone, &loads.collect::<Vec<_>>());
@@ -285,9 +285,9 @@
         now: Instant,
     ) -> BTreeMap<&'a ZoneName, ZoneReports> {
         let mut zones: BTreeMap<&ZoneName, ZoneReports> = BTreeMap::new();
-        for told in self.told.values() {
-            let demands = told.demands.iter().map(|demand| (demand.service, demand.busy()));
-            zones.entry(&told.zone).or_default().add(demands, told.at, now);
+        for report in self.peers.values() {
+            let demands = report.demands.iter().map(|demand| (demand.service, demand.busy()));
+            zones.entry(&report.zone).or_default().add(demands, report.at, now);
         }
 
         let here = self.own.iter().map(|(service, busy)| (*service, *busy));
@@ -309,8 +309,8 @@
     let mut slots: BTreeMap<&ServiceName, BTreeMap<&ZoneName, f64>> = BTreeMap::new();
 
     for (service, zone, backends) in knowledge.directory.ready().all() {
-        let apart = unusable.get(&(service, zone)).copied().unwrap_or_default();
-        if apart.backends >= backends.len() {
+        let excluded = unusable.get(&(service, zone)).copied().unwrap_or_default();
+        if excluded.backends >= backends.len() {
             continue;
         }
         let counted = if knowledge.evacuated.holds(zone) {
@@ -318,8 +318,8 @@
         } else {
             // The slots of one service are far below 2^53, so the conversion is exact.
             #[allow(clippy::cast_precision_loss)]
-            let all = (backends.slots() - apart.slots) as f64;
-            all - slots_lost_to_starts(options, knowledge, backends, health, now)
+            let all = (backends.slots() - excluded.slots) as f64;
+            all - slots_lost_to_cold_starts(options, knowledge, backends, health, now)
         };
         slots.entry(service).or_default().insert(zone, counted.max(0.0));
     }
@@ -355,7 +355,7 @@
 }
 
 /// Returns the slots that do not count because their backend servers have just started.
-fn slots_lost_to_starts(
+fn slots_lost_to_cold_starts(
     options: &SteeringOptions,
     knowledge: &Knowledge,
     backends: &ZoneBackends,
--- a/crates/valvestage-policy/src/steering/placement/flow_placer.rs
+++ b/crates/valvestage-policy/src/steering/placement/flow_placer.rs
@@ -6,8 +6,8 @@
 
 use super::backend_choice::{ChoiceCandidate, ChoiceDoubt, choose};
 use super::cold_shares::ColdShares;
+use super::exclusion::{ExclusionCounts, ExclusionReason};
 use super::fleet_demand::FleetDemand;
-use super::left_out::{LeftOut, LeftOutCount};
 use super::steering_options::SteeringOptions;
 use crate::rendezvous::mix;
 use crate::steering::decision::FlowPlacement;
@@ -49,8 +49,8 @@
         instead_of: Option<InstanceId>,
         draw: u64,
     ) -> Result<FlowPlacement, ResetReason> {
-        let left_out = LeftOutCount::default();
-        let may_take = |entry: &&BackendEntry| !left_out.note(self.why_left_out(flow, entry));
+        let excluded = ExclusionCounts::default();
+        let may_take = |entry: &&BackendEntry| !excluded.note(self.why_left_out(flow, entry));
         let median = self.backends.pace().median(service, self.now);
         // Uses other bits of the draw than the selection among equally loaded candidates.
         let drawn_zone = self.demand.drawn_zone(service, unit_of(mix(draw, 0)));
@@ -69,7 +69,7 @@
             self.prefer_cold(&mut candidates);
         }
 
-        let Some(chosen) = choose(&candidates, draw) else { return Err(left_out.reason()) };
+        let Some(chosen) = choose(&candidates, draw) else { return Err(excluded.reason()) };
         Ok(FlowPlacement {
             flow,
             service: service.to_owned(),
@@ -80,7 +80,7 @@
             pace: chosen.pace,
             doubt: chosen.doubt,
             candidates: candidates.len(),
-            left_out: left_out.total(),
+            left_out: excluded.total(),
             instead_of,
             version: self.knowledge.routes.version,
             age: self.knowledge.age(self.now),
@@ -96,9 +96,9 @@
         zones: ZoneChoice,
     ) -> impl Iterator<Item = &BackendEntry> {
         let directory = &self.knowledge.directory;
-        let is_meant = move |zone: &ZoneName| (zone == home) == (zones == ZoneChoice::Home);
+        let is_searched = move |zone: &ZoneName| (zone == home) == (zones == ZoneChoice::Home);
         let backends = directory.ready().of_service(service);
-        let backends = backends.filter(move |(zone, _)| is_meant(zone));
+        let backends = backends.filter(move |(zone, _)| is_searched(zone));
 
         backends
             .flat_map(|(_, backends)| backends.instances())
@@ -122,17 +122,17 @@
         &self,
         flow: FlowAddresses,
         entry: &BackendEntry,
-    ) -> Option<LeftOut> {
+    ) -> Option<ExclusionReason> {
         let region = self.options.zone_regions.get(&entry.zone);
         if !self.knowledge.routes.allows(flow.service, region) {
-            return Some(LeftOut::OtherRegion);
+            return Some(ExclusionReason::OtherRegion);
         }
         if self.is_evacuated(&entry.zone) {
-            return Some(LeftOut::Evacuated);
+            return Some(ExclusionReason::Evacuated);
         }
 
         let is_full = self.is_limited(entry) && !self.cold.has_room(entry.instance, self.now);
-        is_full.then_some(LeftOut::Cold)
+        is_full.then_some(ExclusionReason::Cold)
     }
 
     /// Reports whether a zone gets no new flows. A balancer that is cut off from all other zones
--- a/crates/valvestage-policy/src/steering/placement/zone_shares.rs
+++ b/crates/valvestage-policy/src/steering/placement/zone_shares.rs
@@ -35,7 +35,7 @@
 impl ZoneLoad {
     /// Returns the number of requests that the zone can take from others until this share of its
     /// slots is in use.
-    fn spare(&self, level: f64) -> f64 {
+    fn spare_slots(&self, level: f64) -> f64 {
         (level * self.slots - self.demand).max(0.0)
     }
 }
@@ -62,17 +62,17 @@
 
         let demand: f64 = near.iter().map(|zone| zone.demand).sum();
         let slots: f64 = near.iter().map(|zone| zone.slots).sum();
-        let room_far: f64 = far.iter().map(|zone| zone.spare(SPILL_FROM)).sum();
+        let room_far: f64 = far.iter().map(|zone| zone.spare_slots(SPILL_FROM)).sum();
         let leaves_region = (demand - SPILL_FROM * slots).clamp(0.0, room_far);
-        let far_share = share_of(leaves_region, demand);
-        let mut away = split(far_share, &far, SPILL_FROM);
+        let far_share = ratio_of(leaves_region, demand);
+        let mut away = divide_share(far_share, &far, SPILL_FROM);
 
         // If every zone of the region is above the spill level, all of them get the same
         // utilization.
-        let level = share_of(demand - leaves_region, slots).max(SPILL_FROM);
+        let level = ratio_of(demand - leaves_region, slots).max(SPILL_FROM);
         let excess = own.demand * (1.0 - far_share) - level * own.slots;
         let others: Vec<_> = near.iter().copied().filter(|zone| zone.zone != *home).collect();
-        away.extend(split(share_of(excess.max(0.0), own.demand), &others, level));
+        away.extend(divide_share(ratio_of(excess.max(0.0), own.demand), &others, level));
         Self { away, is_short: demand > SPILL_FROM * slots }
     }
 
@@ -111,17 +111,17 @@
 }
 
 /// Returns a part as a share of a whole, or 0 if the whole is 0.
-fn share_of(part: f64, whole: f64) -> f64 {
+fn ratio_of(part: f64, whole: f64) -> f64 {
     if whole > 0.0 { part / whole } else { 0.0 }
 }
 
 /// Divides a share among zones in proportion to their spare slots.
-fn split(share: f64, zones: &[&ZoneLoad], level: f64) -> Vec<(ZoneName, f64)> {
-    let room: f64 = zones.iter().map(|zone| zone.spare(level)).sum();
+fn divide_share(share: f64, zones: &[&ZoneLoad], level: f64) -> Vec<(ZoneName, f64)> {
+    let room: f64 = zones.iter().map(|zone| zone.spare_slots(level)).sum();
     if share <= 0.0 || room <= 0.0 {
         return Vec::new();
     }
 
-    let with_room = zones.iter().filter(|zone| zone.spare(level) > 0.0);
-    with_room.map(|zone| (zone.zone.clone(), share * zone.spare(level) / room)).collect()
+    let with_room = zones.iter().filter(|zone| zone.spare_slots(level) > 0.0);
+    with_room.map(|zone| (zone.zone.clone(), share * zone.spare_slots(level) / room)).collect()
 }
--- a/crates/valvestage-policy/tests/steering/backend_health.rs
+++ b/crates/valvestage-policy/tests/steering/backend_health.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn two_flows_without_an_answer_are() {
+fn two_flows_without_an_answer_raise_a_suspicion() {
     let (mut health, now) = (BackendHealth::default(), start());
 
     health.observe(SERVER, flow(1), FlowSign::Unanswered(now), now + millis(200));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn an_answer_to_any_flow_since_then_outweighs_them() {
+fn an_answer_to_any_flow_since_then_prevents_a_suspicion() {
     let (mut health, now) = (BackendHealth::default(), start());
 
     health.observe(SERVER, flow(3), ALIVE, now + millis(100));
@@ -79,10 +79,10 @@
 }
 
 #[test]
-fn the_word_of_another_balancer_counts_for_a_while() {
+fn a_suspicion_reported_by_another_balancer_counts_for_a_while() {
     let (mut health, now) = (BackendHealth::default(), start());
 
-    health.on_told(SERVER, now);
+    health.on_peer_suspicion(SERVER, now);
     assert!(health.is_suspect(SERVER, now + millis(100)));
     assert!(!health.is_suspect(SERVER, now + millis(2_000)));
     // It is not passed on: reports of other balancers are never repeated to further ones.
@@ -90,11 +90,11 @@
 }
 
 #[test]
-fn a_sign_of_life_seen_here_goes_before_the_word_of_another() {
+fn a_sign_of_life_seen_here_overrides_reports_of_others() {
     let (mut health, now) = (BackendHealth::default(), start());
 
     health.observe(SERVER, flow(1), ALIVE, now);
-    health.on_told(SERVER, now + millis(100));
+    health.on_peer_suspicion(SERVER, now + millis(100));
     assert!(!health.is_suspect(SERVER, now + millis(101)));
 }
 
@@ -113,11 +113,14 @@
 }
 
 #[test]
-fn fewer_are_enough_when_another_balancer_says_the_same() {
+fn fewer_flows_are_enough_when_another_balancer_reports_the_suspicion() {
     let (mut health, now) = (BackendHealth::default(), start());
 
-    health.on_told(SERVER, now + millis(190));
-    assert!(!health.is_given_up(SERVER, now + millis(191)), "a report of another balancer alone ends no flow");
+    health.on_peer_suspicion(SERVER, now + millis(190));
+    assert!(
+        !health.is_given_up(SERVER, now + millis(191)),
+        "a report of another balancer alone ends no flow"
+    );
     health.observe(SERVER, flow(1), FlowSign::Unanswered(now), now + millis(200));
     assert!(health.is_given_up(SERVER, now + millis(211)));
 }
--- a/crates/valvestage-policy/tests/steering/cold_backends.rs
+++ b/crates/valvestage-policy/tests/steering/cold_backends.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use valvestage_policy::steering::peers::zone_members::ZoneMembers;
-use valvestage_policy::steering::placement::cold_shares::part_of;
+use valvestage_policy::steering::placement::cold_shares::holder_share;
 use valvestage_policy::steering::seeded_draw::SeededDraw;
 use valvestage_policy::steering::{
     BackendEntry, ColdLimit, ColdRate, DropReason, Knowledge, PacketVerdict, ResetReason,
@@ -148,7 +148,7 @@
 const ZONE_SIZES: [usize; 4] = [1, 3, 30, 59];
 
 #[test]
-fn no_second_brings_more_than_is_allowed_whatever_the_rate_and_the_size() {
+fn the_limit_holds_in_every_second_at_any_rate_and_zone_size() {
     for balancers in ZONE_SIZES {
         for (rate, demand) in [(0.5, 100), (3.0, 200), (50.0, 1_000)] {
             let mut zone = ColdZone::new(balancers, rate);
@@ -161,7 +161,7 @@
 }
 
 /// Share of the limit that is to be used if callers ask for more.
-const AIM: f64 = 0.7;
+const MIN_USED_SHARE: f64 = 0.7;
 
 /// Returns the share of the limit that is used if callers ask for more.
 fn used_share(balancers: usize, rate: f64, demand: u32) -> f64 {
@@ -174,12 +174,12 @@
 }
 
 #[test]
-fn most_of_it_is_used_where_callers_ask_for_more() {
+fn most_of_the_limit_is_used_where_callers_ask_for_more() {
     for balancers in [30, 59] {
         // Callers open somewhat more flows through each balancer than its shares allow.
         for (rate, each) in [(3.0, 20), (50.0, 100)] {
             let share = used_share(balancers, rate, each * u32::try_from(balancers).unwrap());
-            assert!(share >= AIM, "{balancers} balancers, {rate}: {share:.2}");
+            assert!(share >= MIN_USED_SHARE, "{balancers} balancers, {rate}: {share:.2}");
         }
     }
 }
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn one_that_others_may_not_know_yet_sends_nothing_there() {
+fn an_unsettled_balancer_sends_nothing_to_cold_backend_servers() {
     let mut zone = ColdZone::new(1, 3.0);
     zone.members[0].is_settled = false;
 
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn one_holder_more_than_others_know_of_breaks_nothing() {
+fn one_holder_unknown_to_others_does_not_break_the_limit() {
     let mut zone = ColdZone::new(30, 3.0);
     // The last balancer counts as settled, but half of the others have not heard of it.
     for members in zone.members.iter_mut().take(15) {
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn where_half_of_them_are_killed_the_others_never_take_more_than_their_parts() {
+fn the_limit_holds_while_half_of_the_balancers_are_killed() {
     let mut zone = ColdZone::new(30, 3.0);
     zone.run(Duration::from_secs(2), 400);
 
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn without_a_rate_they_are_only_slow() {
+fn without_a_rate_cold_backend_servers_are_not_limited() {
     let now = start();
     let known = knowledge(&[cold(1, AWAY, now)]);
     let mut policy = policy(1);
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn once_warm_they_get_what_others_get() {
+fn warm_backend_servers_are_not_limited() {
     let mut zone = ColdZone::new(30, 3.0);
     zone.run(Duration::from_secs(1), 400);
 
@@ -275,7 +275,7 @@
 
 /// Returns a balancer that holds the only share of a cold backend server, some 6 requests per
 /// second.
-fn alone() -> (SteeringPolicy, Knowledge, Instant) {
+fn sole_balancer() -> (SteeringPolicy, Knowledge, Instant) {
     let now = start();
     let mut known = knowledge(&[cold(1, HOME, now)]);
     rates(&mut known, 5.0);
@@ -287,19 +287,19 @@
 
 #[test]
 fn copies_of_opening_packets_count_too() {
-    let (mut policy, known, now) = alone();
+    let (mut policy, known, now) = sole_balancer();
 
     let mut taken = 0;
     for copies in 0..20 {
         let verdict = policy.on_packet(&known, &opening(flow(1), copies), now + millis(10));
         taken += usize::from(matches!(verdict, PacketVerdict::Forward { .. }));
     }
-    assert_eq!(taken, part_of(12.5, 0, 1));
+    assert_eq!(taken, holder_share(12.5, 0, 1));
 }
 
 #[test]
-fn a_copy_that_nobody_else_may_take_ends_nothing_that_its_first_one_may_have_opened() {
-    let (mut policy, known, now) = alone();
+fn a_copy_without_another_backend_server_does_not_reset_the_flow() {
+    let (mut policy, known, now) = sole_balancer();
     for port in 1..=6 {
         policy.on_packet(&known, &opening(flow(port), 0), now);
     }
@@ -310,7 +310,7 @@
 
 #[test]
 fn further_requests_of_open_flows_leave_less_room_for_new_ones() {
-    let (mut policy, known, mut now) = alone();
+    let (mut policy, known, mut now) = sole_balancer();
     let PacketVerdict::Forward { token, .. } = policy.on_packet(&known, &opening(flow(1), 0), now)
     else {
         panic!("the first flow was not placed")
@@ -330,15 +330,15 @@
         let verdict = policy.on_packet(&known, &opening(flow(port), 0), now);
         taken += usize::from(matches!(verdict, PacketVerdict::Forward { .. }));
     }
-    assert_eq!(taken, part_of(12.5, 0, 1) - 4);
+    assert_eq!(taken, holder_share(12.5, 0, 1) - 4);
 }
 
 #[test]
-fn parts_leave_room_for_one_holder_more() {
+fn shares_leave_room_for_one_more_holder() {
     fn property(tenths: u16, holders: u8) -> bool {
         let (allowed, holders) = (f64::from(tenths) / 10.0, usize::from(holders % 4) + 1);
-        let all: usize = (0..holders).map(|rank| part_of(allowed, rank, holders)).sum();
-        let most = all + part_of(allowed, 0, holders);
+        let all: usize = (0..holders).map(|rank| holder_share(allowed, rank, holders)).sum();
+        let most = all + holder_share(allowed, 0, holders);
 
         f64::from(u32::try_from(most).unwrap()) <= allowed || all == 0
     }
--- a/crates/valvestage-policy/tests/steering/fleet.rs
+++ b/crates/valvestage-policy/tests/steering/fleet.rs
@@ -54,14 +54,14 @@
     draw: SeededDraw,
     port: u16,
     /// Whether the balancers exchange reports.
-    talks: bool,
+    exchanges_reports: bool,
     refused: usize,
     /// New flows placed in each zone.
     placed: [usize; ZONES],
 }
 
 impl Fleet {
-    fn new(talks: bool) -> Self {
+    fn new(exchanges_reports: bool) -> Self {
         let zones = (0..ZONES).flat_map(|zone| vec![zone; SERVERS[zone]]);
         let backends = zones.enumerate().map(|(number, zone)| {
             backend(u64::try_from(number).unwrap() + 1, "core", &zone_name(zone))
@@ -81,7 +81,7 @@
             open: Vec::new(),
             draw: SeededDraw::new(7),
             port: 0,
-            talks,
+            exchanges_reports,
             refused: 0,
             placed: [0; ZONES],
         }
@@ -101,8 +101,8 @@
             if steps % 10 == 0 {
                 self.tick();
             }
-            if steps % 40 == 0 && self.talks {
-                self.talk();
+            if steps % 40 == 0 && self.exchanges_reports {
+                self.exchange_reports();
             }
         }
     }
@@ -156,14 +156,14 @@
     }
 
     /// Each balancer sends its report to four others.
-    fn talk(&mut self) {
-        for teller in 0..BALANCERS {
-            let report = self.balancers[teller].report(self.now);
-            let peer = address(u8::try_from(teller).unwrap(), 7_000);
+    fn exchange_reports(&mut self) {
+        for sender in 0..BALANCERS {
+            let report = self.balancers[sender].report(self.now);
+            let peer = address(u8::try_from(sender).unwrap(), 7_000);
             for _ in 0..4 {
-                let hearer = self.draw.below(BALANCERS);
-                let zone = zone_name(teller % ZONES);
-                self.balancers[hearer].on_peer_demand(peer, &zone, &report.demands, self.now);
+                let receiver = self.draw.below(BALANCERS);
+                let zone = zone_name(sender % ZONES);
+                self.balancers[receiver].on_peer_demand(peer, &zone, &report.demands, self.now);
             }
         }
     }
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn balancers_that_hear_nobody_go_by_what_they_see() {
+fn balancers_without_reports_go_by_what_they_see() {
     let mut fleet = Fleet::new(false);
 
     fleet.run(LEARNING);
@@ -230,25 +230,25 @@
 
 /// Returns a balancer of a zone that is short of slots. Another balancer of its zone has four
 /// requests under way.
-fn in_a_zone_that_is_short(seed: u64, now: Instant) -> SteeringPolicy {
+fn policy_in_short_zone(seed: u64, now: Instant) -> SteeringPolicy {
     let options = SteeringOptions { zone: zone_name(0), ..Default::default() };
     let mut policy = SteeringPolicy::new(options, seed);
 
-    tell(&mut policy, 0, now);
-    tell(&mut policy, 1, now);
-    tell(&mut policy, 2, now);
+    report_demand(&mut policy, 0, now);
+    report_demand(&mut policy, 1, now);
+    report_demand(&mut policy, 2, now);
     policy
 }
 
 /// Reports the demand of the only other balancer of a zone.
-fn tell(policy: &mut SteeringPolicy, zone: usize, now: Instant) {
-    let asked = if zone == 0 { 4.0 } else { 2.0 };
-    let word = [ServiceDemand::new(service_digest("core"), asked)];
+fn report_demand(policy: &mut SteeringPolicy, zone: usize, now: Instant) {
+    let busy = if zone == 0 { 4.0 } else { 2.0 };
+    let demands = [ServiceDemand::new(service_digest("core"), busy)];
 
     policy.on_peer_demand(
         address(u8::try_from(zone).unwrap(), 7_000),
         &zone_name(zone),
-        &word,
+        &demands,
         now,
     );
 }
@@ -261,7 +261,7 @@
 }
 
 /// Returns the zones of a hundred new flows, each placed through each balancer.
-fn homes(policies: &[SteeringPolicy]) -> Vec<String> {
+fn zones_of_flows(policies: &[SteeringPolicy]) -> Vec<String> {
     let draws = (0..100).map(|draw| f64::from(draw) / 100.0);
     let each = |draw: f64| {
         policies.iter().map(move |policy| {
@@ -273,14 +273,14 @@
 }
 
 #[test]
-fn many_that_hear_the_same_word_do_not_all_move_to_the_same_zone() {
+fn balancers_with_the_same_reports_do_not_all_move_to_the_same_zone() {
     let (known, now) = (few_slots_here(), start());
-    let mut policies: Vec<_> = (0..100).map(|seed| in_a_zone_that_is_short(seed, now)).collect();
+    let mut policies: Vec<_> = (0..100).map(|seed| policy_in_short_zone(seed, now)).collect();
     for policy in &mut policies {
         policy.look_at_demand(&known, 3, now);
     }
 
-    let homes = homes(&policies);
+    let homes = zones_of_flows(&policies);
     let count = |zone: &str| homes.iter().filter(|home| *home == zone).count();
     // Of four requests 1.8 fit here; the other two zones have equal room.
     assert!(count("zone-0").abs_diff(4_500) <= 200, "{}", count("zone-0"));
@@ -289,25 +289,28 @@
 }
 
 #[test]
-fn a_zone_that_falls_silent_gets_nothing_for_being_idle() {
+fn a_silent_zone_gets_no_flows_for_its_spare_slots() {
     let (known, now) = (few_slots_here(), start());
-    let mut policy = in_a_zone_that_is_short(1, now);
+    let mut policy = policy_in_short_zone(1, now);
 
     policy.look_at_demand(&known, 3, now);
     assert!(policy.demand().shares("core").is_some());
     let later = now + millis(3_100);
-    tell(&mut policy, 0, later);
-    tell(&mut policy, 2, later);
+    report_demand(&mut policy, 0, later);
+    report_demand(&mut policy, 2, later);
     policy.look_at_demand(&known, 3, later);
-    let homes = homes(std::slice::from_ref(&policy));
-    assert!(homes.iter().all(|home| home != "zone-1"), "flows are sent to a zone that may be cut off");
+    let homes = zones_of_flows(std::slice::from_ref(&policy));
+    assert!(
+        homes.iter().all(|home| home != "zone-1"),
+        "flows are sent to a zone that may be cut off"
+    );
     assert!(homes.iter().any(|home| home == "zone-2"));
 }
 
 #[test]
-fn old_words_of_all_zones_leave_flows_at_home() {
+fn outdated_reports_leave_flows_in_their_zone() {
     let (known, now) = (few_slots_here(), start());
-    let mut policy = in_a_zone_that_is_short(1, now);
+    let mut policy = policy_in_short_zone(1, now);
 
     policy.look_at_demand(&known, 3, now + millis(3_100));
     assert!(policy.demand().shares("core").is_none());
--- a/crates/valvestage-policy/tests/steering/outliers.rs
+++ b/crates/valvestage-policy/tests/steering/outliers.rs
@@ -41,7 +41,10 @@
     let at = observe_some(&mut detector, |request| request % 2 == 0, now).expect("avoided");
     assert!(detector.is_avoided(SERVER, at));
     assert!(detector.is_avoided(SERVER, at + millis(3_900)));
-    assert!(!detector.is_avoided(SERVER, at + millis(6_000)), "the avoidance is still in force after 6 s");
+    assert!(
+        !detector.is_avoided(SERVER, at + millis(6_000)),
+        "the avoidance is still in force after 6 s"
+    );
 }
 
 #[test]
@@ -51,7 +54,10 @@
 
     let back = at + millis(6_000);
     let again = detector.observe(SERVER, "core", true, back);
-    assert!(matches!(again, Some(Decision::Avoided { .. })), "one poor request after the return is not enough");
+    assert!(
+        matches!(again, Some(Decision::Avoided { .. })),
+        "one poor request after the return is not enough"
+    );
     assert!(detector.is_avoided(SERVER, back + millis(7_000)));
 }
 
@@ -63,7 +69,7 @@
 }
 
 #[test]
-fn what_all_of_them_do_is_no_evidence_against_one() {
+fn a_failure_rate_common_to_all_is_no_evidence_against_one() {
     let (mut detector, now) = (OutlierDetector::new(1), start());
 
     for request in 0..100 {
@@ -92,11 +98,11 @@
         }
     }
     let at = now + millis(200);
-    assert!(here.on_told(address(1, 7_400), &there.reports(at), at).is_empty());
+    assert!(here.on_peer_counts(address(1, 7_400), &there.reports(at), at).is_empty());
 }
 
 #[test]
-fn a_few_requests_of_each_balancer_are_enough_together() {
+fn counts_of_several_balancers_add_up() {
     let (mut detectors, now) = ([OutlierDetector::new(1), OutlierDetector::new(1)], start());
 
     for detector in &mut detectors {
@@ -108,13 +114,16 @@
     }
 
     let [first, second] = &mut detectors;
-    let told =
-        second.on_told(address(1, 7_400), &first.reports(now + millis(10)), now + millis(20));
+    let told = second.on_peer_counts(
+        address(1, 7_400),
+        &first.reports(now + millis(10)),
+        now + millis(20),
+    );
     assert!(matches!(told[..], [Decision::Avoided { told_by: 1, .. }]));
 }
 
 #[test]
-fn the_same_word_told_again_counts_once() {
+fn a_repeated_report_counts_once() {
     let (mut detector, now) = (OutlierDetector::new(1), start());
     let report = OutcomeReport {
         instance: SERVER,
@@ -125,13 +134,13 @@
     detector.observe(SERVER, "core", false, now);
 
     for time in 0..50 {
-        let news = detector.on_told(address(1, 7_400), &[report], now + millis(time));
-        assert!(news.is_empty());
+        let decisions = detector.on_peer_counts(address(1, 7_400), &[report], now + millis(time));
+        assert!(decisions.is_empty());
     }
 }
 
 #[test]
-fn counts_are_told_only_while_in_question() {
+fn counts_are_reported_only_while_in_question() {
     let (mut detector, now) = (OutlierDetector::new(1), start());
     for _ in 0..10 {
         detector.observe(SERVER, "core", false, now);
@@ -140,7 +149,7 @@
 
     let report =
         OutcomeReport { instance: SERVER, answered_tenths: 0, poor_tenths: 20, expected_tenths: 1 };
-    detector.on_told(address(1, 7_400), &[report], now + millis(10));
+    detector.on_peer_counts(address(1, 7_400), &[report], now + millis(10));
     let reports = detector.reports(now + millis(20));
     assert_eq!(reports.len(), 1);
     assert!(reports[0].answered_tenths > 90, "ordinary answers are missing in the report");
@@ -160,12 +169,12 @@
         poor_tenths: 300,
         expected_tenths: 6,
     };
-    assert!(detector.on_told(address(1, 7_400), &[report], now + millis(10)).is_empty());
+    assert!(detector.on_peer_counts(address(1, 7_400), &[report], now + millis(10)).is_empty());
     assert!(!detector.is_avoided(SERVER, now + millis(20)));
 }
 
 #[test]
-fn what_one_balancer_avoids_the_others_avoid_and_do_not_tell_on() {
+fn reported_avoidances_are_adopted_but_not_passed_on() {
     let (mut detector, now) = (OutlierDetector::new(1), start());
     let at = observe_some(&mut detector, |request| request % 2 == 0, now).expect("avoided");
     let told = detector.avoidances(at);
@@ -173,7 +182,7 @@
 
     let mut other = OutlierDetector::new(2);
     other.observe(SERVER, "core", false, at);
-    assert_eq!(other.on_told_avoided(address(1, 7_400), &told, at).len(), 1);
+    assert_eq!(other.on_peer_avoidances(address(1, 7_400), &told, at).len(), 1);
     assert!(other.is_avoided(SERVER, at + millis(1_000)));
     assert!(other.avoidances(at).is_empty(), "a reported avoidance was passed on");
 
@@ -181,7 +190,10 @@
     for _ in 0..10 {
         content.observe(SERVER, "core", false, at);
     }
-    assert!(content.on_told_avoided(address(1, 7_400), &told, at).is_empty(), "avoided although it answers here");
+    assert!(
+        content.on_peer_avoidances(address(1, 7_400), &told, at).is_empty(),
+        "avoided although it answers here"
+    );
 }
 
 #[test]
@@ -209,10 +221,10 @@
 }
 
 #[test]
-fn a_new_balancer_holds_nothing_against_anyone() {
+fn nothing_is_short_or_overdue_before_enough_answers() {
     let mut norm = AnswerNorm::default();
 
-    assert!(norm.patience().is_none());
+    assert!(norm.overdue_after().is_none());
     norm.on_size(80_000);
     assert!(!norm.is_short(100));
 }
@@ -242,7 +254,7 @@
 }
 
 #[test]
-fn a_balancer_that_stood_still_holds_nothing_against_anyone() {
+fn requests_under_way_during_a_pause_do_not_count() {
     let now = start();
     let known = knowledge(&[backend(1, "core", HOME)]);
     let mut policy = SteeringPolicy::new(options(), 1);
--- a/crates/valvestage-policy/tests/steering/pace.rs
+++ b/crates/valvestage-policy/tests/steering/pace.rs
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn what_is_believed_is_told_once() {
+fn each_change_of_pace_is_reported_once() {
     let now = start();
     let mut pace = usual_pace(5, now);
     let at = now + millis(1_000);
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_single_long_answer_says_little() {
+fn a_single_long_answer_has_little_effect() {
     let now = start();
     let mut pace = usual_pace(20, now);
     let at = now + millis(1_000);
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn old_answers_fade() {
+fn old_answers_lose_weight() {
     let now = start();
     let mut pace = usual_pace(5, now);
     for _ in 0..30 {
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn what_moves_at_all_of_them_is_held_against_none() {
+fn a_slowdown_common_to_all_slows_none() {
     let now = start();
     let mut pace = BackendPace::default();
     for instance in 1..=SERVERS {
--- a/crates/valvestage-policy/tests/steering/regions.rs
+++ b/crates/valvestage-policy/tests/steering/regions.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn without_a_backend_server_in_them_they_are_refused_at_once() {
+fn flows_without_a_backend_server_in_their_regions_are_refused_at_once() {
     let (mut policy, mut known, now) = (balancer(), with_regions(&["east"]), start());
     let mut leaving = backend(2, "core", AWAY);
     (leaving.phase, leaving.position) = (BackendPhase::Draining, at(900));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn balancers_tell_each_other_of_regions_and_rates() {
+fn a_route_catalogue_carries_regions_and_rates() {
     let mut map = routes(3, &[(443, "core"), (80, "photos"), (81, "core")]);
     let regions = ["east", "west"].map(str::to_owned);
     map.allowed_regions.insert(front(443), regions.into());
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn another_region_or_rate_is_another_chunk() {
+fn a_change_of_region_or_rate_changes_the_chunk() {
     let digests = |map| {
         let catalogue = RouteCatalogue::new(map);
         format!("{:?}", catalogue.index_messages())
--- a/crates/valvestage-policy/tests/steering/zone_shares.rs
+++ b/crates/valvestage-policy/tests/steering/zone_shares.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn what_a_zone_has_no_room_for_goes_where_there_is_room_in_proportion_to_it() {
+fn excess_demand_goes_to_other_zones_in_proportion_to_their_room() {
     let zones = [load(HOME, 20.0, 10.0), load(AWAY, 10.0, 100.0), load(THIRD, 5.0, 50.0)];
     let shares = shares(&zones);
 
@@ -52,14 +52,14 @@
 }
 
 #[test]
-fn a_zone_without_any_backend_server_gives_all_away() {
+fn a_zone_without_any_backend_server_sends_all_flows_elsewhere() {
     let shares = shares(&[load(HOME, 8.0, 0.0), load(AWAY, 2.0, 20.0)]);
 
     assert_near(share(&shares, AWAY), 1.0);
 }
 
 #[test]
-fn a_full_region_is_full_evenly() {
+fn zones_of_a_full_region_are_equally_utilized() {
     let zones = [load(HOME, 24.0, 20.0), load(AWAY, 15.0, 20.0)];
     let shares = shares(&zones);
 
@@ -68,12 +68,12 @@
 }
 
 #[test]
-fn zones_that_are_as_busy_as_all_give_nothing_away() {
+fn equally_busy_zones_exchange_no_flows() {
     assert!(shares(&[load(HOME, 30.0, 20.0), load(AWAY, 30.0, 20.0)]).stays_home());
 }
 
 #[test]
-fn another_region_gets_what_its_own_has_no_room_for() {
+fn another_region_gets_only_the_excess_of_the_own_one() {
     let room = [load(HOME, 19.0, 10.0), load(AWAY, 5.0, 20.0), load(FAR, 0.0, 100.0)];
     assert_near(share(&shares(&room), FAR), 0.0);
 
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_zone_that_nothing_is_known_of_gives_nothing_away() {
+fn a_zone_without_known_load_keeps_its_flows() {
     assert!(shares(&[]).stays_home());
     assert!(shares(&[load(AWAY, 1.0, 20.0)]).stays_home());
     assert!(shares(&[load(HOME, 0.0, 0.0), load(AWAY, 0.0, 0.0)]).stays_home());
@@ -99,7 +99,7 @@
 /// If the callers of each zone follow their shares, no zone of the region gets more demand than the
 /// spill level, or than the average utilization if that is higher.
 #[test]
-fn together_they_overload_no_zone() {
+fn shares_of_all_zones_together_overload_none() {
     fn property(mut zones: Vec<(u8, u8)>) -> TestResult {
         zones.truncate(8);
         if zones.is_empty() {
