--- a/crates/valvestage-policy/src/steering/health/outcome_count.rs
+++ b/crates/valvestage-policy/src/steering/health/outcome_count.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// A count that halves after each [`HALF_LIFE`].
+/// An exponentially decaying count of requests by outcome.
 #[derive(Debug, Clone, Copy)]
 pub struct DecayingCount {
     count: OutcomeCount,
--- a/crates/valvestage-policy/src/steering/placement/backend_load.rs
+++ b/crates/valvestage-policy/src/steering/placement/backend_load.rs
@@ -37,9 +37,9 @@
     }
 
     /// Returns the load as a number of requests, where each idle flow counts as
-    /// `resting_flow_load`.
+    /// `idle_flow_load`.
     #[must_use]
-    pub fn in_requests(&self, resting_flow_load: f64) -> f64 {
-        f64::from(self.busy) + f64::from(self.resting) * resting_flow_load
+    pub fn in_requests(&self, idle_flow_load: f64) -> f64 {
+        f64::from(self.busy) + f64::from(self.resting) * idle_flow_load
     }
 }
--- a/crates/valvestage-policy/src/steering/placement/exclusion.rs
+++ b/crates/valvestage-policy/src/steering/placement/exclusion.rs
@@ -11,8 +11,7 @@
     OtherRegion,
     /// The availability zone of the backend server is evacuated.
     Evacuated,
-    /// The backend server has just started, and this balancer has used up its share of the rate for
-    /// it.
+    /// The backend server has just started, and this balancer's share of its rate is used up or 0.
     Cold,
 }
 
--- a/crates/valvestage-policy/src/steering/placement/fleet_demand.rs
+++ b/crates/valvestage-policy/src/steering/placement/fleet_demand.rs
@@ -31,8 +31,7 @@
 /// Age at which the weight of a report has fallen to 1/e. Recent reports matter more than many: of
 /// 295 balancers in five zones, each hears two of every zone per second, whose mean is off by a
 /// third, but the errors of all balancers even out. With equal weights for 6 s there were 18,892
-/// refusals instead of 5,291 (86% of the slots busy, demand that varies by 15% with a period of 11
-/// s).
+/// refusals instead of 5,291 (86% of the slots busy, demand that varies by 15% every 11 s).
 const REPORT_DECAY: Duration = Duration::from_millis(500);
 
 /// A zone none of whose balancers was heard for this time may be cut off, so no flows are sent
--- a/crates/valvestage-policy/src/steering/placement/flow_placer.rs
+++ b/crates/valvestage-policy/src/steering/placement/flow_placer.rs
@@ -164,7 +164,7 @@
         instead_of: Option<InstanceId>,
         median_pace: Option<f64>,
     ) -> ChoiceCandidate<'a> {
-        let requests = self.flows.load(entry.instance).in_requests(self.options.resting_flow_load);
+        let requests = self.flows.load(entry.instance).in_requests(self.options.idle_flow_load);
         let is_cold = entry.cold_until.is_some_and(|until| until > self.now);
         let cold_factor = if is_cold { self.options.cold_factor } else { 1.0 };
         // The pace may include the effect of the cold start already, which is to count once.
--- a/crates/valvestage-policy/src/steering/placement/steering_options.rs
+++ b/crates/valvestage-policy/src/steering/placement/steering_options.rs
@@ -27,7 +27,7 @@
     pub max_flows: usize,
     /// Load of an open idle flow, in requests. A long-lived flow sends about one request per
     /// second, which takes some 40 ms.
-    pub resting_flow_load: f64,
+    pub idle_flow_load: f64,
     /// Additional load, in requests per slot, that the servers of this zone may have before a flow
     /// is placed in another zone. docs/DECISIONS.md lists the trials behind the value.
     pub zone_preference: f64,
@@ -56,7 +56,7 @@
             cold_limit: None,
             entry_times: EntryTimes::default(),
             max_flows: 200_000,
-            resting_flow_load: 0.05,
+            idle_flow_load: 0.05,
             zone_preference: 1.5,
             region_preference: 3.0,
             avoidance: 3.0,
--- a/crates/valvestage-policy/tests/steering/outliers.rs
+++ b/crates/valvestage-policy/tests/steering/outliers.rs
@@ -114,12 +114,12 @@
     }
 
     let [first, second] = &mut detectors;
-    let told = second.on_peer_counts(
+    let decisions = second.on_peer_counts(
         address(1, 7_400),
         &first.reports(now + millis(10)),
         now + millis(20),
     );
-    assert!(matches!(told[..], [Decision::Avoided { told_by: 1, .. }]));
+    assert!(matches!(decisions[..], [Decision::Avoided { told_by: 1, .. }]));
 }
 
 #[test]
@@ -177,21 +177,21 @@
 fn reported_avoidances_are_adopted_but_not_passed_on() {
     let (mut detector, now) = (OutlierDetector::new(1), start());
     let at = observe_some(&mut detector, |request| request % 2 == 0, now).expect("avoided");
-    let told = detector.avoidances(at);
-    assert_eq!(told.len(), 1);
+    let reported = detector.avoidances(at);
+    assert_eq!(reported.len(), 1);
 
     let mut other = OutlierDetector::new(2);
     other.observe(SERVER, "core", false, at);
-    assert_eq!(other.on_peer_avoidances(address(1, 7_400), &told, at).len(), 1);
+    assert_eq!(other.on_peer_avoidances(address(1, 7_400), &reported, at).len(), 1);
     assert!(other.is_avoided(SERVER, at + millis(1_000)));
     assert!(other.avoidances(at).is_empty(), "a reported avoidance was passed on");
 
-    let mut content = OutlierDetector::new(3);
+    let mut healthy = OutlierDetector::new(3);
     for _ in 0..10 {
-        content.observe(SERVER, "core", false, at);
+        healthy.observe(SERVER, "core", false, at);
     }
     assert!(
-        content.on_peer_avoidances(address(1, 7_400), &told, at).is_empty(),
+        healthy.on_peer_avoidances(address(1, 7_400), &reported, at).is_empty(),
         "avoided although it answers here"
     );
 }
--- a/crates/valvestage-policy/tests/steering/pace.rs
+++ b/crates/valvestage-policy/tests/steering/pace.rs
@@ -128,18 +128,18 @@
     let mut pace = usual_pace(5, now);
     let at = now + millis(1_000);
 
-    let mut told = Vec::new();
+    let mut decisions = Vec::new();
     for (log_ratio, count) in [(5.0_f64.ln(), 30), (0.0, 120)] {
         for _ in 0..count {
-            told.extend(pace.on_answer(SLOW, "core", log_ratio, at));
+            decisions.extend(pace.on_answer(SLOW, "core", log_ratio, at));
         }
     }
     assert!(
         matches!(
-            told[..],
+            decisions[..],
             [Decision::Slowed { instance: SLOW, .. }, Decision::Recovered { instance: SLOW, .. }]
         ),
-        "{told:?}"
+        "{decisions:?}"
     );
 }
 
