--- a/crates/valvestage-policy/src/control.rs
+++ b/crates/valvestage-policy/src/control.rs
@@ -1,7 +1,7 @@
-//! Leases, service owners and object versions: everything that is agreed through the platform.
+//! Leases, service ownership and object versions, coordinated through the platform.
 //!
-//! The state machines here ask for [`PlatformCall`]s and take [`PlatformReply`]s; a driver carries
-//! them to the platform's object API.
+//! The state machines here emit [`PlatformCall`]s and consume [`PlatformReply`]s; a driver performs
+//! the calls on the platform's object API.
 
 mod control_action;
 mod control_options;
--- a/crates/valvestage-policy/src/control/control_action.rs
+++ b/crates/valvestage-policy/src/control/control_action.rs
@@ -1,4 +1,4 @@
-//! What the driver of the control policy has to do.
+//! Actions of the control policy, to be carried out by the driver.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,61 +14,61 @@
 use crate::flows::TokenKeys;
 use crate::membership::{HeartbeatMessage, LiveView, PeerRecord};
 
-/// `Machine` names the state machine that a platform call belongs to.
+/// State machine that a platform call belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Machine {
-    /// The lease of this balancer.
+    /// The lease manager of this balancer.
     Lease,
-    /// The owners of services.
+    /// The coordinator of service ownership.
     Owners,
-    /// The first read of the configuration after the start.
+    /// The first read of the configuration after the start of the process.
     FirstRead,
 }
 
-/// `Installation` is something to put in force in the [`crate::BalancerPolicy`].
+/// State to put in force in the [`crate::BalancerPolicy`].
 #[derive(Debug, Clone)]
 pub enum Installation {
-    /// A newer configuration.
+    /// A newer deployment configuration.
     Configuration(Arc<Configuration>),
-    /// Newer owners of services.
+    /// A newer owner map.
     OwnerMap(Arc<OwnerMap>),
-    /// Newer token keys.
+    /// A newer set of token keys.
     Keys(TokenKeys),
-    /// Another set of live balancers.
+    /// A changed set of live balancers.
     View {
-        /// The live balancers.
+        /// Live balancers, by availability zone.
         view: LiveView,
-        /// Data addresses of all other balancers known.
+        /// Data addresses of all other known balancers, dead ones included.
         addresses: BTreeMap<BalancerId, SocketAddr>,
     },
-    /// The present lease, or that there is none.
+    /// The lease that this balancer holds, or `None`.
     Grant(Option<LeaseGrant>),
 }
 
-/// `ControlAction` is one thing to do.
+/// One action of the control policy.
 #[derive(Debug, Clone)]
 pub enum ControlAction {
-    /// Carry a platform call out and bring the reply back.
+    /// Perform a platform call and return the reply to the policy.
     Call {
-        /// Whose call it is.
+        /// State machine that gets the reply.
         machine: Machine,
-        /// The call.
+        /// The call to perform.
         call: PlatformCall,
     },
-    /// Send a heartbeat and bring the answer back.
+    /// Send a heartbeat and return the answer to the policy.
     Heartbeat {
-        /// The partner.
+        /// Receiver of the heartbeat.
         to: PeerRecord,
-        /// The message.
+        /// The heartbeat to send.
         message: HeartbeatMessage,
     },
-    /// Fetch an object from a peer and bring it back.
+    /// Fetch an object from a peer and return it to the policy.
     Fetch {
-        /// The peer.
+        /// Peer that announced a newer version.
         from: PeerRecord,
-        /// The object.
+        /// Key of the object.
         key: ObjectKey,
     },
-    /// Put something in force.
+    /// Put newer state in force.
     Install(Installation),
 }
--- a/crates/valvestage-policy/src/control/control_options.rs
+++ b/crates/valvestage-policy/src/control/control_options.rs
@@ -1,29 +1,32 @@
-//! Options of the control policy.
+//! Parameters of the control policy.
 
 use std::time::Duration;
 
 use super::lease_keeper::LeaseOptions;
 use crate::membership::HeartbeatOptions;
 
-/// `ControlOptions` bounds what a balancer spends on control.
+/// Limits of the control traffic of a balancer, and its timeouts.
 #[derive(Debug, Clone, Copy)]
 pub struct ControlOptions {
-    /// Of the gossip.
+    /// Parameters of the heartbeat gossip.
     pub heartbeat: HeartbeatOptions,
-    /// Pause between two heartbeats.
+    /// Interval of heartbeats.
     pub heartbeat_interval: Duration,
-    /// Of the lease.
+    /// Parameters of the lease.
     pub lease: LeaseOptions,
-    /// Balancers of one availability zone that hold leases: renewals do not grow beyond it.
+    /// Number of balancers per availability zone that hold leases; bounds the rate of lease
+    /// renewals.
     pub owners_per_zone: usize,
-    /// Balancers of one availability zone that watch the platform: a watch that waits counts as a
-    /// call.
+    /// Number of balancers per availability zone that watch the platform. The number is limited
+    /// because a pending watch counts as a platform call.
     pub watchers_per_zone: usize,
-    /// Without news of the platform for this long, any balancer watches.
+    /// Time without a known platform answer after which every balancer watches the platform itself.
     pub stale_after: Duration,
-    /// A start without an answer of the platform for this long goes on with what peers have.
+    /// Time after the start without a platform answer after which the balancer joins with the
+    /// configuration that it got from peers.
     pub join_without_platform_after: Duration,
-    /// Whether an object that is older than the one in force is ignored; off, a baseline.
+    /// Whether an object older than the one in force is ignored; `false` is a baseline for
+    /// comparisons.
     pub newest_only: bool,
 }
 
--- a/crates/valvestage-policy/src/control/control_policy.rs
+++ b/crates/valvestage-policy/src/control/control_policy.rs
@@ -1,4 +1,4 @@
-//! The control decisions of one balancer: gossip, objects, lease, owners.
+//! Control decisions of one balancer: gossip, shared objects, lease and service ownership.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -21,20 +21,20 @@
 use crate::flows::TokenKeys;
 use crate::membership::{HeartbeatMessage, HeartbeatTable, LiveView, PeerRecord, PeerState};
 
-/// A fetch without an answer is asked again after this.
+/// Time after which a fetch without an answer is retried.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
 
 type VersionOf = fn(&PeerRecord) -> ObjectVersion;
 
-/// The objects that balancers fetch from each other, and where a record tells their versions.
+/// Objects that balancers fetch from each other, and the field of a peer record with their version.
 const SHARED_OBJECTS: [(ObjectKey, VersionOf); 3] = [
     (ObjectKey::Configuration, |record| record.configuration),
     (ObjectKey::OwnerMap, |record| record.owner_map),
     (ObjectKey::TokenKeys, |record| record.token_keys),
 ];
 
-/// `ControlPolicy` decides what a balancer sends to peers and the platform, and what it puts in
-/// force. It has no part in the decision for a packet.
+/// Control plane of one balancer: decides what to send to peers and to the platform, and which
+/// state to put in force. It takes no part in decisions for single packets.
 #[derive(Debug)]
 pub struct ControlPolicy {
     pub(super) options: ControlOptions,
@@ -48,14 +48,14 @@
     pub(super) coordinator: OwnerCoordinator,
     first_read: FirstRead,
     next_beat: SystemTime,
-    /// Whether there is something that peers should hear of at once.
+    /// Whether a change is to be announced to peers without waiting for the next interval.
     has_news: bool,
-    /// Fetches that are out, with the time at which they are given up.
+    /// Pending fetches, with the time at which each is given up.
     fetches: BTreeMap<ObjectKey, SystemTime>,
 }
 
 impl ControlPolicy {
-    /// `new` starts with the own record and the peers known from the settings.
+    /// Creates the policy of a balancer with its own record and the peers from the settings.
     pub fn new(
         options: ControlOptions,
         own: PeerRecord,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// `step` gives everything that is due; it costs little and may be called often.
+    /// Emits all actions that are due. A call is cheap and may be made often.
     pub fn step(&mut self, now: SystemTime, out: &mut Vec<ControlAction>) {
         self.step_first_read(now, out);
         self.beat_if_due(now, out);
@@ -91,8 +91,11 @@
         self.step_owners(now, out);
     }
 
-    /// A balancer that starts knows nothing, and a watch may lag: it takes work only once it knows
-    /// that its configuration is the newest, or that nobody can tell.
+    /// Moves a joining balancer to the serving state once it has its objects and the first read is
+    /// done.
+    ///
+    /// A balancer that starts has no configuration, and a watch may lag. It takes work only once it
+    /// knows that its configuration is the newest, or that the platform cannot be reached.
     fn step_first_read(&mut self, now: SystemTime, out: &mut Vec<ControlAction>) {
         if self.own().state != PeerState::Joining {
             return;
@@ -134,7 +137,7 @@
         out.push(ControlAction::Install(Installation::View { view, addresses }));
     }
 
-    /// Fetches every object of which a live peer announced a newer version.
+    /// Fetches every object of which a live peer has announced a newer version.
     fn fetch_newer(&mut self, now: SystemTime, out: &mut Vec<ControlAction>) {
         self.fetches.retain(|_, deadline| now < *deadline);
 
@@ -151,7 +154,7 @@
         }
     }
 
-    /// `on_reply` takes the reply to a platform call.
+    /// Handles the reply to a platform call, and reports whether a newer object was put in force.
     pub fn on_reply(
         &mut self,
         now: SystemTime,
@@ -179,28 +182,28 @@
         Ok(false)
     }
 
-    /// `on_heartbeat` takes a peer's heartbeat and gives the answer.
+    /// Handles a peer's heartbeat and returns the answer.
     pub fn on_heartbeat(&mut self, now: SystemTime, message: HeartbeatMessage) -> HeartbeatMessage {
         self.table.merge(message, now);
 
         self.table.message(now)
     }
 
-    /// `on_heartbeat_answer` takes the answer to a heartbeat.
+    /// Handles the answer to a heartbeat.
     pub fn on_heartbeat_answer(&mut self, now: SystemTime, message: HeartbeatMessage) {
         self.table.merge(message, now);
     }
 
-    /// `on_owner_map` takes owners that this balancer wrote or read itself.
+    /// Handles an owner map that this balancer wrote to or read from the platform.
     pub fn on_owner_map(&mut self, map: OwnerMap, out: &mut Vec<ControlAction>) {
-        // An owner map is always valid.
+        // Only a configuration can be rejected as invalid.
         let value = ObjectValue::OwnerMap(map.raw);
 
         let _ = self.on_object(ObjectKey::OwnerMap, map.version, value, out);
     }
 
-    /// `on_object` takes an object from the platform or a peer; a newer one is put in force and
-    /// announced at once.
+    /// Handles an object from the platform or a peer. A newer one is put in force and announced to
+    /// peers at once. Reports whether it was newer.
     pub fn on_object(
         &mut self,
         key: ObjectKey,
@@ -238,12 +241,13 @@
         Ok(true)
     }
 
-    /// `on_platform_heard` notes an answer of the platform.
+    /// Records an answer of the platform to this balancer.
     pub fn on_platform_heard(&mut self, now: SystemTime) {
         self.table.on_platform_heard(to_unix_millis(now));
     }
 
-    /// `platform_heard` gives when any balancer heard of last heard the platform.
+    /// Returns the time of the latest platform answer that this balancer got or learned of from
+    /// peers.
     #[must_use]
     pub fn platform_heard(&self) -> Option<SystemTime> {
         let heard = self.table.platform_heard_ms();
@@ -251,65 +255,65 @@
         (heard > 0).then(|| from_unix_millis(heard))
     }
 
-    /// `is_serving` tells whether this balancer has joined and is not leaving.
+    /// Reports whether this balancer has joined and is not leaving.
     #[must_use]
     pub fn is_serving(&self) -> bool {
         self.own().state == PeerState::Serving
     }
 
-    /// `leave` announces that this balancer leaves.
+    /// Marks this balancer as leaving and announces it to peers.
     pub fn leave(&mut self) {
         self.table.set_state(PeerState::Leaving);
         self.has_news = true;
     }
 
-    /// `give_lease_back` closes the lease; call it once the services are handed over.
+    /// Releases the lease. To be called once all services have been handed over.
     pub fn give_lease_back(&mut self) {
         self.keeper.give_back();
     }
 
-    /// `is_lease_given_back` tells whether no lease is held and none will be.
+    /// Reports whether the lease has been released: none is held and none will be acquired.
     #[must_use]
     pub fn is_lease_given_back(&self) -> bool {
         self.keeper.is_given_back()
     }
 
-    /// `object` gives the latest known version of an object.
+    /// Returns the latest known version and value of an object.
     #[must_use]
     pub fn object(&self, key: ObjectKey) -> Option<&(ObjectVersion, ObjectValue)> {
         self.objects.get(key)
     }
 
-    /// `configuration` gives the configuration in force.
+    /// Returns the configuration in force, or `None` before the first.
     #[must_use]
     pub fn configuration(&self) -> Option<&Arc<Configuration>> {
         self.configuration.as_ref()
     }
 
-    /// `owner_map` gives the owners of services.
+    /// Returns the owner map in force.
     #[must_use]
     pub fn owner_map(&self) -> &Arc<OwnerMap> {
         &self.owner_map
     }
 
-    /// `view` gives the live balancers.
+    /// Returns the live balancers as of the last step.
     #[must_use]
     pub fn view(&self) -> &LiveView {
         &self.view
     }
 
-    /// `grant` gives the present lease.
+    /// Returns the lease that this balancer holds as of the last step.
     #[must_use]
     pub fn grant(&self) -> Option<LeaseGrant> {
         self.grant
     }
 
-    /// `known_peers` lists the other balancers, with whether each is alive.
+    /// Iterates over the records of the other known balancers, each with whether it is alive.
     pub fn known_peers(&self, now: SystemTime) -> impl Iterator<Item = (&PeerRecord, bool)> {
         self.table.known(now)
     }
 
-    /// `own` gives the own heartbeat record.
+    /// Returns the record that this balancer announces in heartbeats.
     #[must_use]
     pub fn own(&self) -> &PeerRecord {
         self.table.own()
--- a/crates/valvestage-policy/src/control/control_roles.rs
+++ b/crates/valvestage-policy/src/control/control_roles.rs
@@ -1,4 +1,5 @@
-//! What a balancer does for all of them: it may watch the platform, hold a lease, look after owners.
+//! Roles that a balancer takes on for the whole deployment: platform watcher, lease holder and
+//! coordinator of service ownership.
 
 use std::time::SystemTime;
 
@@ -11,13 +12,14 @@
 use crate::membership::PeerState;
 use crate::rendezvous::mix;
 
-/// The balancer that is home of this key looks after owners; two that do it at once do no harm.
+/// The home balancer of this key is the coordinator. Two balancers that act as coordinator at the
+/// same time do no harm, because their writes are conditional.
 const COORDINATOR_KEY: u64 = 0x6f77_6e65;
 
-/// Separates the choice of watchers from that of lease holders.
+/// Hash seed that makes the selection of watchers independent of that of lease holders.
 const WATCHER_SEED: u64 = 0x7761_7463;
 
-/// Separates the choice of lease holders from that of watchers.
+/// Hash seed that makes the selection of lease holders independent of that of watchers.
 const HOLDER_SEED: u64 = 0x686f_6c64;
 
 impl ControlPolicy {
@@ -36,7 +38,8 @@
         }
     }
 
-    /// The balancers chosen in this zone, whoever owns a service, and whoever gives a lease back.
+    /// Reports whether this balancer may make lease calls: if it is a selected lease holder of its
+    /// zone, owns a service, or is releasing its lease.
     fn may_hold_lease(&self, now: SystemTime) -> bool {
         self.keeper.gives_back()
             || self.is_chosen(now, HOLDER_SEED, self.options.owners_per_zone)
@@ -60,7 +63,7 @@
         }
     }
 
-    /// `should_watch` tells whether this balancer is to watch the platform now.
+    /// Reports whether this balancer has to watch the platform now.
     #[must_use]
     pub fn should_watch(&self, now: SystemTime) -> bool {
         let is_stale = self.platform_heard().is_none_or(|heard| {
@@ -70,7 +73,8 @@
         is_stale || self.is_chosen(now, WATCHER_SEED, self.options.watchers_per_zone)
     }
 
-    /// Whether this balancer is among the first of its zone, in an order that all agree on.
+    /// Reports whether this balancer ranks among the first `count` serving balancers of its zone,
+    /// in an order that is the same on all balancers.
     fn is_chosen(&self, now: SystemTime, seed: u64, count: usize) -> bool {
         let own = self.own();
         let mates = self
@@ -83,7 +87,7 @@
         before < count
     }
 
-    /// `candidates` lists live, staying balancers that hold a lease, this one included.
+    /// Returns the live, serving balancers that hold a lease, including this one.
     #[must_use]
     pub fn candidates(&self, now: SystemTime) -> Vec<OwnerCandidate> {
         let records = self.table.alive(now).chain([self.own()]);
@@ -94,7 +98,7 @@
             .collect()
     }
 
-    /// `planned_stop` prepares the handover of all services that this balancer owns.
+    /// Creates the state machine that hands over all services of this balancer.
     #[must_use]
     pub fn planned_stop(&self, now: SystemTime) -> PlannedStop {
         let lease = self.grant.map_or(0, |grant| grant.epoch);
@@ -103,7 +107,7 @@
         PlannedStop::new(from, self.owned_services(), now)
     }
 
-    /// `owned_services` lists the services that this balancer owns under its present lease.
+    /// Returns the services that this balancer owns under its present lease.
     #[must_use]
     pub fn owned_services(&self) -> Vec<ServiceId> {
         let lease = self.grant.map(|grant| grant.epoch);
--- a/crates/valvestage-policy/src/control/first_read.rs
+++ b/crates/valvestage-policy/src/control/first_read.rs
@@ -7,14 +7,16 @@
 use super::object_key::{ObjectKey, ObjectValue};
 use super::platform_call::{PlatformCall, PlatformReply};
 
-/// Pause after a read without an answer, or before there is a configuration.
+/// Delay before a retry, after a read without an answer or while there is no configuration.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// `FirstRead` reads the configuration itself, not a watch that may lag behind what this VM had in
-/// force before it was restarted.
+/// State machine of the first read of the configuration.
+///
+/// It reads the object itself, because a watch may lag behind the version that this VM had in force
+/// before its restart.
 #[derive(Debug, Clone)]
 pub struct FirstRead {
-    /// Without an answer until then, what peers have has to do.
+    /// Time after which the configuration from peers is accepted without an answer of the platform.
     give_up_at: SystemTime,
     not_before: SystemTime,
     is_waiting: bool,
@@ -22,7 +24,7 @@
 }
 
 impl FirstRead {
-    /// `new` gives up waiting for the platform at a time.
+    /// Creates a first read that gives up waiting for the platform at the given time.
     #[must_use]
     pub fn new(give_up_at: SystemTime) -> Self {
         Self {
@@ -33,13 +35,13 @@
         }
     }
 
-    /// `is_done` tells whether the platform answered, or has not for too long.
+    /// Reports whether the configuration was read, or the time to give up has come.
     #[must_use]
     pub fn is_done(&self, now: SystemTime) -> bool {
         self.is_answered || now >= self.give_up_at
     }
 
-    /// `next_call` gives the call that is due, if any.
+    /// Returns the platform call that is due, if any.
     pub fn next_call(&mut self, now: SystemTime) -> Option<PlatformCall> {
         if self.is_waiting || self.is_answered || now < self.not_before {
             return None;
@@ -49,7 +51,7 @@
         Some(PlatformCall::Read { key: ObjectKey::Configuration })
     }
 
-    /// `on_reply` takes the reply, and gives the configuration if there is one.
+    /// Handles the reply, and returns the version and value of the configuration if there is one.
     pub fn on_reply(
         &mut self,
         now: SystemTime,
--- a/crates/valvestage-policy/src/control/lease_keeper.rs
+++ b/crates/valvestage-policy/src/control/lease_keeper.rs
@@ -1,4 +1,4 @@
-//! Acquiring, renewing and giving back the lease of this balancer.
+//! Acquisition, renewal and release of the lease of this balancer.
 
 use std::time::{Duration, SystemTime};
 
@@ -9,19 +9,19 @@
 use super::object_key::{ObjectKey, ObjectValue};
 use super::platform_call::{PlatformCall, PlatformReply};
 
-/// Renewals start this often within the length of a lease.
+/// Number of renewals within the length of a lease.
 const RENEWALS_PER_LEASE: u32 = 3;
 
-/// Pause after a call without an answer.
+/// Delay before a retry, after a call without an answer.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// `LeaseOptions` sets the length of leases.
+/// Parameters of leases.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaseOptions {
-    /// Length of a lease: longer rides out longer platform outages, and keeps a crashed owner's
-    /// services waiting longer.
+    /// Length of a lease. A longer lease bridges longer platform outages, but leaves the services
+    /// of a crashed owner without one for longer.
     pub length: Duration,
-    /// Bound on the difference between two clocks.
+    /// Upper bound of the difference between the clocks of any two balancers.
     pub clock_bound: Duration,
 }
 
@@ -31,49 +31,49 @@
     }
 }
 
-/// `LeaseGrant` is a lease as the policy uses it.
+/// Lease that this balancer holds, as the policy uses it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseGrant {
-    /// Which lease.
+    /// Epoch of the lease.
     pub epoch: LeaseEpoch,
-    /// Its end less the clock bound.
+    /// End of the lease minus the clock bound.
     pub fence: Deadline,
 }
 
-/// What is known of the object in the platform.
+/// Last known state of the lease object in the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Knowledge {
-    /// Nothing certain: it has to be read.
+    /// Not known: the object has to be read.
     None,
-    /// It does not exist.
+    /// The object does not exist.
     Missing,
-    /// It had this version and value when last read or written.
+    /// Version and value at the last read or write.
     Known(ObjectVersion, LeaseRecord),
 }
 
-/// `LeaseKeeper` holds the lease of one balancer.
+/// State machine that acquires and renews the lease of one balancer.
 ///
-/// A lease counts only once its write is confirmed, from the time before the write was sent, so
-/// that the holder never believes in it longer than others do.
+/// A lease is valid only once its write is confirmed, and its time runs from before the write was
+/// sent, so that the holder never relies on it for longer than other balancers respect it.
 #[derive(Debug, Clone)]
 pub struct LeaseKeeper {
     own: BalancerId,
     options: LeaseOptions,
     knowledge: Knowledge,
-    /// The epoch that this process acquired; none before the first, or after it was closed.
+    /// Epoch of the lease that this process acquired; `None` before the first and after its close.
     epoch: Option<LeaseEpoch>,
-    /// End of the confirmed lease.
+    /// End of the last confirmed lease.
     expires: Option<Deadline>,
-    /// The record of a write that has no answer yet.
+    /// Record of a write whose result is not known yet.
     in_flight: Option<LeaseRecord>,
-    /// Whether a call is out; at most one is.
+    /// Whether a call is pending; there is at most one.
     is_waiting: bool,
     not_before: SystemTime,
     is_leaving: bool,
 }
 
 impl LeaseKeeper {
-    /// `new` starts without a lease.
+    /// Creates the state machine of a balancer that holds no lease.
     #[must_use]
     pub fn new(own: BalancerId, options: LeaseOptions, now: SystemTime) -> Self {
         Self {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// `grant` gives the lease while it holds.
+    /// Returns the lease while it is valid.
     #[must_use]
     pub fn grant(&self, now: SystemTime) -> Option<LeaseGrant> {
         let fence = self.expires?.checked_sub(self.options.clock_bound)?;
@@ -97,24 +97,24 @@
         self.epoch.filter(|_| now < fence).map(|epoch| LeaseGrant { epoch, fence })
     }
 
-    /// `give_back` closes the lease at the next step and acquires no other.
+    /// Releases the lease with the next call. No other lease is acquired afterwards.
     pub fn give_back(&mut self) {
         self.is_leaving = true;
     }
 
-    /// `gives_back` tells whether the lease is on its way out.
+    /// Reports whether the lease is being released or has been.
     #[must_use]
     pub fn gives_back(&self) -> bool {
         self.is_leaving
     }
 
-    /// `is_given_back` tells whether no lease is held and none will be.
+    /// Reports whether the lease has been released: none is held and none will be acquired.
     #[must_use]
     pub fn is_given_back(&self) -> bool {
         self.is_leaving && self.expires.is_none()
     }
 
-    /// `next_call` gives the call that is due, if any.
+    /// Returns the platform call that is due, if any.
     pub fn next_call(&mut self, now: SystemTime) -> Option<PlatformCall> {
         if self.is_waiting || now < self.not_before || (self.is_leaving && self.epoch.is_none()) {
             return None;
@@ -144,8 +144,8 @@
             return self.renewal_is_due(now).then(|| self.write(Some(version), record.epoch, now));
         }
 
-        // Somebody closed it, or it is a former process's: that one may be paused and believe in
-        // it, so its time has to pass first.
+        // The lease was closed, or a former process of this balancer acquired it. That process may
+        // only be paused and still rely on the lease, so the lease has to lapse first.
         self.epoch = None;
         self.expires = None;
         if !record.has_lapsed(now, self.options.clock_bound) {
@@ -188,7 +188,8 @@
     fn write_closed(&mut self, version: ObjectVersion, record: &LeaseRecord) -> PlatformCall {
         let record = LeaseRecord { closed: true, ..record.clone() };
 
-        // From here on it may be closed: nothing is run under it any more.
+        // The write may take effect at any time from here on, so nothing is run under the lease any
+        // more.
         self.expires = None;
         self.in_flight = Some(record.clone());
         PlatformCall::Write {
@@ -198,7 +199,7 @@
         }
     }
 
-    /// `on_reply` takes the result of the last call.
+    /// Handles the reply to the pending call.
     pub fn on_reply(&mut self, now: SystemTime, reply: &PlatformReply) {
         self.is_waiting = false;
 
@@ -209,7 +210,7 @@
                 }
             }
             PlatformReply::Found { version, value: ObjectValue::Lease(record) } => {
-                // A write whose answer was lost shows here.
+                // The value of a write whose answer was lost shows that the write took effect.
                 if self.in_flight.take().as_ref() == Some(record) {
                     self.adopt(*version, record.clone());
                 } else {
@@ -222,7 +223,8 @@
                 self.knowledge = Knowledge::Missing;
             }
             PlatformReply::Conflict => {
-                // The write that conflicts may be one of our own whose answer was lost.
+                // The conflicting write may be an earlier one of this balancer whose answer was
+                // lost.
                 self.knowledge = Knowledge::None;
             }
             PlatformReply::Unknown => {
--- a/crates/valvestage-policy/src/control/object_cache.rs
+++ b/crates/valvestage-policy/src/control/object_cache.rs
@@ -1,14 +1,16 @@
-//! The latest known versions of the objects that every balancer needs.
+//! The latest known versions of the shared objects.
 
 use valvestage_core::ids::ObjectVersion;
 
 use super::object_key::{ObjectKey, ObjectValue};
 
-/// `ObjectCache` keeps for each object the highest version ever seen, from the platform, from a
-/// watch that lags, or from another balancer: what is in force never reverts.
+/// Cache of the highest known version of each shared object.
+///
+/// Objects come from the platform, from a watch that may lag, or from another balancer. The cache
+/// keeps the state in force from reverting to an older version.
 #[derive(Debug, Clone)]
 pub struct ObjectCache {
-    /// Whether older versions are refused; only a baseline goes without.
+    /// Whether older versions are rejected; `false` only in a baseline for comparisons.
     newest_only: bool,
     configuration: Option<(ObjectVersion, ObjectValue)>,
     owner_map: Option<(ObjectVersion, ObjectValue)>,
@@ -16,13 +18,13 @@
 }
 
 impl ObjectCache {
-    /// `new` starts empty.
+    /// Creates an empty cache.
     #[must_use]
     pub fn new(newest_only: bool) -> Self {
         Self { newest_only, configuration: None, owner_map: None, token_keys: None }
     }
 
-    /// `is_news` tells whether a version is to be put in force.
+    /// Reports whether a version is to be put in force.
     #[must_use]
     pub fn is_news(&self, key: ObjectKey, version: ObjectVersion) -> bool {
         let known = self.version(key);
@@ -30,20 +32,20 @@
         if self.newest_only { version > known } else { version != known }
     }
 
-    /// `put` keeps an object that is news.
+    /// Stores an object. The caller has checked that its version is to be put in force.
     pub fn put(&mut self, key: ObjectKey, version: ObjectVersion, value: ObjectValue) {
         if let Some(place) = self.place_mut(key) {
             *place = Some((version, value));
         }
     }
 
-    /// `version` gives the version known; 0 if none is.
+    /// Returns the cached version of an object, or 0 if there is none.
     #[must_use]
     pub fn version(&self, key: ObjectKey) -> ObjectVersion {
         self.get(key).map_or(0, |(version, _)| *version)
     }
 
-    /// `get` gives an object with its version.
+    /// Returns the cached version and value of an object.
     #[must_use]
     pub fn get(&self, key: ObjectKey) -> Option<&(ObjectVersion, ObjectValue)> {
         match key {
@@ -59,7 +61,7 @@
             ObjectKey::Configuration => Some(&mut self.configuration),
             ObjectKey::OwnerMap => Some(&mut self.owner_map),
             ObjectKey::TokenKeys => Some(&mut self.token_keys),
-            // Leases are read where they are needed.
+            // Leases are not cached; they are read from the platform when needed.
             ObjectKey::Lease(_) => None,
         }
     }
--- a/crates/valvestage-policy/src/control/object_key.rs
+++ b/crates/valvestage-policy/src/control/object_key.rs
@@ -1,4 +1,4 @@
-//! The objects that the system keeps in the platform.
+//! Keys and values of the objects that valvestage stores in the platform.
 
 use serde::{Deserialize, Serialize};
 use valvestage_core::RawConfiguration;
@@ -8,21 +8,21 @@
 use super::owner_map::RawOwnerMap;
 use crate::flows::RawTokenKeys;
 
-/// `ObjectKey` names one object.
+/// Key of one object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ObjectKey {
     /// The deployment configuration.
     Configuration,
-    /// Which balancer owns which service.
+    /// The map from each service to the balancer that owns it.
     OwnerMap,
-    /// The keys of flow hash and flow tokens.
+    /// The keys of the flow hash and of flow tokens.
     TokenKeys,
     /// The lease of one balancer.
     Lease(BalancerId),
 }
 
 impl ObjectKey {
-    /// `path` gives the key as the object API has it.
+    /// Returns the path of the object in the object API.
     #[must_use]
     pub fn path(self) -> String {
         match self {
@@ -34,15 +34,15 @@
     }
 }
 
-/// `ObjectValue` is the value of one object.
+/// Value of one object.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ObjectValue {
-    /// Of [`ObjectKey::Configuration`].
+    /// Value of [`ObjectKey::Configuration`].
     Configuration(RawConfiguration),
-    /// Of [`ObjectKey::OwnerMap`].
+    /// Value of [`ObjectKey::OwnerMap`].
     OwnerMap(RawOwnerMap),
-    /// Of [`ObjectKey::TokenKeys`].
+    /// Value of [`ObjectKey::TokenKeys`].
     TokenKeys(RawTokenKeys),
-    /// Of [`ObjectKey::Lease`].
+    /// Value of [`ObjectKey::Lease`].
     Lease(LeaseRecord),
 }
--- a/crates/valvestage-policy/src/control/owner_coordinator.rs
+++ b/crates/valvestage-policy/src/control/owner_coordinator.rs
@@ -1,7 +1,8 @@
-//! Giving services to owners, and taking them from owners whose lease has lapsed.
+//! Assignment of services to owners, and reassignment after an owner's lease has lapsed.
 //!
-//! Any balancer may do this; conditional writes keep two of them from clashing. A lapsed lease is
-//! closed before its services are given away: its holder, should it wake, cannot renew it.
+//! Any balancer may act as coordinator; conditional writes keep two of them from overwriting each
+//! other. A lapsed lease is closed before its services are reassigned, so that a holder that was
+//! only paused cannot renew it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, SystemTime};
@@ -15,29 +16,29 @@
 use super::platform_call::{PlatformCall, PlatformReply};
 use crate::rendezvous::mix;
 
-/// Pause after a call without an answer or a conflict.
+/// Delay before a retry, after a call without an answer or with a conflict.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Longest wait for candidates before the first map of a deployment.
+/// Maximum time to wait for more candidates before the first owner map of a deployment is written.
 const FIRST_GATHERING: Duration = Duration::from_secs(2);
 
-/// `OwnerCandidate` is a live balancer that holds a lease.
+/// Live balancer that holds a lease and may own services.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OwnerCandidate {
-    /// The balancer.
+    /// Id of the balancer.
     pub id: BalancerId,
-    /// Its lease, as it announces it.
+    /// Epoch of its lease, as it announces it in heartbeats.
     pub lease: LeaseEpoch,
 }
 
-/// `CoordinatorInputs` is what the coordinator looks at.
+/// State that the coordinator bases its decisions on.
 #[derive(Debug, Clone)]
 pub struct CoordinatorInputs {
-    /// Every service of the configuration in force.
+    /// All services of the configuration in force.
     pub services: Vec<ServiceId>,
-    /// Live, staying balancers with a lease.
+    /// Live, serving balancers that hold a lease.
     pub candidates: Vec<OwnerCandidate>,
-    /// Live, staying balancers, with a lease or without.
+    /// Number of live, serving balancers, with or without a lease.
     pub live: usize,
 }
 
@@ -46,21 +47,21 @@
     Idle,
     ReadingMap,
     ReadingLease(BalancerId),
-    /// The lease was found lapsed at this version and has to be closed.
+    /// The lease has lapsed at this version and has to be closed.
     CloseDue(ObjectVersion, LeaseRecord),
     ClosingLease(LeaseRecord),
     WritingMap(RawOwnerMap),
 }
 
-/// `OwnerCoordinator` keeps the owner map fitting to the live balancers.
+/// State machine that keeps the owner map in line with the live balancers.
 #[derive(Debug, Clone)]
 pub struct OwnerCoordinator {
     own: BalancerId,
     clock_bound: Duration,
     step: Step,
-    /// The map as last read; none when it has to be read again.
+    /// Latest known map; `None` when it has to be read again.
     map: Option<OwnerMap>,
-    /// Leases found lapsed and closed, with their epochs, since the map was read.
+    /// Leases that were found to be over since the map was last read.
     lapsed: BTreeSet<(BalancerId, LeaseEpoch)>,
     not_before: SystemTime,
     started: SystemTime,
@@ -68,7 +69,7 @@
 }
 
 impl OwnerCoordinator {
-    /// `new` starts without knowledge.
+    /// Creates a coordinator that has not read the owner map yet.
     #[must_use]
     pub fn new(own: BalancerId, clock_bound: Duration, now: SystemTime) -> Self {
         Self {
@@ -83,14 +84,14 @@
         }
     }
 
-    /// `on_map` takes in a newer map from elsewhere.
+    /// Updates the known map with a newer one from elsewhere.
     pub fn on_map(&mut self, map: &OwnerMap) {
         if self.map.as_ref().is_some_and(|known| known.version < map.version) {
             self.map = Some(map.clone());
         }
     }
 
-    /// `next_call` gives the call that is due, if any.
+    /// Returns the platform call that is due, if any.
     pub fn next_call(
         &mut self,
         now: SystemTime,
@@ -113,7 +114,7 @@
             return Some(PlatformCall::Read { key: ObjectKey::OwnerMap });
         };
 
-        // Owners that are not live candidates: their leases decide.
+        // An owner that is not a live candidate keeps its services until its lease is over.
         let doubtful = map.raw.entries.values().find(|entry| self.is_doubtful(entry, inputs));
         if let Some(entry) = doubtful {
             self.step = Step::ReadingLease(entry.owner);
@@ -133,8 +134,10 @@
         })
     }
 
-    /// In a fresh deployment the first balancer with a lease would get every service: most of the
-    /// others follow within a moment.
+    /// Reports whether the first owner map should wait for more candidates.
+    ///
+    /// In a new deployment the first balancer with a lease would get every service, although most
+    /// of the others acquire theirs shortly after.
     fn expects_more_candidates(&self, now: SystemTime, inputs: &CoordinatorInputs) -> bool {
         inputs.candidates.len() * 2 < inputs.live && now < self.started + FIRST_GATHERING
     }
@@ -148,7 +151,8 @@
         !is_candidate && !self.lapsed.contains(&(entry.owner, entry.lease))
     }
 
-    /// The map with an owner for each service that has none; nothing if there is no such service.
+    /// Returns the map with an owner for each service, or `None` if no change is needed or there is
+    /// no candidate.
     fn next_map(
         &mut self,
         now: SystemTime,
@@ -165,8 +169,9 @@
                 continue;
             }
 
-            // A service that nobody ever owned is covered from the beginning. After a lapse, what
-            // the former owner accepted is not known.
+            // The claim table of a service without a previous owner covers all time. After a lapse
+            // it is not known which requests the previous owner accepted, so the coverage starts
+            // anew.
             let was_owned = map.raw.entries.contains_key(service);
             let covers_from_ms = if was_owned { to_unix_millis(now + self.clock_bound) } else { 0 };
             let candidate = pick_owner(*service, &entries, &inputs.candidates)?;
@@ -188,7 +193,7 @@
         Some(RawOwnerMap { change_id, entries })
     }
 
-    /// `on_reply` takes the result of the last call, and gives the map if it is news.
+    /// Handles the reply to the pending call, and returns the map if it was read or written.
     pub fn on_reply(&mut self, now: SystemTime, reply: PlatformReply) -> Option<OwnerMap> {
         match (std::mem::replace(&mut self.step, Step::Idle), reply) {
             (Step::ReadingMap, PlatformReply::Missing) => {
@@ -217,7 +222,7 @@
                 self.map = Some(map.clone());
                 Some(map)
             }
-            // A conflict or no answer: the map has to be read again.
+            // After a conflict or a call without an answer the map has to be read again.
             _ => {
                 self.map = None;
                 self.not_before = now + RETRY_PAUSE;
@@ -227,7 +232,7 @@
     }
 
     fn on_lease_read(&mut self, now: SystemTime, owner: BalancerId, reply: &PlatformReply) {
-        // Epochs of the map's entries of this owner.
+        // Epochs of the leases under which this owner holds services in the map.
         let entries = self.map.iter().flat_map(|map| map.raw.entries.values());
         let owned: Vec<LeaseEpoch> =
             entries.filter(|entry| entry.owner == owner).map(|entry| entry.lease).collect();
@@ -237,7 +242,7 @@
                 self.lapsed.extend(owned.into_iter().map(|epoch| (owner, epoch)));
             }
             PlatformReply::Found { version, value: ObjectValue::Lease(record) } => {
-                // A later lease is acquired only once the former one is over.
+                // A balancer acquires a lease only once its previous one is over.
                 for epoch in owned.iter().filter(|epoch| **epoch < record.epoch) {
                     self.lapsed.insert((owner, *epoch));
                 }
@@ -256,7 +261,7 @@
     }
 }
 
-/// The candidate with the fewest services; rendezvous hashing decides between equals.
+/// Returns the candidate with the fewest services; rendezvous hashing breaks ties.
 fn pick_owner(
     service: ServiceId,
     entries: &BTreeMap<ServiceId, OwnerEntry>,
--- a/crates/valvestage-policy/src/control/owner_handover.rs
+++ b/crates/valvestage-policy/src/control/owner_handover.rs
@@ -1,4 +1,4 @@
-//! The planned move of one service to another owner.
+//! The planned handover of one service to another owner.
 
 use std::time::SystemTime;
 
@@ -10,32 +10,33 @@
 use super::owner_map::{OwnerEntry, OwnerMap, RawOwnerMap};
 use super::platform_call::{PlatformCall, PlatformReply};
 
-/// `HandoverOutcome` says how a handover stands after a reply.
+/// State of a handover after a platform reply.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HandoverOutcome {
-    /// Another call is needed.
+    /// Another platform call is needed.
     Call(PlatformCall),
-    /// The next owner owns the service.
+    /// The next owner owns the service, by this map.
     Moved(OwnerMap),
-    /// The service stays: somebody else changed the map first.
+    /// The service was not moved, because another balancer changed the map first.
     Stays(OwnerMap),
-    /// No answer: ask again later. Until it is settled nothing may be run.
+    /// The result is not known: the map has to be read later. Until then no request of the service
+    /// may be run.
     Unsettled,
 }
 
-/// `OwnerHandover` moves one service, after its claims were handed to the next owner.
+/// State machine that moves one service after its claims were transferred to the next owner.
 #[derive(Debug, Clone)]
 pub struct OwnerHandover {
     service: ServiceId,
-    /// Names the handover, in the map and towards the next owner.
+    /// Id of the handover, in the owner map and in messages to the next owner.
     pub id: u64,
     base: OwnerMap,
     next: RawOwnerMap,
 }
 
 impl OwnerHandover {
-    /// `new` prepares the move of a service; none if the balancer that hands over does not own it
-    /// any more: then the claims are not its to hand over.
+    /// Prepares the move of a service. Returns `None` if the balancer `from` does not own it under
+    /// its lease any more, because its claims are then no longer authoritative.
     #[must_use]
     pub fn new(
         service: ServiceId,
@@ -49,7 +50,7 @@
         let id = to_unix_millis(now) << 16 | u64::from(service);
         let change_id = format!("handover-{}-{id}", present.owner);
 
-        // What the claim table covers goes over with the claims.
+        // The claims move along, so the start of the covered time range stays the same.
         let entry = OwnerEntry { owner: to.id, lease: to.lease, handover: Some(id), ..present };
         let mut entries = base.raw.entries.clone();
         entries.insert(service, entry);
@@ -57,7 +58,7 @@
         Some(Self { service, id, base: base.clone(), next: RawOwnerMap { change_id, entries } })
     }
 
-    /// `call` gives the conditional write that moves the service.
+    /// Returns the conditional write that moves the service.
     #[must_use]
     pub fn call(&self) -> PlatformCall {
         PlatformCall::Write {
@@ -67,14 +68,14 @@
         }
     }
 
-    /// `on_reply` takes the result of a call.
+    /// Handles the reply to a call.
     #[must_use]
     pub fn on_reply(&self, reply: PlatformReply) -> HandoverOutcome {
         match reply {
             PlatformReply::Written { version } => {
                 HandoverOutcome::Moved(OwnerMap { version, raw: self.next.clone() })
             }
-            // Conflicting with a write of our own whose answer was lost is possible, too.
+            // The conflicting write may be an earlier one of this handover whose answer was lost.
             PlatformReply::Conflict => {
                 HandoverOutcome::Call(PlatformCall::Read { key: ObjectKey::OwnerMap })
             }
@@ -91,7 +92,7 @@
         if entry.is_some_and(|entry| entry.handover == Some(self.id)) {
             return HandoverOutcome::Moved(map);
         }
-        // The write may still be on its way; writing once more with the same condition settles it.
+        // The write may still take effect later; repeating it with the same condition settles it.
         if map.version == self.base.version {
             return HandoverOutcome::Call(self.call());
         }
--- a/crates/valvestage-policy/src/control/planned_stop.rs
+++ b/crates/valvestage-policy/src/control/planned_stop.rs
@@ -1,4 +1,4 @@
-//! Handing all services over, one after the other, before a planned stop.
+//! Handover of all services, one after the other, before a planned stop.
 
 use std::collections::VecDeque;
 use std::time::{Duration, SystemTime};
@@ -11,61 +11,62 @@
 use super::owner_map::OwnerMap;
 use super::platform_call::{PlatformCall, PlatformReply};
 
-/// Pause after a call without an answer.
+/// Delay before a retry, after a call without an answer.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// `StopStep` is what the driver has to do next.
+/// Next action of the driver during a planned stop.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StopStep {
-    /// Take the service's claims (its new work is held back from then on) and offer them.
+    /// Export the service's claims and offer them to the next owner. New requests of the service
+    /// are held back from then on.
     Offer {
-        /// The next owner.
+        /// Balancer that gets the offer.
         to: BalancerId,
-        /// The service.
+        /// Id of the service.
         service: ServiceId,
-        /// Names the handover.
+        /// Id of the handover.
         handover: u64,
     },
-    /// Carry a platform call out.
+    /// Perform a platform call.
     Call(PlatformCall),
-    /// Put the map in force, then go on with what was held back.
+    /// Put the map in force, then process the requests that were held back.
     Settle {
-        /// The service.
+        /// Id of the service.
         service: ServiceId,
-        /// Whether the next owner has it.
+        /// Whether the next owner owns the service now.
         moved: bool,
-        /// The map that decides it, if it was read or written.
+        /// Map that shows the result, if one was read or written.
         map: Option<OwnerMap>,
     },
 }
 
 #[derive(Debug, Clone)]
 enum Progress {
-    /// The candidates that were not asked yet.
+    /// The next candidate has to be asked; these are left.
     Choosing(VecDeque<OwnerCandidate>),
-    /// An offer is out.
+    /// An offer is pending; these candidates are left if it is refused.
     Offering(VecDeque<OwnerCandidate>, OwnerHandover),
-    /// A call is due.
+    /// A platform call is due.
     Writing(OwnerHandover, PlatformCall),
-    /// A call is out.
+    /// A platform call is pending.
     Waiting(OwnerHandover),
-    /// It is decided.
+    /// The result is known: whether the service was moved, and the map that shows it.
     Settling(bool, Option<OwnerMap>),
 }
 
-/// `PlannedStop` moves the services of a balancer that leaves.
+/// State machine that moves all services of a leaving balancer.
 #[derive(Debug, Clone)]
 pub struct PlannedStop {
-    /// The balancer that leaves, under the lease by which it owns the services.
+    /// Leaving balancer, with the lease under which it owns the services.
     from: OwnerCandidate,
-    /// Services still to be moved; the first one is under way.
+    /// Services still to be moved; the first one is in progress.
     services: VecDeque<ServiceId>,
     progress: Option<Progress>,
     not_before: SystemTime,
 }
 
 impl PlannedStop {
-    /// `new` takes the services that the balancer owns.
+    /// Creates the state machine for the services that the balancer owns.
     pub fn new(
         from: OwnerCandidate,
         services: impl IntoIterator<Item = ServiceId>,
@@ -74,13 +75,13 @@
         Self { from, services: services.into_iter().collect(), progress: None, not_before: now }
     }
 
-    /// `is_done` tells whether every service is settled.
+    /// Reports whether all services are settled.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.services.is_empty()
     }
 
-    /// `next` gives the next step; none while something is out.
+    /// Returns the next step, or `None` while an offer, a call or a retry delay is pending.
     pub fn next(
         &mut self,
         now: SystemTime,
@@ -111,7 +112,7 @@
         }
     }
 
-    /// The other candidates, those with fewer services first.
+    /// Returns the other candidates, those with fewer services first.
     fn rank(&self, map: &OwnerMap, candidates: &[OwnerCandidate]) -> VecDeque<OwnerCandidate> {
         let owned = |id| map.raw.entries.values().filter(|entry| entry.owner == id).count();
         let mut others: Vec<_> =
@@ -137,7 +138,8 @@
                 self.progress = Some(Progress::Offering(left, handover));
                 StopStep::Offer { to: to.id, service, handover: id }
             }
-            // Nobody takes it, or it was taken away: what is held back goes to whoever owns it now.
+            // No candidate takes the service, or another balancer owns it by now. Requests that
+            // were held back go to the present owner.
             _ => {
                 self.services.pop_front();
                 StopStep::Settle { service, moved: false, map: None }
@@ -145,7 +147,7 @@
         }
     }
 
-    /// `on_offered` takes the answer to an offer; no answer counts as a refusal.
+    /// Handles the answer to an offer. No answer counts as a refusal.
     pub fn on_offered(&mut self, taken: bool) {
         if let Some(Progress::Offering(left, handover)) = self.progress.take() {
             self.progress = Some(if taken {
@@ -157,9 +159,10 @@
         }
     }
 
-    /// `on_reply` takes the reply to a platform call.
+    /// Handles the reply to a platform call.
     ///
-    /// While the result is open nothing of the service is run here: the next owner may have it.
+    /// While the result is not known, no request of the service is run here, because the next owner
+    /// may own it already.
     pub fn on_reply(&mut self, now: SystemTime, reply: PlatformReply) {
         let Some(Progress::Waiting(handover)) = self.progress.take() else {
             return;
--- a/crates/valvestage-policy/src/control/platform_call.rs
+++ b/crates/valvestage-policy/src/control/platform_call.rs
@@ -1,47 +1,47 @@
-//! Calls to the platform's object API and their results.
+//! Calls to the platform's object API, and their replies.
 
 use valvestage_core::ids::ObjectVersion;
 
 use super::object_key::{ObjectKey, ObjectValue};
 
-/// `PlatformCall` is one call that a state machine asks for.
+/// Call that a state machine requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlatformCall {
     /// Read an object.
     Read {
-        /// The object.
+        /// Key of the object.
         key: ObjectKey,
     },
-    /// Write an object if its version is still the one given; `None` means that it must not exist.
+    /// Write an object, on the condition that its version has not changed.
     Write {
-        /// The object.
+        /// Key of the object.
         key: ObjectKey,
-        /// The version that it must have.
+        /// Version that the object must have; `None` if it must not exist.
         expected: Option<ObjectVersion>,
-        /// The new value.
+        /// Value to write.
         value: ObjectValue,
     },
 }
 
-/// `PlatformReply` is the result of a call.
+/// Result of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlatformReply {
     /// The object was read.
     Found {
-        /// Its version.
+        /// Version of the object.
         version: ObjectVersion,
-        /// Its value.
+        /// Value of the object.
         value: ObjectValue,
     },
     /// The object does not exist.
     Missing,
     /// The object was written.
     Written {
-        /// Its new version.
+        /// Version that the write created.
         version: ObjectVersion,
     },
     /// The object has another version; nothing was written.
     Conflict,
-    /// No answer came: a write may have taken effect or may still do so.
+    /// No answer arrived: a write may have taken effect, or may still do so.
     Unknown,
 }
--- a/crates/valvestage-policy/src/errors.rs
+++ b/crates/valvestage-policy/src/errors.rs
@@ -3,15 +3,15 @@
 use thiserror::Error;
 use valvestage_core::CoreError;
 
-/// `PolicyError` tells why an operator's intent or a received object cannot be used.
+/// Error of an operator's intent or a received object that cannot be used.
 #[derive(Debug, Error, Clone, PartialEq, Eq)]
 pub enum PolicyError {
-    /// The intent names something that is not in the configuration.
+    /// The intent refers to an object that is not in the configuration.
     #[error("{what} {name} does not exist; see `valvectl status`")]
     NotFound {
-        /// Kind of the thing named.
+        /// Kind of the object, such as "service".
         what: &'static str,
-        /// The name given.
+        /// Name given in the intent.
         name: String,
     },
     /// The resulting configuration would break one of its invariants.
--- a/crates/valvestage-policy/src/lib.rs
+++ b/crates/valvestage-policy/src/lib.rs
@@ -1,19 +1,19 @@
-//! Every decision of valvestage, without I/O.
+//! The decision logic of valvestage, without I/O.
 //!
-//! Each type takes typed events with the present time and gives typed verdicts or actions. Nothing
-//! here opens a socket, starts a thread, reads a clock or draws an unseeded random number, so any
-//! driver (a binary, a test, a bench) can be put around it.
+//! Each type takes typed events with the present time and returns typed verdicts or actions.
+//! Nothing here opens a socket, starts a thread, reads a clock or uses an unseeded random number,
+//! so any driver (a binary, a test, a benchmark) can run it.
 //!
 //! | module | decides |
 //! |---|---|
 //! | [`rendezvous`] | which candidate a key prefers |
 //! | [`flows`] | which backend server a flow packet goes to |
 //! | [`requests`] | when, where and whether a request runs |
-//! | [`membership`] | which balancers are alive, and who is home of a flow |
-//! | [`control`] | leases, service owners, object versions |
+//! | [`membership`] | which balancers are alive, and which is the home of a flow |
+//! | [`control`] | leases, service owners and object versions |
 //! | [`operations`] | operators' plans, and explanations of decisions |
-//! | [`steering`] | which backend server a packet goes to, where only packets are seen |
-//! | [`balancer`] | the parts together, as one balancer runs them |
+//! | [`steering`] | which backend server a packet goes to, if only packets are seen |
+//! | [`balancer`] | how these parts work together in one balancer |
 
 pub mod balancer;
 pub mod control;
--- a/crates/valvestage-policy/src/membership.rs
+++ b/crates/valvestage-policy/src/membership.rs
@@ -1,4 +1,4 @@
-//! Which balancers are alive, and which of them is home of a flow or service.
+//! Membership: which balancers are alive, and which of them is the home of a flow or service.
 
 mod heartbeat_message;
 mod heartbeat_options;
--- a/crates/valvestage-policy/src/membership/heartbeat_message.rs
+++ b/crates/valvestage-policy/src/membership/heartbeat_message.rs
@@ -1,34 +1,35 @@
-//! What two balancers tell each other in a heartbeat.
+//! The messages that balancers exchange as heartbeats.
 
 use serde::{Deserialize, Serialize};
 use valvestage_core::ids::BalancerId;
 
 use super::peer_record::PeerRecord;
 
-/// `BeatDigest` is the part of a record that changes with every heartbeat.
+/// Digest of a peer record: the part that changes with every heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BeatDigest {
-    /// The balancer.
+    /// Balancer that the digest is about.
     pub id: BalancerId,
-    /// Tells the starts of its process apart: the low bits of `started_ms`.
+    /// Identifies the start of its process: the low bits of `started_ms`.
     pub start_tag: u8,
-    /// Tells the versions of its record apart: the low bits of `revision`.
+    /// Identifies the revision of its record: the low bits of `revision`.
     pub revision_tag: u8,
-    /// Heartbeats that it has sent since its start.
+    /// Number of heartbeats that it has sent since its start.
     pub beat: u64,
 }
 
-/// `HeartbeatMessage` is one direction of an exchange.
+/// Message of one direction of a gossip exchange.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatMessage {
-    /// The sender's record.
+    /// Record of the sender.
     pub own: PeerRecord,
-    /// Records that changed lately, or that the receiver asked for.
+    /// Records that changed recently or that the receiver asked for.
     pub records: Vec<PeerRecord>,
-    /// Heartbeats of others.
+    /// Digests of other live balancers.
     pub digests: Vec<BeatDigest>,
-    /// Balancers of which the sender has no record, or an old one.
+    /// Balancers of which the sender has no record or an outdated one.
     pub wanted: Vec<BalancerId>,
-    /// When the sender or anyone it heard of last heard the platform, Unix milliseconds.
+    /// Time of the latest platform answer to any balancer that the sender knows of, in Unix
+    /// milliseconds; 0 for none.
     pub platform_heard_ms: u64,
 }
--- a/crates/valvestage-policy/src/membership/heartbeat_options.rs
+++ b/crates/valvestage-policy/src/membership/heartbeat_options.rs
@@ -1,24 +1,24 @@
-//! Bounds of the gossip.
+//! Parameters of the heartbeat gossip.
 
 use std::time::Duration;
 
-/// `HeartbeatOptions` bounds the traffic and the time to detect a loss.
+/// Limits of the gossip traffic, and timeouts of failure detection.
 ///
-/// A message takes about `70 * (1 + full_records) + 6 * digests` bytes, whatever the size of the
-/// deployment.
+/// A message takes about `70 * (1 + full_records) + 6 * digests` bytes, regardless of the size of
+/// the deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct HeartbeatOptions {
-    /// Targets of one heartbeat.
+    /// Number of peers that a regular heartbeat is sent to.
     pub fanout: usize,
-    /// Targets of a heartbeat that brings news, such as a new configuration.
+    /// Number of peers that a heartbeat with an update, such as a new configuration, is sent to.
     pub news_fanout: usize,
-    /// Full records in one message besides the own one.
+    /// Maximum number of changed records in one message, besides the sender's own record.
     pub full_records: usize,
-    /// Digests in one message.
+    /// Maximum number of digests in one message.
     pub digests: usize,
-    /// Silence after which a balancer is taken as dead.
+    /// Time without a new heartbeat after which a balancer is considered dead.
     pub dead_after: Duration,
-    /// Silence after which a dead balancer is forgotten.
+    /// Time without a new heartbeat after which a dead balancer is removed from the table.
     pub forget_after: Duration,
 }
 
--- a/crates/valvestage-policy/src/membership/heartbeat_table.rs
+++ b/crates/valvestage-policy/src/membership/heartbeat_table.rs
@@ -1,10 +1,10 @@
-//! Gossip of heartbeats: which balancers are alive.
+//! Heartbeat gossip: determines which balancers are alive.
 //!
 //! Each balancer counts its own heartbeats. At every interval it exchanges messages with a few
-//! targets; a balancer whose count stands still for too long is taken as dead. Counts travel as
-//! digests of a few bytes; a full record travels only after it has changed, a number of times that
-//! grows with the logarithm of the deployment, and when it is asked for. So the bytes of a message
-//! are bounded, whatever the size of the deployment.
+//! peers. A balancer whose count does not advance for too long is considered dead. Counts travel as
+//! digests of a few bytes. A full record is sent only on request and after a change, then a number
+//! of times that grows with the logarithm of the deployment's size. This bounds the size of
+//! messages regardless of the size of the deployment.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, SystemTime};
@@ -18,30 +18,30 @@
 use super::peer_record::{PeerRecord, PeerState};
 use crate::rendezvous::mix;
 
-/// Records asked for in one message.
+/// Maximum number of records requested in one message.
 const MOST_WANTED: usize = 8;
 
-/// A changed record is announced this many times for each doubling of the deployment.
+/// Number of times that a changed record is sent, per doubling of the deployment's size.
 const ANNOUNCEMENTS_PER_DOUBLING: u32 = 3;
 
-/// `HeartbeatTable` holds the latest record of each balancer.
+/// Table of the latest known record of each balancer.
 #[derive(Debug, Clone)]
 pub struct HeartbeatTable {
     options: HeartbeatOptions,
     own: PeerRecord,
-    /// Every other balancer ever heard of and not yet forgotten.
+    /// Other balancers, from the settings or from gossip, that have not expired.
     peers: BTreeMap<BalancerId, PeerEntry>,
-    /// Balancers of which a full record is missing.
+    /// Balancers whose full record is missing or outdated, to be requested.
     wanted: BTreeSet<BalancerId>,
-    /// Records that the last partner asked for.
+    /// Records that the last peer requested.
     asked: BTreeSet<BalancerId>,
     platform_heard_ms: u64,
-    /// Counts messages; decides whose turn it is.
+    /// Counts messages and intervals; seeds the rotation of targets and digests.
     round: u64,
 }
 
 impl HeartbeatTable {
-    /// `new` starts a table with the own record and the peers known from the settings.
+    /// Creates a table with the balancer's own record and the peers from the settings.
     pub fn new(
         options: HeartbeatOptions,
         own: PeerRecord,
@@ -65,23 +65,23 @@
         }
     }
 
-    /// `own` gives the own record.
+    /// Returns the record of this balancer.
     #[must_use]
     pub fn own(&self) -> &PeerRecord {
         &self.own
     }
 
-    /// `set_state` announces whether this balancer is staying.
+    /// Sets the announced state of this balancer.
     pub fn set_state(&mut self, state: PeerState) {
         self.change_own(|own| own.state = state);
     }
 
-    /// `set_lease_epoch` announces the lease that this balancer holds; 0 for none.
+    /// Sets the announced lease of this balancer; 0 for none.
     pub fn set_lease_epoch(&mut self, epoch: LeaseEpoch) {
         self.change_own(|own| own.lease_epoch = epoch);
     }
 
-    /// `set_versions` announces the object versions that this balancer has.
+    /// Sets the announced object versions of this balancer.
     pub fn set_versions(
         &mut self,
         configuration: ObjectVersion,
@@ -104,21 +104,23 @@
         }
     }
 
-    /// `on_platform_heard` notes when anyone last heard the platform, Unix milliseconds.
+    /// Records a platform answer to any balancer, at this time in Unix milliseconds.
     pub fn on_platform_heard(&mut self, at_ms: u64) {
         self.platform_heard_ms = self.platform_heard_ms.max(at_ms);
     }
 
-    /// `platform_heard_ms` gives when anyone last heard the platform; 0 for never.
+    /// Returns the time of the latest known platform answer to any balancer, in Unix milliseconds;
+    /// 0 if there was none.
     #[must_use]
     pub fn platform_heard_ms(&self) -> u64 {
         self.platform_heard_ms
     }
 
-    /// `beat` counts one heartbeat and gives the targets of this interval.
+    /// Counts one heartbeat and returns the peers to send it to.
     ///
-    /// The targets rotate over all peers, so that each is met in turn, dead ones too: a healed
-    /// link is found again without help. Live ones are met three times as often.
+    /// The targets rotate pseudo-randomly over all peers, dead ones included, so that a repaired
+    /// link is detected without intervention. Of every four rounds, three are limited to live
+    /// peers, as are all heartbeats that carry an update.
     pub fn beat(&mut self, now: SystemTime, has_news: bool) -> Vec<PeerRecord> {
         const LIVE_ROUNDS: u64 = 3;
 
@@ -143,7 +145,7 @@
         chosen.map(|peer| peer.record.clone()).collect()
     }
 
-    /// `message` gives what to tell a partner.
+    /// Builds the next message to a peer.
     pub fn message(&mut self, now: SystemTime) -> HeartbeatMessage {
         self.round += 1;
 
@@ -158,7 +160,8 @@
         }
     }
 
-    /// What the partner asked for, then what changed and was told the least.
+    /// Returns the records that the peer requested, then the changed records that were sent the
+    /// fewest times.
     fn records_to_send(&mut self) -> Vec<PeerRecord> {
         let asked = std::mem::take(&mut self.asked);
         let mut records: Vec<PeerRecord> = asked
@@ -180,7 +183,8 @@
         records
     }
 
-    /// The live ones, in an order that changes from message to message.
+    /// Returns digests of live peers; if there are too many for one message, a different selection
+    /// each time.
     fn digests_to_send(&self, now: SystemTime) -> Vec<super::BeatDigest> {
         let dead_after = self.options.dead_after;
         let mut live: Vec<_> =
@@ -194,7 +198,7 @@
         live.iter().map(|peer| peer.record.digest()).collect()
     }
 
-    /// `merge` takes a partner's message in; what is older than what is known is ignored.
+    /// Merges a peer's message into the table. Records older than the known ones are ignored.
     pub fn merge(&mut self, message: HeartbeatMessage, now: SystemTime) {
         self.on_platform_heard(message.platform_heard_ms);
         self.asked.extend(message.wanted);
@@ -238,7 +242,7 @@
         ANNOUNCEMENTS_PER_DOUBLING * doublings.max(1)
     }
 
-    /// `view` gives the balancers taken as alive and staying, this one included while it stays.
+    /// Returns the live balancers. This balancer is a member while it is in the serving state.
     #[must_use]
     pub fn view(&self, now: SystemTime) -> LiveView {
         let in_state = |state| self.alive(now).filter(move |record| record.state == state);
@@ -249,12 +253,12 @@
             .with_leaving(in_state(PeerState::Leaving).map(|record| record.id))
     }
 
-    /// `alive` lists the records of the other balancers taken as alive, leaving ones included.
+    /// Iterates over the records of the other live balancers, joining and leaving ones included.
     pub fn alive(&self, now: SystemTime) -> impl Iterator<Item = &PeerRecord> {
         self.known(now).filter(|(_, alive)| *alive).map(|(record, _)| record)
     }
 
-    /// `known` lists the records of all other balancers, with whether each is taken as alive.
+    /// Iterates over the records of all other known balancers, each with whether it is alive.
     pub fn known(&self, now: SystemTime) -> impl Iterator<Item = (&PeerRecord, bool)> {
         let dead_after = self.options.dead_after;
 
--- a/crates/valvestage-policy/src/membership/live_view.rs
+++ b/crates/valvestage-policy/src/membership/live_view.rs
@@ -1,4 +1,4 @@
-//! The balancers that one balancer takes as alive, and the homes that follow from them.
+//! The live balancers as seen by one balancer, and the home balancers that follow from them.
 
 use std::collections::BTreeSet;
 
@@ -7,10 +7,10 @@
 
 use crate::rendezvous::{best, mix, weighted_score};
 
-/// Separates the hashes of zones from those of balancers.
+/// Hash seed that keeps the hashes of zones independent of those of balancers.
 const ZONE_SEED: u64 = 0x7a6f_6e65;
 
-/// Separates the hashes of services from those of flows.
+/// Hash seed that keeps the hashes of services independent of those of flows.
 const SERVICE_SEED: u64 = 0x7365_7276;
 
 #[derive(Debug, Clone, PartialEq)]
@@ -23,13 +23,14 @@
     weight: f64,
 }
 
-/// `LiveView` is a set of live balancers, arranged by availability zone.
+/// Set of live balancers, grouped by availability zone.
 ///
-/// The home of a key is chosen in two steps, first a zone (weighted by its live balancers), then a
-/// balancer in it, so that the cost grows with zones and the size of one zone, not with the fleet.
+/// The home of a key is chosen in two steps: first a zone, weighted by its number of live
+/// balancers, then a balancer in the zone. So the cost grows with the number of zones and the size
+/// of one zone, not with the size of the fleet.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct LiveView {
-    /// Digest of the members; equal views have equal epochs.
+    /// Hash of the members; equal sets of members have equal epochs.
     epoch: u64,
     zones: Vec<ZoneMembers>,
     /// Balancers that are alive but leaving; sorted, and disjoint from the members.
@@ -37,7 +38,7 @@
 }
 
 impl LiveView {
-    /// `new` arranges balancers given with their zones; order and repetition do not matter.
+    /// Creates a view from balancers with their zones, in any order and with repetitions allowed.
     pub fn new(members: impl IntoIterator<Item = (BalancerId, ZoneName)>) -> Self {
         let mut sorted: Vec<_> = members.into_iter().map(|(id, zone)| (zone, id)).collect();
         sorted.sort();
@@ -60,7 +61,7 @@
         view
     }
 
-    /// `with_leaving` adds the balancers that still answer but are home of nothing.
+    /// Adds the leaving balancers, which still answer but are the home of no key.
     #[must_use]
     pub fn with_leaving(mut self, leaving: impl IntoIterator<Item = BalancerId>) -> Self {
         self.leaving = leaving.into_iter().filter(|id| !self.contains(*id)).collect();
@@ -68,32 +69,32 @@
         self
     }
 
-    /// `is_reachable` tells whether a balancer is alive, staying or leaving.
+    /// Reports whether a balancer is a member or leaving.
     #[must_use]
     pub fn is_reachable(&self, id: BalancerId) -> bool {
         self.contains(id) || self.leaving.contains(&id)
     }
 
-    /// `epoch` identifies the set of members.
+    /// Returns a hash that identifies the set of members.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// `contains` tells whether a balancer is a member.
+    /// Reports whether a balancer is a member.
     #[must_use]
     pub fn contains(&self, id: BalancerId) -> bool {
         self.members().any(|member| member == id)
     }
 
-    /// `has_zone` tells whether any balancer of a zone is a member.
+    /// Reports whether any member is in this zone.
     #[must_use]
     pub fn has_zone(&self, name: &str) -> bool {
         self.zones.iter().any(|zone| zone.zone == name)
     }
 
-    /// `lost_zones` lists the availability zones with backend servers and no member: they are cut
-    /// off or gone.
+    /// Returns the availability zones that have backend servers but no member, because they are cut
+    /// off or down.
     #[must_use]
     pub fn lost_zones(&self, configuration: &Configuration) -> BTreeSet<ZoneName> {
         let zones: BTreeSet<_> = configuration.backends().map(|backend| &backend.zone).collect();
@@ -101,33 +102,33 @@
         zones.into_iter().filter(|zone| !self.has_zone(zone)).cloned().collect()
     }
 
-    /// `members` iterates over the members by zone, then by id.
+    /// Iterates over the members, sorted by zone and id.
     pub fn members(&self) -> impl Iterator<Item = BalancerId> {
         self.zones.iter().flat_map(|zone| zone.members.iter().copied())
     }
 
-    /// `home` gives the balancer that keeps the state of a flow.
+    /// Returns the balancer that keeps the state of a flow.
     #[must_use]
     pub fn home(&self, key: FlowKey) -> Option<BalancerId> {
         self.home_without(key, None)
     }
 
-    /// `next_home` gives the balancer that becomes home of a flow if its present home is lost.
+    /// Returns the balancer that becomes the home of a flow if its present home fails.
     #[must_use]
     pub fn next_home(&self, key: FlowKey) -> Option<BalancerId> {
         self.home_without(key, self.home(key))
     }
 
-    /// `service_home` gives the balancer preferred for a service among the members.
+    /// Returns the member that is the preferred balancer of a service.
     #[must_use]
     pub fn service_home(&self, service: ServiceId) -> Option<BalancerId> {
         self.home(mix(SERVICE_SEED, service.into()))
     }
 
-    /// `home_without` gives the home of a flow as it is once a balancer is gone.
+    /// Returns the home of a flow as it is once the excluded balancer is gone.
     #[must_use]
     pub fn home_without(&self, key: FlowKey, excluded: Option<BalancerId>) -> Option<BalancerId> {
-        // First a zone, weighted by the members it would have.
+        // First a zone, weighted by its number of members without the excluded balancer.
         let loses_one =
             |zone: &ZoneMembers| excluded.is_some_and(|excluded| zone.members.contains(&excluded));
         let zone = match self.zones.as_slice() {
--- a/crates/valvestage-policy/src/membership/peer_entry.rs
+++ b/crates/valvestage-policy/src/membership/peer_entry.rs
@@ -1,29 +1,29 @@
-//! What is known of another balancer.
+//! Table entry of another balancer.
 
 use std::time::{Duration, SystemTime};
 
 use super::heartbeat_message::BeatDigest;
 use super::peer_record::PeerRecord;
 
-/// `PeerEntry` is the latest record of a balancer, and when it was heard.
+/// Latest known record of a balancer, with the state of its failure detection.
 #[derive(Debug, Clone)]
 pub(super) struct PeerEntry {
     pub(super) record: PeerRecord,
-    /// When its heartbeats last advanced; never in the future.
+    /// Local time at which its heartbeat count last advanced; never in the future.
     pub(super) heard: SystemTime,
-    /// Whether any heartbeat was ever heard; a peer from the settings starts unheard.
+    /// Whether any heartbeat was received; `false` at first for a peer from the settings.
     pub(super) is_confirmed: bool,
-    /// Messages that still carry the full record, since it changed.
+    /// Number of further messages that carry the full record because it changed.
     pub(super) announcements_left: u32,
 }
 
 impl PeerEntry {
-    /// A peer from the settings.
+    /// Creates the entry of a peer from the settings.
     pub(super) fn seed(record: PeerRecord, now: SystemTime) -> Self {
         Self { record, heard: now, is_confirmed: false, announcements_left: 0 }
     }
 
-    /// A peer that was heard of.
+    /// Creates the entry of a peer whose record was received.
     pub(super) fn heard(record: PeerRecord, now: SystemTime, announcements: u32) -> Self {
         Self { record, heard: now, is_confirmed: true, announcements_left: announcements }
     }
@@ -34,7 +34,7 @@
         self.is_confirmed && silence < dead_after
     }
 
-    /// Takes a digest in; false if the full record is needed for it.
+    /// Applies a digest; returns `false` if the full record has to be requested.
     pub(super) fn take_digest(&mut self, digest: &BeatDigest, now: SystemTime) -> bool {
         let known = self.record.digest();
         let same_start = self.is_confirmed && known.start_tag == digest.start_tag;
@@ -43,7 +43,7 @@
             self.record.beat = digest.beat;
             self.heard = now;
         }
-        // An older digest than the record says nothing of the record's age.
+        // A digest older than the record does not show whether the record is outdated.
         same_start && (known.revision_tag == digest.revision_tag || digest.beat < self.record.beat)
     }
 }
--- a/crates/valvestage-policy/src/membership/peer_record.rs
+++ b/crates/valvestage-policy/src/membership/peer_record.rs
@@ -1,4 +1,4 @@
-//! What a balancer tells of itself in heartbeats.
+//! The record of a balancer that heartbeats carry.
 
 use std::net::SocketAddr;
 
@@ -7,21 +7,21 @@
 
 use super::heartbeat_message::BeatDigest;
 
-/// `PeerState` says whether a balancer is staying.
+/// Lifecycle state of a balancer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerState {
-    /// Does not know yet whether its configuration is the newest, and is home of nothing.
+    /// Does not know yet whether its configuration is the newest, and is the home of no key.
     Joining,
     /// Takes part in rendezvous hashing.
     Serving,
-    /// Finishes its work and still answers relayed packets, but is home of nothing new.
+    /// Finishes its work and still answers relayed packets, but is the home of no key.
     Leaving,
 }
 
-/// `PeerRecord` is the state of one balancer as heartbeats carry it.
+/// State of one balancer, as announced in heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerRecord {
-    /// Number of the balancer.
+    /// Id of the balancer.
     pub id: BalancerId,
     /// Availability zone of its VM.
     pub zone: ZoneName,
@@ -29,32 +29,33 @@
     pub data_address: SocketAddr,
     /// TCP address of its peer service.
     pub peer_address: SocketAddr,
-    /// Start time of the process in Unix milliseconds; a restarted balancer has a later one.
+    /// Start time of the process, in Unix milliseconds; later for each restart.
     pub started_ms: u64,
-    /// Counts the changes of the fields below; grows only at the balancer itself.
+    /// Number of changes of the fields other than the heartbeat count; advanced only by the
+    /// balancer itself.
     pub revision: u64,
-    /// Heartbeats sent since the start; grows only at the balancer itself.
+    /// Number of heartbeats sent since the start; advanced only by the balancer itself.
     pub beat: u64,
-    /// Whether it is staying.
+    /// Lifecycle state of the balancer.
     pub state: PeerState,
-    /// The lease that it holds; 0 for none.
+    /// Epoch of the lease that it holds; 0 for none.
     pub lease_epoch: LeaseEpoch,
-    /// Configuration version in force on it; 0 before the first.
+    /// Configuration version in force on the balancer; 0 before the first.
     pub configuration: ObjectVersion,
-    /// Version of the service owner map that it knows; 0 before the first.
+    /// Version of the owner map that it has; 0 before the first.
     pub owner_map: ObjectVersion,
-    /// Version of the token keys that it knows; 0 before the first.
+    /// Version of the token keys that it has; 0 before the first.
     pub token_keys: ObjectVersion,
 }
 
 impl PeerRecord {
-    /// `is_newer_than` tells whether this record supersedes another of the same balancer.
+    /// Reports whether this record supersedes another one of the same balancer.
     #[must_use]
     pub fn is_newer_than(&self, other: &Self) -> bool {
         (self.started_ms, self.revision, self.beat) > (other.started_ms, other.revision, other.beat)
     }
 
-    /// `digest` gives the part that changes with every heartbeat.
+    /// Returns the digest of the record.
     #[must_use]
     pub fn digest(&self) -> BeatDigest {
         BeatDigest {
--- a/crates/valvestage-policy/src/operations.rs
+++ b/crates/valvestage-policy/src/operations.rs
@@ -1,4 +1,4 @@
-//! Operators' plans, and explanations of decisions.
+//! Plans of operators, and explanations of decisions.
 
 mod decision_log;
 mod decision_record;
--- a/crates/valvestage-policy/src/operations/decision_record.rs
+++ b/crates/valvestage-policy/src/operations/decision_record.rs
@@ -1,4 +1,4 @@
-//! One decision, with its inputs, and its sentence for operators.
+//! A decision with its inputs, and its description for operators.
 
 use std::fmt;
 use std::time::Duration;
@@ -11,93 +11,93 @@
 
 use crate::flows::FlowSource;
 
-/// `Subject` is what a decision is about.
+/// Object that a decision is about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Subject {
-    /// A flow.
+    /// A flow, by its key.
     Flow(FlowKey),
-    /// A request.
+    /// A request, by its id.
     Request(#[serde(with = "hex_id")] RequestId),
     /// A configuration version.
     Change(ObjectVersion),
-    /// A service.
+    /// A service, by its id.
     Service(ServiceId),
 }
 
-/// `Decision` is what was decided, and on what.
+/// A decision and the inputs that led to it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Decision {
     /// A flow was bound to a backend server.
     FlowBound {
-        /// The backend server.
+        /// Backend server that the flow was bound to.
         backend: BackendId,
-        /// The layer that found it.
+        /// Lookup stage that determined the backend server.
         source: FlowSource,
-        /// The configuration version in force.
+        /// Configuration version in force at the time.
         version: ObjectVersion,
     },
-    /// A flow packet or request was handed to another balancer.
+    /// A flow packet or request was relayed to another balancer.
     Relayed {
-        /// The balancer.
+        /// Balancer that it was relayed to.
         peer: BalancerId,
-        /// Relays so far, this one included.
+        /// Number of relays so far, this one included.
         hops: u8,
     },
     /// A flow packet was refused.
     FlowRefused {
-        /// Why.
+        /// Cause of the refusal.
         reason: RefusalReason,
     },
     /// A request was sent to a backend server.
     Dispatched {
-        /// The backend server.
+        /// Backend server that the attempt was sent to.
         backend: BackendId,
-        /// Which try.
+        /// Number of the attempt, from 1.
         attempt: Attempt,
-        /// Why it was tried again.
+        /// Cause of the retry; `None` for the first attempt.
         retry: Option<RetryReason>,
-        /// Slots in use at the service, this one included.
+        /// Occupied slots of the service, this one included.
         busy_slots: u32,
-        /// Requests that waited.
+        /// Number of waiting requests.
         waiting: usize,
     },
-    /// A request was answered.
+    /// A request was completely answered.
     Answered,
-    /// A request was given up.
+    /// A request was refused for good.
     Refused {
-        /// What the caller was told.
+        /// Outcome that the caller was given.
         outcome: Outcome,
-        /// Why.
+        /// Cause of the refusal.
         reason: RefusalReason,
-        /// When the caller was told to come back.
+        /// Time after which the caller may send a new request.
         retry_after: Duration,
     },
-    /// A configuration version came into force here.
+    /// A configuration version was put in force on this balancer.
     InForce {
-        /// Id of the change.
+        /// Id of the change that made the configuration.
         change_id: String,
     },
-    /// A service got an owner.
+    /// This balancer learned of a new owner of a service.
     Owner {
-        /// The owner.
+        /// Balancer that owns the service.
         owner: BalancerId,
-        /// Whether the claims were handed over.
+        /// Whether the ownership changed by a planned handover, with all claims.
         planned: bool,
     },
 }
 
-/// `DecisionRecord` is a decision with its time and subject.
+/// Decision with its time, balancer and subject.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DecisionRecord {
-    /// Unix milliseconds.
+    /// Time of the decision, in Unix milliseconds.
     pub at_ms: u64,
-    /// The balancer that decided.
+    /// Balancer that made the decision.
     pub balancer: BalancerId,
-    /// What it is about.
+    /// Object that the decision is about.
     pub subject: Subject,
-    /// What was decided.
+    /// The decision with its inputs.
     pub decision: Decision,
 }
 
@@ -155,7 +155,7 @@
     }
 }
 
-/// Request ids as text: JSON numbers do not hold 128 bits.
+/// Serializes request ids as hexadecimal text, because JSON numbers do not hold 128 bits.
 mod hex_id {
     use serde::de::Error;
     use serde::{Deserialize, Deserializer, Serializer};
--- a/crates/valvestage-policy/src/operations/intent.rs
+++ b/crates/valvestage-policy/src/operations/intent.rs
@@ -1,47 +1,47 @@
-//! What an operator wants.
+//! Changes that an operator can request.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 use valvestage_core::ids::ZoneName;
 
-/// `NewBackend` describes a backend server to add.
+/// Description of a backend server to add.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NewBackend {
-    /// Name, unique in the deployment.
+    /// Name of the backend server, unique in the deployment.
     pub name: String,
-    /// Name of its service.
+    /// Name of the service that it belongs to.
     pub service: String,
     /// Availability zone of the VM.
     pub zone: ZoneName,
-    /// Address of the VM.
+    /// Address to which packets and requests are sent.
     pub address: SocketAddr,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u16,
-    /// Flows that it holds at once.
+    /// Maximum number of concurrent flows.
     pub connections: u16,
-    /// Share of new work relative to its siblings.
+    /// Share of new work relative to the other backend servers of the service.
     pub weight: u16,
 }
 
-/// `Intent` is a change that an operator asks for.
+/// Change that an operator requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Intent {
     /// Add a backend server.
     AddBackend(NewBackend),
-    /// Give a backend server no new work.
+    /// Stop sending new work to a backend server.
     DrainBackend {
         /// Its name.
         name: String,
     },
-    /// Give a draining backend server new work again.
+    /// Send new work to a draining backend server again.
     ResumeBackend {
         /// Its name.
         name: String,
     },
-    /// Take a drained backend server out of the configuration.
+    /// Remove a drained backend server from the configuration.
     RemoveBackend {
         /// Its name.
         name: String,
@@ -50,15 +50,15 @@
     SetWeight {
         /// Its name.
         name: String,
-        /// The new share.
+        /// New share, relative to the other backend servers of the service.
         weight: u16,
     },
-    /// Give the backend servers of an availability zone no new work.
+    /// Stop sending new work to the backend servers of an availability zone.
     StopZone {
         /// Its name.
         zone: ZoneName,
     },
-    /// Give the backend servers of an availability zone new work again.
+    /// Send new work to the backend servers of an availability zone again.
     ResumeZone {
         /// Its name.
         zone: ZoneName,
--- a/crates/valvestage-policy/src/operations/plan.rs
+++ b/crates/valvestage-policy/src/operations/plan.rs
@@ -1,4 +1,4 @@
-//! What the system proposes to do for an intent.
+//! The plan that valvestage proposes for an intent.
 
 use serde::{Deserialize, Serialize};
 use valvestage_core::RawConfiguration;
@@ -6,47 +6,47 @@
 
 use super::intent::Intent;
 
-/// `ServiceEffect` is what a plan does to one service.
+/// Effect of a plan on one service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceEffect {
     /// Name of the service.
     pub service: String,
-    /// Slots open to new work before.
+    /// Slots that take new work before the change.
     pub slots_before: u32,
-    /// Slots open to new work after.
+    /// Slots that take new work after the change.
     pub slots_after: u32,
-    /// Slots in use now.
+    /// Slots that are occupied or waited for now.
     pub slots_busy: u32,
-    /// Percent of new flows that go to another backend server than before.
+    /// Estimated percentage of new flows that go to another backend server than before.
     pub new_flows_moved_percent: f64,
 }
 
-/// `PlanRefusal` says why a plan cannot be confirmed.
+/// Cause for which a plan cannot be confirmed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlanRefusal {
-    /// What would break, in one sentence.
+    /// One sentence that says what the change would break.
     pub problem: String,
-    /// What to do instead, in one sentence.
+    /// One sentence that says what to do instead.
     pub remedy: String,
 }
 
-/// `Plan` is a proposal; nothing happens until it is confirmed.
+/// Proposed change; it takes effect only once it is confirmed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
     /// Digest of the base version and the intent.
     pub id: String,
-    /// The configuration version that it starts from; a confirmation fails on any other.
+    /// Configuration version that the plan is based on; it cannot be confirmed on any other.
     pub base_version: ObjectVersion,
-    /// What was asked.
+    /// Intent that the plan carries out.
     pub intent: Intent,
-    /// What will be done, one sentence a step.
+    /// Steps of the change, one sentence each.
     pub steps: Vec<String>,
-    /// What changes for each service concerned.
+    /// Effects on the services concerned.
     pub effects: Vec<ServiceEffect>,
-    /// What to watch out for, one sentence each.
+    /// Risks of the change, one sentence each.
     pub dangers: Vec<String>,
-    /// Why it cannot be confirmed, if so.
+    /// Cause for which the plan cannot be confirmed; `None` if it can be.
     pub refusal: Option<PlanRefusal>,
-    /// The configuration that it leads to.
+    /// Configuration after the change.
     pub result: RawConfiguration,
 }
--- a/crates/valvestage-policy/src/operations/planner.rs
+++ b/crates/valvestage-policy/src/operations/planner.rs
@@ -1,4 +1,4 @@
-//! Drawing up a plan for an intent.
+//! Creation of the plan for an intent.
 
 use std::collections::BTreeMap;
 
@@ -11,22 +11,22 @@
 use crate::flows::place;
 use crate::rendezvous::mix;
 
-/// Flow keys drawn to estimate how many new flows go elsewhere.
+/// Number of sampled flow keys from which the percentage of moved flows is estimated.
 const SAMPLED_FLOWS: u64 = 2_000;
 
-/// `ServiceDemand` is the present use of a service, over all balancers.
+/// Present load of a service, summed over all balancers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ServiceDemand {
-    /// Slots in use.
+    /// Number of occupied slots.
     pub busy_slots: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
 }
 
-/// `draw_plan` gives the plan for an intent on a configuration.
+/// Creates the plan for an intent on the configuration `base`, whose platform object is `raw`.
 ///
-/// An intent that names something unknown is an error; one that would break a promise gives a
-/// plan with a refusal, so that its effects can still be read.
+/// An intent that refers to an unknown object is an error. One that would break existing flows or
+/// leave too few slots gives a plan with a refusal, so that its effects can still be inspected.
 pub fn draw_plan(
     id: String,
     base: &Configuration,
@@ -104,7 +104,8 @@
     let service = base.services().find(|service| service.name == new.service);
     let service = service.ok_or_else(|| not_found("service", &new.service))?.id;
 
-    // Ids are never reused, not even those of removed records: the version grows with each write.
+    // Ids are never reused, not even those of removed records. The version grows with each write,
+    // so an id above it is new.
     let highest = base.backends().map(|backend| backend.id).max().unwrap_or(0);
     let version = u32::try_from(base.version).unwrap_or(u32::MAX);
     result.backends.push(Backend {
@@ -145,7 +146,7 @@
     PolicyError::NotFound { what, name: name.to_owned() }
 }
 
-/// The effects on the services whose slots or placement change.
+/// Returns the effects on the services whose slots or flow placement change.
 fn effects(
     base: &Configuration,
     next: &Configuration,
@@ -195,7 +196,7 @@
         return removal_refusal(base, name, flows_on);
     }
 
-    // Less capacity than is in use would break the promise to the requests that come next.
+    // With fewer slots than are in use, later requests could not be served as before.
     let short = effects
         .iter()
         .filter(|effect| effect.slots_after < effect.slots_before)
--- a/crates/valvestage-policy/src/rendezvous.rs
+++ b/crates/valvestage-policy/src/rendezvous.rs
@@ -1,10 +1,10 @@
 //! Rendezvous (highest random weight) hashing.
 //!
-//! Each candidate gets a score from the key and its own seed; the highest score wins. Taking a
-//! candidate away moves only the keys that it had, and every party that knows the same candidates
-//! comes to the same answer without talking.
+//! Each candidate gets a score from the key and its own seed, and the highest score wins. Removing
+//! a candidate moves only the keys that it had, and all parties that know the same candidates get
+//! the same result without communication.
 
-/// `mix` hashes two words into one (the finalizer of SplitMix64, applied twice).
+/// Hashes two words into one, with two applications of the SplitMix64 finalizer.
 #[must_use]
 #[inline]
 pub fn mix(left: u64, right: u64) -> u64 {
@@ -19,45 +19,47 @@
     word ^ (word >> 31)
 }
 
-/// `weighted_score` gives the score of a candidate with a weight; higher is better.
+/// Returns the score of a candidate with a weight; higher is better.
 ///
 /// A candidate wins a share of the keys proportional to its weight (weighted rendezvous hashing,
-/// `-w / ln(h)` with h uniform in (0, 1)). A weight of zero scores zero and loses to any other.
+/// `-w / ln(h)` with h uniform in (0, 1)). A weight of zero gives the score zero, which loses
+/// against any positive weight.
 #[must_use]
 #[inline]
 pub fn weighted_score(key: u64, seed: u64, weight: f64) -> f64 {
     const TWO_POW_53: f64 = 9_007_199_254_740_992.0;
 
-    // 53 bits make an exact f64; the half keeps it off 0 and 1, where the logarithm has no use.
+    // 53 bits fit an f64 exactly. The added half keeps the value off 0 and 1, where the score is
+    // degenerate.
     #[allow(clippy::cast_precision_loss)]
     let uniform = ((mix(key, seed) >> 11) as f64 + 0.5) / TWO_POW_53;
 
     -weight / logarithm(uniform)
 }
 
-/// The binary logarithm, to about one part in a thousand.
+/// Returns the binary logarithm, to about one part in a thousand.
 ///
-/// Its scale does not matter for the order of scores, and the error shifts shares by less than the
-/// draw does; all that counts is that every balancer computes the same. It costs a fraction of the
-/// exact one, which would be most of the time of a decision.
+/// The base does not affect the order of scores, and the error shifts the shares by less than the
+/// hash does. It only matters that every balancer computes the same value. The exact logarithm
+/// would take most of the time of a decision; the approximation costs a fraction of it.
 #[inline]
 fn logarithm(value: f64) -> f64 {
     const MANTISSA_BITS: u32 = 52;
     const EXPONENT_BIAS: f64 = 1_023.0;
     const ONE: u64 = 0x3ff0_0000_0000_0000;
 
-    // value = mantissa * 2^exponent, with the mantissa from 1 to 2.
+    // value = mantissa * 2^exponent, with the mantissa in [1, 2).
     let bits = value.to_bits();
     #[allow(clippy::cast_precision_loss)]
     let exponent = (bits >> MANTISSA_BITS) as f64 - EXPONENT_BIAS;
     let mantissa = f64::from_bits(bits & ((1 << MANTISSA_BITS) - 1) | ONE);
 
-    // A cubic that is exact at both ends, so that there is no step from one exponent to the next.
+    // The cubic is exact at both ends, so the result is continuous from one exponent to the next.
     let x = mantissa - 1.0;
     exponent + x * (1.424_75 + x * (-0.592_25 + x * 0.167_5))
 }
 
-/// `best` gives the candidate with the highest score; ties go to the first.
+/// Returns the candidate with the highest score, and the first of those on a tie.
 pub fn best<C: Copy>(candidates: impl Iterator<Item = (C, f64)>) -> Option<C> {
     let mut winner: Option<(C, f64)> = None;
 
--- a/crates/valvestage-policy/src/requests.rs
+++ b/crates/valvestage-policy/src/requests.rs
@@ -1,7 +1,7 @@
-//! When, where and whether a request runs.
+//! Request scheduling: admission, queueing, dispatch to backend servers, retries and claims.
 //!
-//! One balancer, the owner, decides for all requests of a service, so that the occupancy of each
-//! backend server is exact at one place and a request that may not be repeated is claimed once.
+//! One balancer, the owner of a service, decides for all requests of the service. Only then is the
+//! count of occupied slots of each backend server exact, and a non-repeatable request claimed once.
 
 mod authority;
 mod backend_pool;
--- a/crates/valvestage-policy/src/requests/authority.rs
+++ b/crates/valvestage-policy/src/requests/authority.rs
@@ -1,28 +1,30 @@
-//! The right to run requests that may not be repeated.
+//! The authority to run non-repeatable requests.
 
 use std::time::{Duration, SystemTime};
 
 use valvestage_core::time::Deadline;
 
-/// `Authority` is the right of one balancer to decide for a service, under its lease.
+/// Authority of one balancer to decide for a service, derived from its lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Authority {
-    /// Since when the claim table knows every request of the service that was accepted.
+    /// Start of the time range in which the claim table knows every accepted request of the
+    /// service.
     pub covers_from: SystemTime,
-    /// End of the lease less the clock bound; no work is started past it, by anyone.
+    /// End of the lease minus the clock bound. No balancer or backend server starts work after it.
     pub fence: Deadline,
 }
 
 impl Authority {
-    /// `is_valid` tells whether the lease still holds.
+    /// Reports whether the lease still holds.
     #[must_use]
     pub fn is_valid(&self, now: SystemTime) -> bool {
         now < self.fence
     }
 
-    /// `covers` tells whether a request with this deadline can only have been accepted within the
-    /// time that the claim table covers: none is accepted earlier than `max_deadline` before its
-    /// deadline.
+    /// Reports whether a request with this deadline can only have been accepted within the time
+    /// range that the claim table covers.
+    ///
+    /// A request is never accepted earlier than `max_deadline` before its deadline.
     #[must_use]
     pub fn covers(&self, deadline: Deadline, max_deadline: Duration) -> bool {
         deadline.checked_sub(max_deadline).is_some_and(|earliest| earliest >= self.covers_from)
--- a/crates/valvestage-policy/src/requests/backend_pool.rs
+++ b/crates/valvestage-policy/src/requests/backend_pool.rs
@@ -1,4 +1,4 @@
-//! The backend servers of one service: choice, ejection, slow start.
+//! Backend servers of one service: selection, outlier ejection and slow start.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, SystemTime};
@@ -10,30 +10,31 @@
 use super::request_options::ChoiceRule;
 use crate::rendezvous::mix;
 
-/// `PoolOptions` bounds ejection and slow start.
+/// Parameters of backend server selection, ejection and slow start.
 #[derive(Debug, Clone)]
 pub struct PoolOptions {
-    /// Availability zone of this balancer; preferred on equal occupancy.
+    /// Availability zone of this balancer, preferred between backend servers of equal occupancy.
     pub own_zone: ZoneName,
-    /// How a backend server is chosen.
+    /// Selection algorithm among the backend servers with a free slot.
     pub choice: ChoiceRule,
-    /// Time in which a cold backend server comes to its full slots.
+    /// Time over which a cold backend server ramps up to all of its slots.
     pub slow_start: Duration,
-    /// Tries without an answer after which a backend server is ejected.
+    /// Consecutive attempts without an answer after which a backend server is ejected.
     pub failures_to_eject: u32,
-    /// Length of the first ejection; doubles with each in a row.
+    /// Length of the first ejection; it doubles with each consecutive ejection.
     pub first_ejection: Duration,
-    /// Longest ejection.
+    /// Upper bound of the length of an ejection.
     pub longest_ejection: Duration,
-    /// Share of the backend servers that stays, however many fail.
+    /// Share of the eligible backend servers, from 0 to 1, that is never ejected, however many
+    /// fail.
     pub share_kept: f64,
-    /// First pause after a backend server shed load; doubles with each in a row.
+    /// First backoff after a backend server shed load; it doubles with each consecutive shed.
     pub first_shedding_pause: Duration,
-    /// Longest pause after a backend server shed load.
+    /// Upper bound of the backoff after a backend server shed load.
     pub longest_shedding_pause: Duration,
-    /// A backend server this many times slower than the median is chosen last.
+    /// A backend server whose mean run time exceeds the median by this factor is selected last.
     pub slow_factor: f64,
-    /// Seed of the baselines that draw at random.
+    /// Seed of the baseline algorithms that select at random.
     pub seed: u64,
 }
 
@@ -55,26 +56,27 @@
     }
 }
 
-/// `BackendPool` is the backend servers of one service, as their admitting balancer counts them.
+/// Backend servers of one service, with the occupancy that the service's owner counts.
 #[derive(Debug, Clone)]
 pub struct BackendPool {
     options: PoolOptions,
     backends: BTreeMap<BackendId, BackendSlots>,
     draws: u64,
-    /// Availability zones of which no balancer is alive; their backend servers go last.
+    /// Availability zones without a live balancer; their backend servers are selected last.
     lost_zones: BTreeSet<ZoneName>,
 }
 
 impl BackendPool {
-    /// `new` starts an empty pool.
+    /// Creates an empty pool.
     #[must_use]
     pub fn new(options: PoolOptions) -> Self {
         Self { options, backends: BTreeMap::new(), draws: 0, lost_zones: BTreeSet::new() }
     }
 
-    /// `install` takes the backend servers of a service from a configuration.
+    /// Replaces the backend servers by those that a configuration lists for a service.
     ///
-    /// Occupancy is kept for a known VM; a new one, after the first configuration, starts cold.
+    /// A backend server whose VM (incarnation) is unchanged keeps its counters. Any other starts
+    /// cold, except those of the first configuration.
     pub fn install(&mut self, configuration: &Configuration, service: ServiceId, now: SystemTime) {
         let is_first = self.backends.is_empty();
         let mut known = std::mem::take(&mut self.backends);
@@ -107,12 +109,12 @@
         }
     }
 
-    /// `set_lost_zones` names the availability zones of which no balancer is alive.
+    /// Sets the availability zones without a live balancer.
     pub fn set_lost_zones(&mut self, zones: BTreeSet<ZoneName>) {
         self.lost_zones = zones;
     }
 
-    /// `choose` gives a backend server with a free slot, none of those excluded.
+    /// Selects a backend server that has a free slot and is not in `excluded`.
     pub fn choose(&mut self, now: SystemTime, excluded: &[BackendId]) -> Option<BackendId> {
         let slow_start = self.slow_start(now);
         let free: Vec<_> = self
@@ -139,8 +141,11 @@
         })
     }
 
-    /// Slow start spares a few cold backend servers while the others carry the load. When most are
-    /// cold there are no others, and holding slots back would only make requests wait.
+    /// Returns the length of slow start that applies now.
+    ///
+    /// Slow start relieves a few cold backend servers while the others carry the load. When more
+    /// than half of them are cold, too few are left to carry it and limiting slots would only make
+    /// requests wait; slow start is then disabled.
     fn slow_start(&self, now: SystemTime) -> Duration {
         let eligible = self.backends.values().filter(|slots| slots.eligible);
         let (cold, all) = eligible.fold((0u32, 0u32), |(cold, all), slots| {
@@ -150,7 +155,9 @@
         if cold * 2 > all { Duration::ZERO } else { self.options.slow_start }
     }
 
-    /// The order: reachable zones, usual speed, occupancy, own zone, speed, then a rotation.
+    /// Returns the best of the free backend servers: one in a reachable zone and without recent
+    /// failures first, then one of normal speed, then the least occupied, then one in the zone of
+    /// this balancer. The remaining ties are broken by a hash that changes with every selection.
     fn least_occupied(&self, free: &[&BackendSlots]) -> BackendId {
         let slow_above =
             self.median_run_time().map(|median| median.mul_f64(self.options.slow_factor));
@@ -158,7 +165,8 @@
             let is_lost = self.lost_zones.contains(&slots.zone) || slots.failures > 0;
             let is_slow = slots.run_time.zip(slow_above).is_some_and(|(time, limit)| time > limit);
             let is_far = slots.zone != self.options.own_zone;
-            // Occupancies are finite and not negative, so that their bits order as they do.
+            // Occupancies are finite and non-negative, so their bit patterns sort like their
+            // values.
             let occupancy = slots.occupancy().to_bits();
 
             (is_lost, is_slow, occupancy, is_far, mix(self.draws, slots.id.into()))
@@ -174,7 +182,8 @@
         times.get(times.len() / 2).copied()
     }
 
-    /// `usual_run_time` gives the mean of the averages; none before the first answer.
+    /// Returns the mean of the backend servers' average run times, or `None` before the first
+    /// answer.
     #[must_use]
     pub fn usual_run_time(&self) -> Option<Duration> {
         let times: Vec<_> = self.backends.values().filter_map(|slots| slots.run_time).collect();
@@ -183,7 +192,7 @@
         Some(times.iter().sum::<Duration>() / count)
     }
 
-    /// `take_slot` counts a dispatch.
+    /// Occupies a slot for a dispatched attempt and returns the incarnation of the backend server.
     pub fn take_slot(&mut self, id: BackendId) -> Option<Incarnation> {
         let slots = self.backends.get_mut(&id)?;
 
@@ -191,7 +200,7 @@
         Some(slots.incarnation)
     }
 
-    /// `release_slot` counts the end of a dispatch, if the VM is still the same.
+    /// Frees a slot, unless the backend server's VM has been replaced since the dispatch.
     fn release_slot(
         &mut self,
         id: BackendId,
@@ -203,7 +212,8 @@
         Some(slots)
     }
 
-    /// `on_answered` frees the slot and learns the run time.
+    /// Frees the slot of an answered attempt, updates the average run time and resets the failure
+    /// counters.
     pub fn on_answered(&mut self, id: BackendId, incarnation: Incarnation, taken: Duration) {
         let Some(slots) = self.release_slot(id, incarnation) else {
             return;
@@ -215,12 +225,12 @@
         slots.sheddings = 0;
     }
 
-    /// `on_ended` frees the slot of a try that ended without an answer and without a failure.
+    /// Frees the slot of an attempt that ended with neither an answer nor a failure.
     pub fn on_ended(&mut self, id: BackendId, incarnation: Incarnation) {
         self.release_slot(id, incarnation);
     }
 
-    /// `on_shedding` frees the slot and pauses a backend server that refused.
+    /// Frees the slot of an attempt that the backend server shed, and starts the shedding backoff.
     pub fn on_shedding(&mut self, id: BackendId, incarnation: Incarnation, now: SystemTime) {
         let first = self.options.first_shedding_pause;
         let longest = self.options.longest_shedding_pause;
@@ -233,7 +243,10 @@
         slots.shedding_until = Some(now + doubled(first, slots.sheddings - 1).min(longest));
     }
 
-    /// `on_failure` notes that a try got no answer in time; the slot stays taken.
+    /// Records that an attempt got no answer in time, and ejects the backend server after enough of
+    /// them.
+    ///
+    /// The slot stays occupied, because the backend server may still be running the request.
     pub fn on_failure(&mut self, id: BackendId, incarnation: Incarnation, now: SystemTime) {
         let may_eject = self.may_eject(now);
         let options = self.options.clone();
@@ -247,14 +260,15 @@
             return;
         }
 
-        // After the ejection it starts as a cold one.
+        // The backend server returns from the ejection in slow start.
         let length = doubled(options.first_ejection, slots.ejections).min(options.longest_ejection);
         slots.ejections += 1;
         slots.ejected_until = Some(now + length);
         slots.cold_until = now + length + options.slow_start;
     }
 
-    /// Whether one more may be ejected: a share of the eligible ones stays, at least one.
+    /// Reports whether another backend server may be ejected: at least the share `share_kept` of
+    /// the eligible ones, and at least one, must remain afterwards.
     fn may_eject(&self, now: SystemTime) -> bool {
         let eligible = self.backends.values().filter(|slots| slots.eligible);
         let (out, all) = eligible
@@ -264,7 +278,7 @@
         f64::from(all - out) > kept
     }
 
-    /// `usable_slots` counts the slots that may be used now, free or not.
+    /// Returns the number of slots that may be used now, occupied ones included.
     #[must_use]
     pub fn usable_slots(&self, now: SystemTime) -> u32 {
         let slow_start = self.slow_start(now);
@@ -273,13 +287,14 @@
         usable.map(|slots| u32::from(slots.allowed(now, slow_start))).sum()
     }
 
-    /// `busy_slots` counts the slots in use.
+    /// Returns the number of occupied slots.
     #[must_use]
     pub fn busy_slots(&self) -> u32 {
         self.backends.values().map(|slots| u32::from(slots.busy)).sum()
     }
 
-    /// `next_return` gives the next time at which a paused or ejected backend server comes back.
+    /// Returns the earliest future time at which an ejection or a shedding backoff of an eligible
+    /// backend server ends.
     #[must_use]
     pub fn next_return(&self, now: SystemTime) -> Option<SystemTime> {
         self.backends
@@ -291,13 +306,13 @@
             .min()
     }
 
-    /// `get` gives the slots of a backend server.
+    /// Returns the slots of a backend server, or `None` if it is not in the pool.
     #[must_use]
     pub fn get(&self, id: BackendId) -> Option<&BackendSlots> {
         self.backends.get(&id)
     }
 
-    /// `iter` iterates over the backend servers by id.
+    /// Iterates over the backend servers in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = &BackendSlots> {
         self.backends.values()
     }
--- a/crates/valvestage-policy/src/requests/backend_slots.rs
+++ b/crates/valvestage-policy/src/requests/backend_slots.rs
@@ -1,48 +1,48 @@
-//! The slots of one backend server, as its admitting balancer counts them.
+//! Slot counters and health of one backend server.
 
 use std::time::{Duration, SystemTime};
 
 use valvestage_core::ids::{BackendId, Incarnation, ZoneName};
 use valvestage_core::time::{Deadline, remaining};
 
-/// Weight of the newest run time in the moving average.
+/// Weight of the newest run time in the exponential moving average.
 const RUN_TIME_SHARE: f64 = 0.2;
 
-/// `BackendSlots` is the occupancy and the recent behaviour of one backend server.
+/// Occupancy and recent behaviour of one backend server, as counted by the owner of its service.
 #[derive(Debug, Clone)]
 pub struct BackendSlots {
-    /// The backend server.
+    /// Id of the backend server.
     pub id: BackendId,
-    /// The VM behind its record.
+    /// Incarnation of the VM behind the backend server's record.
     pub incarnation: Incarnation,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: ZoneName,
-    /// Its limit; at least 1.
+    /// Configured limit of concurrent requests; at least 1.
     pub slots: u16,
-    /// Its share relative to its siblings.
+    /// Share of new work relative to the other backend servers of the service.
     pub weight: u16,
-    /// Whether it may take new work.
+    /// Whether the configuration allows new work on the backend server.
     pub eligible: bool,
-    /// Tries that hold a slot; never above `slots` by this balancer's dispatches.
+    /// Attempts that occupy a slot; this balancer's dispatches never raise it above `slots`.
     pub busy: u16,
-    /// Moving average of run times; none before the first answer.
+    /// Moving average of the run time, or `None` before the first answer.
     pub run_time: Option<Duration>,
-    /// Tries without an answer since the last answer.
+    /// Attempts that timed out since the last answer or refusal for load.
     pub failures: u32,
-    /// How often in a row it was ejected.
+    /// Consecutive ejections, reset by an answer.
     pub ejections: u32,
-    /// It takes nothing until then, having failed.
+    /// End of the latest ejection; no attempt is sent before it.
     pub ejected_until: Option<Deadline>,
-    /// It takes nothing until then, having shed load.
+    /// End of the latest shedding backoff; no attempt is sent before it.
     pub shedding_until: Option<Deadline>,
-    /// How often in a row it shed load.
+    /// Consecutive refusals for load, reset by an answer.
     pub sheddings: u32,
-    /// It is cold until then, and takes less than its slots.
+    /// End of slow start; before it the backend server takes fewer requests than `slots`.
     pub cold_until: Deadline,
 }
 
 impl BackendSlots {
-    /// `allowed` gives the slots that may be used now: all, or fewer while it is cold.
+    /// Returns the number of slots that may be used now: all, or fewer during slow start.
     #[must_use]
     pub fn allowed(&self, now: SystemTime, slow_start: Duration) -> u16 {
         let left = remaining(self.cold_until, now);
@@ -50,7 +50,7 @@
             return self.slots;
         }
 
-        // From one slot to all of them in equal steps.
+        // Ramps up linearly from one slot to all slots.
         let progress =
             1.0 - left.as_secs_f64().min(slow_start.as_secs_f64()) / slow_start.as_secs_f64();
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
@@ -58,13 +58,13 @@
         ramped.clamp(1, self.slots)
     }
 
-    /// `is_out` tells whether it is ejected.
+    /// Reports whether the backend server is ejected.
     #[must_use]
     pub fn is_out(&self, now: SystemTime) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// `has_room` tells whether a try can be sent to it now.
+    /// Reports whether an attempt can be sent to the backend server now.
     #[must_use]
     pub fn has_room(&self, now: SystemTime, slow_start: Duration) -> bool {
         self.eligible
@@ -73,13 +73,13 @@
             && self.busy < self.allowed(now, slow_start)
     }
 
-    /// `occupancy` gives the used share of its slots, less for a higher weight.
+    /// Returns the occupied share of the slots, divided by the weight.
     #[must_use]
     pub fn occupancy(&self) -> f64 {
         f64::from(self.busy) / (f64::from(self.slots) * f64::from(self.weight.max(1)))
     }
 
-    /// `on_run_time` takes the run time of an answered try in.
+    /// Updates the average run time with that of an answered attempt.
     pub fn on_run_time(&mut self, taken: Duration) {
         self.run_time = Some(match self.run_time {
             None => taken,
--- a/crates/valvestage-policy/src/requests/claim.rs
+++ b/crates/valvestage-policy/src/requests/claim.rs
@@ -1,4 +1,4 @@
-//! What is known of one request.
+//! The state of one request.
 
 use valvestage_core::ids::Attempt;
 use valvestage_core::time::Deadline;
@@ -6,76 +6,76 @@
 use super::request::{Refusal, Request};
 use super::try_record::TryRecord;
 
-/// `ClaimState` is the progress of a request.
+/// Progress of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimState<P> {
-    /// It waits for a slot.
+    /// Waits for a free slot.
     Waiting,
-    /// At least one try is out.
+    /// At least one attempt has been sent.
     Running,
-    /// The former owner has it running and will answer it.
+    /// Runs on behalf of the previous owner of the service, which will answer it.
     Elsewhere,
-    /// Answered; the segments are kept for retransmissions.
+    /// Answered; the segments are kept to answer retransmissions.
     Answered(Vec<P>),
-    /// Given up; every later copy gets the same refusal.
+    /// Refused; every later copy gets the same refusal.
     Refused(Refusal),
 }
 
-/// `Claim` is one request with its tries.
+/// One request with its attempts.
 ///
-/// It is kept until the deadline (longer while a try holds a slot), so that no copy that arrives
-/// in time is run again or told otherwise.
+/// A claim is kept until the deadline, and longer while an attempt holds a slot, so that a copy
+/// that arrives in time is neither run again nor given a different answer.
 #[derive(Debug, Clone)]
 pub struct Claim<P> {
-    /// The request as first accepted.
+    /// The first accepted copy of the request.
     pub request: Request<P>,
-    /// Its progress; once `Answered` or `Refused` it never changes.
+    /// Progress; `Answered` and `Refused` are final.
     pub state: ClaimState<P>,
-    /// Tries in order.
+    /// Attempts in the order in which they were sent.
     pub tries: Vec<TryRecord<P>>,
-    /// Whether the queue has it: waiting for its first try, or for another one.
+    /// Whether the request is in the wait queue, for its first attempt or for a retry.
     pub queued: bool,
-    /// Whether the claim table covers the whole time in which a copy may have been accepted; only
-    /// then "not run" can be said.
+    /// Whether the claim table covers the whole time in which a copy may have been accepted. Only
+    /// then can the outcome "not run" be given.
     pub covered: bool,
-    /// Until when the claim is kept.
+    /// Time at which the claim is removed.
     pub kept_until: Deadline,
 }
 
 impl<P> Claim<P> {
-    /// `is_final` tells whether the caller has its final answer.
+    /// Reports whether the final answer or refusal has been decided.
     #[must_use]
     pub fn is_final(&self) -> bool {
         matches!(self.state, ClaimState::Answered(_) | ClaimState::Refused(_))
     }
 
-    /// `may_have_run` tells whether any try may have run.
+    /// Reports whether any attempt may have run.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         matches!(self.state, ClaimState::Elsewhere)
             || self.tries.iter().any(TryRecord::may_have_run)
     }
 
-    /// `may_be_run_elsewhere` tells whether it waits and certainly has not run: whoever has the
-    /// claim next may run it.
+    /// Reports whether the request waits and has certainly not run, so that the next owner of the
+    /// service may run it.
     #[must_use]
     pub fn may_be_run_elsewhere(&self) -> bool {
         self.queued && !self.is_final() && !self.may_have_run()
     }
 
-    /// `holds_slot` tells whether any try holds a slot.
+    /// Reports whether any attempt holds a slot.
     #[must_use]
     pub fn holds_slot(&self) -> bool {
         self.tries.iter().any(TryRecord::holds_slot)
     }
 
-    /// `next_attempt` numbers the next try.
+    /// Returns the number of the next attempt.
     #[must_use]
     pub fn next_attempt(&self) -> Attempt {
         self.tries.last().map_or(1, |last| last.attempt.saturating_add(1))
     }
 
-    /// `find_try` gives a try by number.
+    /// Returns the attempt with this number.
     pub fn find_try(&mut self, attempt: Attempt) -> Option<&mut TryRecord<P>> {
         self.tries.iter_mut().find(|record| record.attempt == attempt)
     }
--- a/crates/valvestage-policy/src/requests/claim_table.rs
+++ b/crates/valvestage-policy/src/requests/claim_table.rs
@@ -1,4 +1,4 @@
-//! The claims of one service.
+//! The claims of the requests of one service.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::SystemTime;
@@ -8,13 +8,12 @@
 
 use super::claim::Claim;
 
-/// `ClaimTable` finds claims by request id and by the time of their next check.
+/// Claims of one service, indexed by request id and by the time of their next check.
 #[derive(Debug, Clone)]
 pub struct ClaimTable<P> {
-    /// Ordered, so that the same events give the same decisions; callers choose the ids.
+    /// Ordered, so that the same events give the same decisions: the callers choose the ids.
     claims: BTreeMap<RequestId, Claim<P>>,
-    /// One entry a claim at the least: when it needs a look. Entries of claims that are gone are
-    /// skipped.
+    /// Due times of checks, at least one per claim. Entries of removed claims are skipped.
     checks: BTreeSet<(Deadline, RequestId)>,
 }
 
@@ -25,18 +24,18 @@
 }
 
 impl<P> ClaimTable<P> {
-    /// `get` gives a claim.
+    /// Returns the claim of a request.
     #[must_use]
     pub fn get(&self, id: RequestId) -> Option<&Claim<P>> {
         self.claims.get(&id)
     }
 
-    /// `get_mut` gives a claim to change.
+    /// Returns the claim of a request for modification.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut Claim<P>> {
         self.claims.get_mut(&id)
     }
 
-    /// `insert` adds a claim, with the time of its first check.
+    /// Adds a claim and schedules its first check.
     pub fn insert(&mut self, claim: Claim<P>, check_at: Deadline) {
         let id = claim.request.id;
 
@@ -44,17 +43,17 @@
         self.claims.insert(id, claim);
     }
 
-    /// `remove` forgets a claim.
+    /// Removes the claim of a request.
     pub fn remove(&mut self, id: RequestId) -> Option<Claim<P>> {
         self.claims.remove(&id)
     }
 
-    /// `check_at` asks for a look at a claim at a time.
+    /// Schedules a check of a claim.
     pub fn check_at(&mut self, id: RequestId, at: Deadline) {
         self.checks.insert((at, id));
     }
 
-    /// `next_due` gives the next claim whose check is due.
+    /// Removes the next due check from the schedule and returns the request to check.
     pub fn next_due(&mut self, now: SystemTime) -> Option<RequestId> {
         let (at, id) = *self.checks.first()?;
         if at > now {
@@ -65,24 +64,24 @@
         Some(id)
     }
 
-    /// `len` counts the claims.
+    /// Returns the number of claims.
     #[must_use]
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// `is_empty` tells whether there is no claim.
+    /// Reports whether the table has no claim.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// `iter` iterates over the claims by request id.
+    /// Iterates over the claims in the order of their request ids.
     pub fn iter(&self) -> impl Iterator<Item = &Claim<P>> {
         self.claims.values()
     }
 
-    /// `iter_mut` iterates over the claims to change them.
+    /// Iterates over the claims in the order of their request ids, for modification.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Claim<P>> {
         self.claims.values_mut()
     }
--- a/crates/valvestage-policy/src/requests/handover.rs
+++ b/crates/valvestage-policy/src/requests/handover.rs
@@ -1,4 +1,4 @@
-//! What one owner hands to the next in a planned change.
+//! The claims that an owner transfers to its successor in a planned handover.
 
 use std::time::SystemTime;
 
@@ -7,25 +7,25 @@
 use super::claim::{Claim, ClaimState};
 use super::request::{Refusal, Request};
 
-/// `HandedState` is the progress of a claim as the next owner takes it over.
+/// Progress of a claim as the next owner takes it over.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HandedState<P> {
-    /// Not sent anywhere: the next owner runs it.
+    /// Certainly not run: the next owner runs it.
     Waiting,
-    /// Running: the former owner answers it, the next one only keeps copies from running.
+    /// May be running: the previous owner answers it, and the next owner keeps copies from running.
     Running,
     /// Answered: the next owner answers retransmissions.
     Answered(Vec<P>),
-    /// Given up: the next owner repeats the refusal.
+    /// Refused: the next owner repeats the refusal.
     Refused(Refusal),
 }
 
-/// `HandedClaim` is one claim on its way to the next owner.
+/// One claim in transfer to the next owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandedClaim<P> {
-    /// The request.
+    /// The request as the previous owner accepted it.
     pub request: Request<P>,
-    /// Its progress.
+    /// Progress at the time of the transfer.
     pub state: HandedState<P>,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl<P> HandedClaim<P> {
-    /// `into_claim` gives the claim as the next owner keeps it, and whether it waits to run.
+    /// Converts into a claim of the next owner, and reports whether the request waits to be run.
     #[must_use]
     pub fn into_claim(self, kept_until: SystemTime) -> (Claim<P>, bool) {
         let waits = matches!(self.state, HandedState::Waiting);
--- a/crates/valvestage-policy/src/requests/request.rs
+++ b/crates/valvestage-policy/src/requests/request.rs
@@ -1,4 +1,4 @@
-//! A request and its refusal.
+//! Requests and refusals.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,32 +8,32 @@
 use valvestage_core::time::Deadline;
 use valvestage_core::{Outcome, RefusalReason, RequestClass};
 
-/// `Request` is one request of a caller; the payload is never read.
+/// One request of a caller. The payload is opaque.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request<P> {
-    /// Given by the caller; a retransmission carries the same id and deadline.
+    /// Id chosen by the caller; retransmissions carry the same id and deadline.
     pub id: RequestId,
-    /// Where the answer goes.
+    /// Address to which the answer is sent.
     pub caller: SocketAddr,
-    /// The service asked.
+    /// Service that the request is addressed to.
     pub service: ServiceId,
-    /// After it the answer has no value, and no work is started.
+    /// Time after which the answer is useless to the caller and no work is started.
     pub deadline: Deadline,
-    /// Whether it may run more than once.
+    /// Whether the request may be run more than once.
     pub repeatable: bool,
-    /// Its place among requests that wait.
+    /// Scheduling class in the wait queue.
     pub class: RequestClass,
-    /// Opaque.
+    /// Application data, forwarded unread.
     pub payload: P,
 }
 
-/// `Refusal` is the final answer to a request that the system has given up on.
+/// Final refusal of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Whether it certainly did not run.
+    /// Whether the request certainly did not run.
     pub outcome: Outcome,
-    /// Why it was given up.
+    /// Cause of the refusal.
     pub reason: RefusalReason,
-    /// When the caller may come back with a new request.
+    /// Time after which the caller may send a new request.
     pub retry_after: Duration,
 }
--- a/crates/valvestage-policy/src/requests/request_action.rs
+++ b/crates/valvestage-policy/src/requests/request_action.rs
@@ -1,4 +1,4 @@
-//! What the driver has to do for a request.
+//! Actions of the request policy, to be carried out by the driver.
 
 use std::net::SocketAddr;
 
@@ -9,68 +9,68 @@
 use super::request::{Refusal, Request};
 use crate::flows::HopMark;
 
-/// `RequestAction` is one thing to do, in the order given.
+/// One action; the driver carries actions out in the order given.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestAction<P> {
     /// Send the request to a backend server.
     Dispatch {
-        /// The backend server.
+        /// Target of the attempt.
         backend: BackendId,
-        /// The VM behind its record.
+        /// Incarnation of the VM behind the backend server's record.
         incarnation: Incarnation,
-        /// Which try this is, from 1.
+        /// Number of the attempt, from 1.
         attempt: Attempt,
-        /// The backend server must not start after it; may be earlier than the request's.
+        /// Latest time to start; may be earlier than the deadline of the request.
         deadline: Deadline,
-        /// Why it is tried again; none for the first try.
+        /// Cause of the retry; `None` for the first attempt.
         retry: Option<RetryReason>,
-        /// The request.
+        /// The request to send on.
         request: Request<P>,
     },
-    /// Hand the request to another balancer.
+    /// Relay the request to another balancer.
     Relay {
-        /// The balancer.
+        /// Balancer that receives the request.
         peer: BalancerId,
-        /// The mark to carry.
+        /// Hop mark that the relayed request carries.
         hop: HopMark,
-        /// The request.
+        /// The request to send on.
         request: Request<P>,
     },
-    /// Tell a backend server that a try is not needed any more.
+    /// Cancel an attempt whose answer is not needed any more.
     Cancel {
-        /// The backend server.
+        /// Target of the attempt.
         backend: BackendId,
-        /// The VM behind its record.
+        /// Incarnation of the VM behind the backend server's record.
         incarnation: Incarnation,
-        /// Names the request.
+        /// Id of the request.
         id: RequestId,
-        /// Its service.
+        /// Service of the request.
         service: ServiceId,
-        /// Names the try.
+        /// Number of the attempt.
         attempt: Attempt,
-        /// The caller of the request.
+        /// Address of the caller.
         caller: SocketAddr,
     },
-    /// Send the whole answer to the caller.
+    /// Send the complete answer to the caller.
     Answer {
-        /// Names the request.
+        /// Id of the request.
         id: RequestId,
-        /// Its service.
+        /// Service of the request.
         service: ServiceId,
-        /// The caller of the request.
+        /// Address of the caller.
         caller: SocketAddr,
-        /// All segments in order.
+        /// All segments of the answer in order.
         segments: Vec<P>,
     },
     /// Send the final refusal to the caller.
     Refuse {
-        /// Names the request.
+        /// Id of the request.
         id: RequestId,
-        /// Its service.
+        /// Service of the request.
         service: ServiceId,
-        /// The caller of the request.
+        /// Address of the caller.
         caller: SocketAddr,
-        /// What to tell.
+        /// The refusal to send.
         refusal: Refusal,
     },
 }
--- a/crates/valvestage-policy/src/requests/request_options.rs
+++ b/crates/valvestage-policy/src/requests/request_options.rs
@@ -1,51 +1,56 @@
-//! Limits of the request policy.
+//! Parameters of the request policy.
 
 use std::time::Duration;
 
-/// `ChoiceRule` picks among the backend servers with a free slot.
+/// Algorithm that selects one of the backend servers with a free slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChoiceRule {
-    /// The lowest occupancy, the faster one on a tie, slow ones last.
+    /// The lowest occupancy, with slow backend servers last and ties broken by zone, then by hash.
     LeastOccupied,
-    /// Any, with equal probability; a baseline.
+    /// Uniformly random; a baseline for comparisons.
     Random,
-    /// The lower occupancy of two drawn at random; a baseline.
+    /// The less occupied of two random ones (power of two choices); a baseline for comparisons.
     TwoChoices,
 }
 
-/// `RequestOptions` bounds waiting, tries and what is kept.
+/// Limits of waiting, retries and retained claims.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestOptions {
-    /// Furthest deadline ahead that is accepted; all balancers must agree on it.
+    /// Maximum time from now to an accepted deadline; must be the same on all balancers.
     pub max_deadline: Duration,
-    /// A deadline nearer than this leaves no time to run.
+    /// Minimum time to the deadline; a request with less is refused because it could not run in
+    /// time.
     pub min_remaining: Duration,
-    /// Requests that may wait per slot of the service.
+    /// Maximum number of waiting requests per usable slot of the service.
     pub waiting_per_slot: usize,
-    /// Claims kept per service.
+    /// Maximum number of claims per service.
     pub max_claims: usize,
-    /// How much longer than an urgent request a bulk request waits at the most.
+    /// Additional time that a bulk request waits at most, compared to an urgent request.
     pub bulk_patience: Duration,
-    /// Tries of one request, the first included.
+    /// Maximum number of attempts per request, the first one included.
     pub max_tries: u16,
-    /// Retries granted per first try.
+    /// Retries earned by each first attempt.
     pub retry_ratio: f64,
-    /// Retries that may be saved up.
+    /// Maximum number of unused retries that accumulate.
     pub retry_burst: f64,
-    /// A repeatable request is tried elsewhere after this multiple of the usual run time.
+    /// Attempt timeout as a multiple of the mean run time; a repeatable request is then retried on
+    /// another backend server.
     pub try_timeout_factor: f64,
-    /// The shortest time before a repeatable request is tried elsewhere.
+    /// Lower bound of the attempt timeout.
     pub min_try_timeout: Duration,
-    /// How long after the deadline a slot is held for an answer that does not come.
+    /// Time after the deadline for which a slot stays occupied if no answer arrives.
     pub slot_grace: Duration,
-    /// How a backend server is chosen.
+    /// Selection algorithm of backend servers.
     pub choice: ChoiceRule,
-    /// Whether requests that may not be repeated need the claim table; off, a baseline.
+    /// Whether copies of a request are matched against the claim table; `false` is a baseline for
+    /// comparisons.
     pub claims: bool,
-    /// Whether "not run" and a first run need a claim table that covers the request's window; off,
-    /// a baseline.
+    /// Whether the outcome "not run" and the first run of a non-repeatable request need a claim
+    /// table that covers the whole time in which a copy may have been accepted; `false` is a
+    /// baseline for comparisons.
     pub window: bool,
-    /// Whether dispatches carry the lease's end as deadline; off, a baseline.
+    /// Whether the end of the lease bounds the deadline of dispatches; `false` is a baseline for
+    /// comparisons.
     pub fence: bool,
 }
 
--- a/crates/valvestage-policy/src/requests/retry_budget.rs
+++ b/crates/valvestage-policy/src/requests/retry_budget.rs
@@ -1,30 +1,30 @@
-//! The bound on retries.
+//! The retry budget.
 
-/// `RetryBudget` grants retries as a fraction of first tries (a token bucket), so that retries
-/// cannot multiply an overload.
+/// Token bucket that limits retries to a fraction of the first attempts, so that retries cannot
+/// multiply an overload.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryBudget {
-    /// Granted per first try.
+    /// Tokens earned per first attempt.
     ratio: f64,
-    /// At most saved up.
+    /// Capacity of the bucket.
     burst: f64,
-    /// Between 0 and `burst`.
+    /// Available retries, from 0 to `burst`.
     tokens: f64,
 }
 
 impl RetryBudget {
-    /// `new` starts with a full bucket.
+    /// Creates a budget with a full bucket.
     #[must_use]
     pub fn new(ratio: f64, burst: f64) -> Self {
         Self { ratio, burst, tokens: burst }
     }
 
-    /// `on_first_try` earns a fraction of a retry.
+    /// Adds the share of a retry that a first attempt earns.
     pub fn on_first_try(&mut self) {
         self.tokens = (self.tokens + self.ratio).min(self.burst);
     }
 
-    /// `take` spends one retry, if there is one.
+    /// Takes one retry from the budget; returns `false` if none is left.
     pub fn take(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
--- a/crates/valvestage-policy/src/requests/service_admission.rs
+++ b/crates/valvestage-policy/src/requests/service_admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request that is not known yet is taken, or refused at once.
+//! Admission control: accepts a new request, or refuses it at once.
 
 use std::time::{Duration, SystemTime};
 
@@ -11,10 +11,10 @@
 use super::request_action::RequestAction;
 use super::service_dispatcher::ServiceDispatcher;
 
-/// Assumed run time before the first answer.
+/// Run time assumed before the first answer.
 const FIRST_RUN_TIME: Duration = Duration::from_millis(50);
 
-/// Bounds of the time after which a refused caller may come back.
+/// Lower and upper bound of the retry delay given to a refused caller.
 const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(5));
 
 impl<P: Clone> ServiceDispatcher<P> {
@@ -22,7 +22,8 @@
         if !self.options.window {
             return true;
         }
-        // Work that may be repeated is also run by balancers that cannot reach the owner.
+        // Balancers that cannot reach the owner run repeatable requests as well, so the claim table
+        // never covers all copies of one.
         if request.repeatable {
             return false;
         }
@@ -88,7 +89,7 @@
         self.pool.usual_run_time().unwrap_or(FIRST_RUN_TIME)
     }
 
-    /// The time until the slots have worked off what goes before.
+    /// Estimates the time until the slots have worked off the requests ahead.
     fn expected_wait(&self, usable_slots: u32, ahead: usize) -> Duration {
         let turns = u32::try_from(ahead + 1).unwrap_or(u32::MAX);
 
@@ -109,8 +110,9 @@
         covered: bool,
         out: &mut Vec<RequestAction<P>>,
     ) {
-        // "Not run" binds the future too: it is said only if a claim keeps later copies from
-        // running. A deadline that is too far comes into range later, maybe at another owner.
+        // "Not run" also promises that no later copy runs, so it is given only if a claim that
+        // refuses later copies is kept. A deadline that is too far ahead comes into range later,
+        // possibly at another owner.
         let can_keep = !matches!(reason, RefusalReason::ClaimsFull | RefusalReason::DeadlineTooFar);
         let outcome = if covered && can_keep { Outcome::NotRun } else { Outcome::InDoubt };
         let refusal = Refusal { outcome, reason, retry_after: self.retry_after(now) };
--- a/crates/valvestage-policy/src/requests/service_dispatcher.rs
+++ b/crates/valvestage-policy/src/requests/service_dispatcher.rs
@@ -1,4 +1,4 @@
-//! Admission, waiting and dispatch of the requests of one service.
+//! Admission, queueing and dispatch of the requests of one service.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
@@ -17,23 +17,23 @@
 use super::try_record::{TryRecord, TryState};
 use super::wait_queue::{WaitEntry, WaitQueue};
 
-/// `ServiceLoad` is the present load of a service at its admitting balancer.
+/// Present load of a service at its owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ServiceLoad {
-    /// Slots in use.
+    /// Number of occupied slots.
     pub busy_slots: u32,
-    /// Slots that may be used.
+    /// Number of slots that may be used, occupied ones included.
     pub usable_slots: u32,
-    /// Requests that wait.
+    /// Number of requests in the wait queue.
     pub waiting: usize,
-    /// Claims kept.
+    /// Number of claims in the claim table.
     pub claims: usize,
 }
 
-/// `ServiceDispatcher` decides for the requests of one service.
+/// Scheduler of the requests of one service.
 ///
-/// Outcomes are exactly three: answered, not run (certain), in doubt. The caller gets its final
-/// answer as soon as it is decided.
+/// Every request has one of exactly three outcomes: answered, not run (certain) or in doubt. The
+/// caller gets the final answer as soon as it is decided.
 #[derive(Debug, Clone)]
 pub struct ServiceDispatcher<P> {
     pub(super) service: ServiceId,
@@ -42,16 +42,16 @@
     pub(super) queue: WaitQueue,
     pub(super) claims: ClaimTable<P>,
     pub(super) budget: RetryBudget,
-    /// Whether a configuration came in since the last tick.
+    /// Whether a configuration was installed since the last tick.
     pub(super) pool_changed: bool,
     /// Nothing is dispatched before this time.
     held_until: Option<SystemTime>,
-    /// While claims are on their way to the next owner: requests that came since.
+    /// Requests received during a handover; `None` when no handover is in progress.
     pub(super) held: Option<Vec<Request<P>>>,
 }
 
 impl<P: Clone> ServiceDispatcher<P> {
-    /// `new` starts a dispatcher without backend servers.
+    /// Creates a dispatcher without backend servers.
     #[must_use]
     pub fn new(service: ServiceId, options: RequestOptions, pool: PoolOptions) -> Self {
         let pool = PoolOptions { choice: options.choice, ..pool };
@@ -69,7 +69,7 @@
         }
     }
 
-    /// `accept` takes a request from a caller, or a copy of one.
+    /// Handles a new request, or a copy of a known one.
     pub fn accept(
         &mut self,
         now: SystemTime,
@@ -77,7 +77,7 @@
         authority: Option<Authority>,
         out: &mut Vec<RequestAction<P>>,
     ) {
-        // A known request: the final answer once more, or nothing while it is under way.
+        // A known request gets its final answer again, or nothing while it is in progress.
         if self.options.claims && self.repeat_final_answer(&request, out) {
             return;
         }
@@ -86,7 +86,7 @@
             return;
         }
 
-        // A new one: refused at once, or a claim.
+        // A new request is refused at once or gets a claim.
         let authority = authority.filter(|authority| authority.is_valid(now));
         let covered = self.is_covered(&request, authority);
         if let Some(reason) = self.admission_problem(now, &request, authority, covered) {
@@ -104,13 +104,13 @@
         self.pump(now, authority, out);
     }
 
-    /// Whether the request is known; its final answer goes out again.
+    /// Repeats the final answer of a known request; returns `false` if the request is not known.
     fn repeat_final_answer(&self, request: &Request<P>, out: &mut Vec<RequestAction<P>>) -> bool {
         let Some(claim) = self.claims.get(request.id) else {
             return false;
         };
 
-        // The answer goes to the caller that asked first; another address gets nothing.
+        // Only the address that sent the first copy gets the answer.
         if claim.request.caller != request.caller {
             return true;
         }
@@ -141,7 +141,7 @@
         Claim { request, state, tries: Vec::new(), queued, covered, kept_until }
     }
 
-    /// `pump` dispatches waiting requests while there are free slots.
+    /// Dispatches waiting requests while there are free slots.
     pub fn pump(
         &mut self,
         now: SystemTime,
@@ -158,7 +158,7 @@
                 continue;
             };
 
-            // A try may still be running at these.
+            // Backend servers on which an attempt may still be running.
             let excluded: Vec<BackendId> =
                 claim.tries.iter().filter(|t| t.holds_slot()).map(|t| t.backend).collect();
             let needs_lease = !claim.request.repeatable && self.options.window;
@@ -200,9 +200,9 @@
             return;
         };
 
-        // The lease's end is a deadline for the start of work: an owner that is paused between here
-        // and the socket cannot start anything after it, neither work that must not run twice nor
-        // work on a backend server that has been drained since.
+        // The end of the lease bounds the start of work: an owner that is paused between here and
+        // the socket cannot start work after it, neither a second run of a non-repeatable request
+        // nor work on a backend server that has been drained meanwhile.
         let request = claim.request.clone();
         let deadline = match authority {
             Some(authority) if fences => request.deadline.min(authority.fence),
@@ -237,7 +237,7 @@
         usual.max(self.options.min_try_timeout)
     }
 
-    /// `finish_refused` gives a request up: the final answer goes out now.
+    /// Refuses a request for good and sends the refusal, unless it already has a final answer.
     pub(super) fn finish_refused(
         &mut self,
         now: SystemTime,
@@ -247,7 +247,7 @@
     ) {
         let retry_after = self.retry_after(now);
         let service = self.service;
-        // While a handover is open the next owner may run what waits here.
+        // During a handover the next owner may already run the waiting requests.
         let is_handed = self.held.is_some();
         let Some(claim) = self.claims.get_mut(id).filter(|claim| !claim.is_final()) else {
             return;
@@ -263,7 +263,7 @@
         out.push(RequestAction::Refuse { id, service, caller, refusal });
     }
 
-    /// `cancel_tries` tells the backend servers that may still run a request to stop.
+    /// Sends a cancellation to every backend server that may still run an attempt of a request.
     pub(super) fn cancel_tries(&self, id: RequestId, out: &mut Vec<RequestAction<P>>) {
         let Some(claim) = self.claims.get(id) else {
             return;
@@ -281,35 +281,35 @@
         }
     }
 
-    /// `hold_until` dispatches nothing before a time.
+    /// Holds back all dispatches until this time.
     pub fn hold_until(&mut self, until: SystemTime) {
         self.held_until = Some(until);
     }
 
-    /// `install` takes the service's backend servers from a configuration.
+    /// Updates the backend servers of the service from a configuration.
     pub fn install(&mut self, configuration: &Configuration, now: SystemTime) {
         self.pool.install(configuration, self.service, now);
         self.pool_changed = true;
     }
 
-    /// `pool` gives the backend servers.
+    /// Returns the backend servers of the service.
     #[must_use]
     pub fn pool(&self) -> &BackendPool {
         &self.pool
     }
 
-    /// `pool_mut` gives the backend servers to change.
+    /// Returns the backend servers of the service for modification.
     pub fn pool_mut(&mut self) -> &mut BackendPool {
         &mut self.pool
     }
 
-    /// `claim` gives the claim of a request.
+    /// Returns the claim of a request, or `None` if the request is not known.
     #[must_use]
     pub fn claim(&self, id: RequestId) -> Option<&Claim<P>> {
         self.claims.get(id)
     }
 
-    /// `load` gives the present load.
+    /// Returns the present load of the service.
     #[must_use]
     pub fn load(&self, now: SystemTime) -> ServiceLoad {
         ServiceLoad {
@@ -320,7 +320,7 @@
         }
     }
 
-    /// `open_work` counts requests that have no final answer yet.
+    /// Returns the number of requests that this balancer has not answered yet.
     #[must_use]
     pub fn open_work(&self) -> usize {
         let is_open =
--- a/crates/valvestage-policy/src/requests/service_handover.rs
+++ b/crates/valvestage-policy/src/requests/service_handover.rs
@@ -1,4 +1,4 @@
-//! The change of owners, as the requests of one service go through it.
+//! Ownership changes of one service: export and import of its claims.
 
 use std::time::SystemTime;
 
@@ -10,19 +10,19 @@
 use super::wait_queue::WaitEntry;
 
 impl<P: Clone> ServiceDispatcher<P> {
-    /// `start_handover` copies the claims for the next owner, and holds new work back until the
-    /// handover is settled.
+    /// Exports the claims for the next owner, and holds new requests back until the handover is
+    /// completed or aborted.
     pub fn start_handover(&mut self) -> Vec<HandedClaim<P>> {
         self.held.get_or_insert_default();
 
         self.claims.iter().map(HandedClaim::from).collect()
     }
 
-    /// `complete_handover` leaves what waits to the next owner, and gives the requests that came
-    /// since, to be relayed to it.
+    /// Drops the waiting requests, which the next owner runs, and returns the requests held back
+    /// since the start of the handover, which are to be relayed to the next owner.
     ///
-    /// What may be running stays here until it is answered, and keeps its place in the queue if it
-    /// waits for another try.
+    /// A request that may be running stays here until it is answered, and keeps its place in the
+    /// queue if it waits for a retry.
     pub fn complete_handover(&mut self) -> Vec<Request<P>> {
         let mut staying = Vec::new();
 
@@ -43,12 +43,12 @@
         self.held.take().unwrap_or_default()
     }
 
-    /// `abort_handover` goes on as before, and gives the requests held back, to be accepted.
+    /// Keeps the service here, and returns the requests held back, which are to be accepted.
     pub fn abort_handover(&mut self) -> Vec<Request<P>> {
         self.held.take().unwrap_or_default()
     }
 
-    /// `import` takes over the claims of the former owner; waiting ones run here.
+    /// Imports the claims of the previous owner, and queues the waiting requests to run them here.
     pub fn import(&mut self, now: SystemTime, handed: Vec<HandedClaim<P>>) {
         for claim in handed {
             let deadline: Deadline = claim.request.deadline;
--- a/crates/valvestage-policy/src/requests/service_replies.rs
+++ b/crates/valvestage-policy/src/requests/service_replies.rs
@@ -1,4 +1,4 @@
-//! Answers, refusals, withdrawals and expiry of the requests of one service.
+//! Answers, refusals, cancellation and expiry of the requests of one service.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
@@ -14,19 +14,20 @@
 use super::try_record::TryState;
 use super::wait_queue::WaitEntry;
 
-/// `BackendReply` names the try that a backend server replies to.
+/// Identifies the attempt that a backend server replies to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackendReply {
-    /// The backend server that the datagram came from.
+    /// Backend server that sent the datagram.
     pub backend: BackendId,
-    /// The request.
+    /// Id of the request.
     pub id: RequestId,
-    /// The try.
+    /// Number of the attempt.
     pub attempt: Attempt,
 }
 
 impl<P: Clone> ServiceDispatcher<P> {
-    /// `on_answer` takes in one segment of an answer; the first complete answer wins.
+    /// Handles one segment of an answer. The first complete answer of any attempt is sent to the
+    /// caller.
     pub fn on_answer(
         &mut self,
         now: SystemTime,
@@ -50,7 +51,7 @@
             return;
         };
 
-        // The try is over: its slot is free, whoever won.
+        // The attempt has ended and its slot is free, even if another attempt answered first.
         record.state = TryState::Answered;
         let taken = now.duration_since(record.sent).unwrap_or(Duration::ZERO);
         self.pool.on_answered(record.backend, record.incarnation, taken);
@@ -69,7 +70,7 @@
         self.pump(now, authority, out);
     }
 
-    /// `on_refused` takes in a backend server's word that it did not start a try, or stopped it.
+    /// Handles a reply that says that the backend server did not start an attempt, or stopped it.
     pub fn on_refused(
         &mut self,
         now: SystemTime,
@@ -88,7 +89,7 @@
             return;
         };
 
-        // A try that was stopped had started.
+        // A cancelled attempt had been started.
         record.state = match reason {
             RefusalReason::Cancelled => TryState::Lost,
             _ => TryState::Refused,
@@ -103,7 +104,7 @@
         self.pump(now, authority, out);
     }
 
-    /// Tries a request again if it may be, or gives it up at once.
+    /// Queues a request for a retry if it may be retried, and refuses it otherwise.
     fn retry_or_finish(
         &mut self,
         now: SystemTime,
@@ -116,7 +117,7 @@
             return;
         };
 
-        // Another try is out: its answer decides.
+        // Another attempt is still pending: its result decides.
         if claim.holds_slot() {
             return;
         }
@@ -142,7 +143,7 @@
         self.queue.push_first(claim.request.class, WaitEntry { id, since: now });
     }
 
-    /// `on_cancel` withdraws a request for its caller.
+    /// Cancels a request on behalf of its caller.
     pub fn on_cancel(
         &mut self,
         now: SystemTime,
@@ -157,7 +158,7 @@
         }
     }
 
-    /// `tick` looks after everything whose time has come.
+    /// Runs all due checks of claims, and dispatches waiting requests.
     pub fn tick(
         &mut self,
         now: SystemTime,
@@ -190,7 +191,7 @@
         }
     }
 
-    /// The deadline has passed: whatever has no final answer gets it now.
+    /// Handles the passing of the deadline: a request without a final answer is refused.
     fn expire(&mut self, now: SystemTime, id: RequestId, out: &mut Vec<RequestAction<P>>) {
         let Some(claim) = self.claims.get(id) else {
             return;
@@ -204,13 +205,13 @@
                 self.note_silence(now, id);
                 self.finish_refused(now, id, RefusalReason::ExpiredRunning, out);
             }
-            // The former owner answers; copies are out of time anyway.
+            // The previous owner answers; copies are past the deadline as well.
             ClaimState::Elsewhere | ClaimState::Answered(_) | ClaimState::Refused(_) => {}
         }
     }
 
-    /// A try that was out for long and got no answer speaks against its backend server; one that
-    /// was sent shortly before the deadline does not.
+    /// Counts pending attempts older than the attempt timeout as failures of their backend servers.
+    /// One that was sent shortly before the deadline is no evidence of a failure.
     fn note_silence(&mut self, now: SystemTime, id: RequestId) {
         let timeout = self.try_timeout();
         let Some(claim) = self.claims.get(id) else {
@@ -227,7 +228,8 @@
         }
     }
 
-    /// A repeatable request whose newest try takes too long is tried elsewhere.
+    /// Handles the attempt timeout: counts a failure of the backend server, and retries a
+    /// repeatable request on another one.
     fn check_overdue(&mut self, now: SystemTime, id: RequestId, deadline: Deadline) {
         let timeout = self.try_timeout();
         let max_tries = usize::from(self.options.max_tries);
@@ -254,8 +256,8 @@
         }
     }
 
-    /// Repeatable requests whose backend servers are all gone from the configuration run
-    /// elsewhere; the others may still be answered.
+    /// Retries the repeatable requests whose backend servers were all removed from the
+    /// configuration. Other requests are left alone, because they may still be answered.
     fn retry_removed(&mut self, now: SystemTime, out: &mut Vec<RequestAction<P>>) {
         let pool = &self.pool;
         let is_gone = |backend: BackendId| pool.get(backend).is_none();
@@ -278,7 +280,7 @@
         }
     }
 
-    /// The claim is not needed any more; slots that no answer freed are freed now.
+    /// Removes a claim, and frees the slots of its attempts that were never answered.
     fn forget(&mut self, now: SystemTime, id: RequestId) {
         self.note_silence(now, id);
         let Some(claim) = self.claims.remove(id) else {
--- a/crates/valvestage-policy/src/requests/try_record.rs
+++ b/crates/valvestage-policy/src/requests/try_record.rs
@@ -1,46 +1,47 @@
-//! One try of a request at one backend server.
+//! One attempt of a request at one backend server.
 
 use std::time::SystemTime;
 
 use valvestage_core::Segment;
 use valvestage_core::ids::{Attempt, BackendId, Incarnation};
 
-/// `TryState` is what is known of a try.
+/// State of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TryState {
-    /// Sent; it may be running. It holds a slot.
+    /// Sent, and possibly running. Holds a slot.
     Pending,
-    /// Sent, and tried elsewhere since; it may be running. It holds a slot.
+    /// Timed out, and possibly still running. Holds a slot.
     Overdue,
-    /// The backend server refused it before it started: it certainly did not run.
+    /// Refused by the backend server before it started: it certainly did not run.
     Refused,
-    /// The whole answer came.
+    /// Completely answered.
     Answered,
-    /// Its backend server left the configuration or stopped it: it may have run, and holds no slot.
+    /// Cancelled by its backend server, or lost when the backend server left the configuration. It
+    /// may have run, and holds no slot.
     Lost,
 }
 
-/// `TryRecord` is one try, with the segments of its answer.
+/// One attempt, with the answer segments received so far.
 #[derive(Debug, Clone)]
 pub struct TryRecord<P> {
-    /// Counts from 1; unique in a claim.
+    /// Number of the attempt, from 1; unique within a claim.
     pub attempt: Attempt,
-    /// Where it was sent.
+    /// Backend server that the attempt was sent to.
     pub backend: BackendId,
-    /// The VM behind the backend server's record.
+    /// Incarnation of the VM behind the backend server's record.
     pub incarnation: Incarnation,
-    /// When it was sent.
+    /// Time of the dispatch.
     pub sent: SystemTime,
-    /// What is known of it.
+    /// State of the attempt as far as this balancer knows.
     pub state: TryState,
-    /// Segments that came, by index; empty before the first.
+    /// Received segments by index; empty before the first segment.
     segments: Vec<Option<P>>,
-    /// Segments still missing; meaningful once `segments` is not empty.
+    /// Number of missing segments; meaningful once `segments` is not empty.
     missing: usize,
 }
 
 impl<P> TryRecord<P> {
-    /// `new` records a try that is sent now.
+    /// Creates the record of an attempt that is sent at the given time.
     #[must_use]
     pub fn new(
         attempt: Attempt,
@@ -59,22 +60,22 @@
         }
     }
 
-    /// `holds_slot` tells whether the backend server may still be busy with it.
+    /// Reports whether the backend server may still be busy with the attempt.
     #[must_use]
     pub fn holds_slot(&self) -> bool {
         matches!(self.state, TryState::Pending | TryState::Overdue)
     }
 
-    /// `may_have_run` tells whether it may have run.
+    /// Reports whether the attempt may have run.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         self.state != TryState::Refused
     }
 
-    /// `add_segment` takes one segment in and gives the whole answer once it is complete.
+    /// Adds one segment, and returns all segments in order once the answer is complete.
     ///
-    /// Segments may come in any order and more than once; one that disagrees on the count is
-    /// ignored.
+    /// Segments may arrive in any order and more than once. A segment with another segment count
+    /// than the first one is ignored.
     pub fn add_segment(&mut self, place: Segment, payload: P) -> Option<Vec<P>> {
         if self.segments.is_empty() {
             self.segments.resize_with(place.count.into(), || None);
--- a/crates/valvestage-policy/src/requests/wait_queue.rs
+++ b/crates/valvestage-policy/src/requests/wait_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a slot.
+//! The queue of requests that wait for a free slot.
 
 use std::collections::VecDeque;
 use std::time::{Duration, SystemTime};
@@ -6,52 +6,53 @@
 use valvestage_core::RequestClass;
 use valvestage_core::ids::RequestId;
 
-/// `WaitEntry` is one place in the queue.
+/// One waiting request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WaitEntry {
-    /// The request.
+    /// Id of the request.
     pub id: RequestId,
-    /// Since when it waits.
+    /// Time at which the request entered the queue.
     pub since: SystemTime,
 }
 
-/// Of this many turns one goes to a bulk request, if one waits.
+/// One in this many dequeued requests is a bulk request, if any waits.
 const BULK_TURN: usize = 5;
 
-/// `WaitQueue` orders waiting requests by class, with ageing.
+/// Priority queue of waiting requests, with ageing of the lower class.
 ///
 /// An urgent request goes before every bulk request that has waited less than `bulk_patience`
-/// longer than it; beyond that the bulk request goes first. Every fifth turn is a bulk request's
-/// in any case, so that it does not starve in an overload, when urgent ones wait as long.
+/// longer. Otherwise the bulk request goes first. In any case, one in [`BULK_TURN`] dequeued
+/// requests is a bulk request, so that bulk requests do not starve in an overload in which urgent
+/// requests wait as long.
 #[derive(Debug, Clone)]
 pub struct WaitQueue {
     bulk_patience: Duration,
-    /// Oldest first.
+    /// Ordered from the longest waiting to the newest.
     urgent: VecDeque<WaitEntry>,
-    /// Oldest first.
+    /// Ordered from the longest waiting to the newest.
     bulk: VecDeque<WaitEntry>,
-    /// Urgent turns since the last bulk turn; less than [`BULK_TURN`].
+    /// Urgent requests dequeued since the last bulk request; less than [`BULK_TURN`].
     urgent_turns: usize,
 }
 
 impl WaitQueue {
-    /// `new` starts an empty queue.
+    /// Creates an empty queue.
     #[must_use]
     pub fn new(bulk_patience: Duration) -> Self {
         Self { bulk_patience, urgent: VecDeque::new(), bulk: VecDeque::new(), urgent_turns: 0 }
     }
 
-    /// `push` adds a request at the end of its class.
+    /// Adds a request at the end of its class.
     pub fn push(&mut self, class: RequestClass, entry: WaitEntry) {
         self.class_mut(class).push_back(entry);
     }
 
-    /// `push_first` puts a request back at the head of its class, after a refused try.
+    /// Puts a request back at the head of its class.
     pub fn push_first(&mut self, class: RequestClass, entry: WaitEntry) {
         self.class_mut(class).push_front(entry);
     }
 
-    /// `pop` takes the request whose turn it is.
+    /// Removes and returns the next request to dispatch.
     pub fn pop(&mut self) -> Option<WaitEntry> {
         let class = self.next_class()?;
 
@@ -62,7 +63,7 @@
         self.class_mut(class).pop_front()
     }
 
-    /// `ahead_of` counts the requests that go before a new one of a class.
+    /// Returns the number of waiting requests that go before a new request of this class.
     #[must_use]
     pub fn ahead_of(&self, class: RequestClass) -> usize {
         match class {
@@ -73,19 +74,19 @@
         }
     }
 
-    /// `len` counts the waiting requests.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.urgent.len() + self.bulk.len()
     }
 
-    /// `is_empty` tells whether none waits.
+    /// Reports whether no request waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// `remove` takes a request out, wherever it waits.
+    /// Removes a request from the queue.
     pub fn remove(&mut self, id: RequestId) {
         self.urgent.retain(|entry| entry.id != id);
         self.bulk.retain(|entry| entry.id != id);
--- a/crates/valvestage-policy/tests/ablation.rs
+++ b/crates/valvestage-policy/tests/ablation.rs
@@ -1,4 +1,4 @@
-//! The list of what `scripts/ablate` switches off fits the sources.
+//! Checks that the source replacements listed for `scripts/ablate` still match the sources.
 
 use std::fs;
 use std::path::Path;
@@ -28,7 +28,7 @@
     let text = fs::read_to_string(root.join("scripts/ablation.toml")).unwrap();
     let list: AblationList = toml::from_str(&text).unwrap();
 
-    // The first one is the code as it is.
+    // The first mechanism is the unchanged code.
     for variant in list.mechanism.iter().skip(1).chain(&list.constant) {
         let source = fs::read_to_string(package.join("src/steering").join(&variant.file)).unwrap();
         let Variant { name, find, replace, days, .. } = variant;
--- a/crates/valvestage-policy/tests/control.rs
+++ b/crates/valvestage-policy/tests/control.rs
@@ -1,4 +1,4 @@
-//! Control: leases, owners, and which configuration is in force.
+//! Tests of the control policy: leases, service ownership, and the configuration in force.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -46,7 +46,7 @@
     ObjectValue::Configuration(raw)
 }
 
-/// The calls of one state machine among the actions of a step.
+/// Returns the calls of one state machine among the actions of a step.
 fn calls(policy: &mut ControlPolicy, now: SystemTime, wanted: Machine) -> Vec<PlatformCall> {
     let mut actions = Vec::new();
     policy.step(now, &mut actions);
@@ -70,7 +70,7 @@
     assert_eq!(first_read, [PlatformCall::Read { key: ObjectKey::Configuration }]);
     assert!(!policy.is_serving());
 
-    // The read itself shows version 9.
+    // The first read of the object shows version 9.
     let reply = PlatformReply::Found { version: 9, value: configuration("new") };
     policy.on_reply(start(), Machine::FirstRead, reply, &mut out).unwrap();
     calls(&mut policy, start(), Machine::FirstRead);
@@ -125,7 +125,7 @@
     }
 }
 
-/// A keeper that holds a lease, written as version 1.
+/// Returns a state machine that holds a lease, written as version 1, and the lease record.
 fn holding(options: LeaseOptions) -> (LeaseKeeper, LeaseRecord) {
     let mut keeper = LeaseKeeper::new(1, options, start());
 
@@ -145,7 +145,7 @@
     let (_, record) = written(&keeper.next_call(start()).unwrap());
     assert_eq!(keeper.grant(start()), None);
 
-    // The answer is lost; reading shows that the write took effect.
+    // The answer is lost; the next read shows that the write took effect.
     keeper.on_reply(start(), &PlatformReply::Unknown);
     assert_eq!(keeper.grant(start()), None);
     let later = start() + Duration::from_millis(300);
@@ -153,7 +153,7 @@
     let found = PlatformReply::Found { version: 4, value: ObjectValue::Lease(record) };
     keeper.on_reply(later, &found);
 
-    // It counts from before the write was sent.
+    // The lease runs from before the write was sent.
     let fence = start() + options.length - options.clock_bound;
     assert_eq!(keeper.grant(later).unwrap().fence, fence);
     assert_eq!(keeper.grant(fence), None);
@@ -166,7 +166,7 @@
     let now = start() + options.length;
     assert_eq!(keeper.grant(now), None);
 
-    // The renewal conflicts: another balancer closed it.
+    // The renewal conflicts because another balancer closed the lease.
     keeper.next_call(now).unwrap();
     keeper.on_reply(now, &PlatformReply::Conflict);
     keeper.next_call(now).unwrap();
@@ -188,7 +188,7 @@
     let found = PlatformReply::Found { version: 1, value: ObjectValue::Lease(record) };
     fresh.on_reply(start(), &found);
 
-    // The former process may be paused, and believe in its lease.
+    // The former process may only be paused and still rely on its lease.
     assert_eq!(fresh.next_call(start()), None);
     assert_eq!(fresh.next_call(start() + options.length), None);
     let over = start() + options.length + options.clock_bound * 3;
@@ -203,7 +203,7 @@
     let two = OwnerCandidate { id: 2, lease: 200 };
     let with = |candidates| CoordinatorInputs { services: vec![7], candidates, live: 1 };
 
-    // First owner: balancer 1, covered from the beginning.
+    // The first owner is balancer 1; its claim table covers all time.
     let inputs = with(vec![one]);
     coordinator.next_call(start(), &inputs).unwrap();
     coordinator.on_reply(start(), PlatformReply::Missing);
@@ -211,7 +211,7 @@
     let map = coordinator.on_reply(start(), PlatformReply::Written { version: 1 }).unwrap();
     assert_eq!(map.owner(7).unwrap().covers_from_ms, 0);
 
-    // It is not heard any more. Its lease holds: nothing is done.
+    // Balancer 1 is not live any more, but its lease has not lapsed: nothing is changed.
     let inputs = with(vec![two]);
     let lease = LeaseRecord { holder: 1, epoch: 100, expires_ms: 1_800_000_006_000, closed: false };
     let value = || ObjectValue::Lease(lease.clone());
@@ -219,7 +219,7 @@
     coordinator.on_reply(start(), PlatformReply::Found { version: 5, value: value() });
     assert_eq!(coordinator.next_call(start(), &inputs), None);
 
-    // It has lapsed: it is closed under the version read, then the map is written.
+    // The lease has lapsed: it is closed under the version read, then the map is written.
     let now = start() + Duration::from_secs(7);
     coordinator.next_call(now, &inputs).unwrap();
     coordinator.on_reply(now, PlatformReply::Found { version: 5, value: value() });
@@ -244,7 +244,7 @@
     coordinator.next_call(start(), &with(vec![one])).unwrap();
     coordinator.on_reply(start(), PlatformReply::Written { version: 1 });
 
-    // Read as lapsed; renewed before the close arrives.
+    // The lease is read as lapsed, and renewed before the write that closes it arrives.
     let now = start() + Duration::from_secs(7);
     let lease = LeaseRecord { holder: 1, epoch: 100, expires_ms: 1_800_000_006_000, closed: false };
     let found = PlatformReply::Found { version: 5, value: ObjectValue::Lease(lease) };
@@ -253,7 +253,7 @@
     coordinator.next_call(now, &with(vec![two])).unwrap();
     assert_eq!(coordinator.on_reply(now, PlatformReply::Conflict), None);
 
-    // Everything is read again.
+    // The map is read again.
     let later = now + Duration::from_secs(1);
     let next = coordinator.next_call(later, &with(vec![two]));
     assert_eq!(next, Some(PlatformCall::Read { key: ObjectKey::OwnerMap }));
--- a/crates/valvestage-policy/tests/handover.rs
+++ b/crates/valvestage-policy/tests/handover.rs
@@ -1,4 +1,4 @@
-//! Requests between two tries: handovers, and tries that were stopped.
+//! Tests of requests between two attempts: handovers, and attempts that were cancelled.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
     Some(Authority { covers_from: UNIX_EPOCH, fence })
 }
 
-/// A dispatcher with two backend servers of one slot.
+/// Returns a dispatcher with two backend servers of one slot each.
 fn dispatcher() -> ServiceDispatcher<()> {
     let address = |last| SocketAddr::from(([192, 0, 2, last], 7_000));
     let backend = |id: u8| Backend {
@@ -62,7 +62,7 @@
     }
 }
 
-/// The tries that were sent, as replies to them would name them.
+/// Drains the actions and returns the dispatched attempts, in the form of replies to them.
 fn sent(out: &mut Vec<RequestAction<()>>) -> Vec<BackendReply> {
     let tries = out.drain(..).filter_map(|action| match action {
         RequestAction::Dispatch { backend, attempt, request, .. } => {
@@ -83,7 +83,7 @@
     }
     let tries = sent(&mut out);
 
-    // The first is refused, and waits: the other backend server is busy.
+    // The first attempt is refused, and its request waits because the other backend server is busy.
     let refused = tries[0];
     former.on_refused(now, refused, RefusalReason::BackendShedding, authority(), &mut out);
     assert!(sent(&mut out).is_empty());
@@ -91,7 +91,7 @@
     let states: Vec<_> = handed.iter().map(|claim| &claim.state).collect();
     assert_eq!(states, [&HandedState::Waiting, &HandedState::Running]);
 
-    // It is the next owner's alone.
+    // Only the next owner has the waiting request now.
     former.complete_handover();
     assert!(former.claim(refused.id).is_none());
     let mut next = dispatcher();
@@ -109,14 +109,14 @@
     }
     let tries = sent(&mut out);
 
-    // Both take too long, and have nowhere to go.
+    // Both attempts time out, and no other backend server has a free slot.
     let later = start() + Duration::from_secs(1);
     former.tick(later, authority(), &mut out);
     assert!(sent(&mut out).is_empty());
     former.start_handover();
     former.complete_handover();
 
-    // The second is answered: its slot is free for the first.
+    // The second request is answered, which frees a slot for the retry of the first.
     let place = valvestage_core::Segment::WHOLE;
     former.on_answer(later, tries[1], place, (), None, &mut out);
     let again = sent(&mut out);
@@ -129,7 +129,7 @@
     dispatcher.accept(start(), request(1, false), authority(), &mut out);
     let tries = sent(&mut out);
 
-    // The backend server had started it.
+    // A cancelled attempt had been started by the backend server.
     dispatcher.on_refused(start(), tries[0], RefusalReason::Cancelled, authority(), &mut out);
 
     let [RequestAction::Refuse { refusal, .. }] = &out[..] else { panic!("{out:?}") };
--- a/crates/valvestage-policy/tests/properties.rs
+++ b/crates/valvestage-policy/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of the parts, for drawn inputs.
+//! Property tests of single components, with generated inputs.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -8,7 +8,7 @@
 use valvestage_policy::membership::LiveView;
 use valvestage_policy::requests::{RetryBudget, TryRecord, WaitEntry, WaitQueue};
 
-/// The same draws on every run.
+/// Returns a generator with a fixed seed, so that every run has the same inputs.
 fn seeded(size: usize) -> QuickCheck {
     QuickCheck::new().rng(Gen::from_size_and_seed(size, 42))
 }
@@ -45,7 +45,8 @@
     let others = (0..10_000u64).filter(|key| whole.home(*key) != Some(1));
     let moved = others.filter(|key| whole.home(*key) != left.home(*key)).count();
 
-    // Only from balancers of the same zone, whose weight has fallen; and in truth fewer.
+    // Only flows of balancers in the same zone may move, because the weight of the zone has fallen.
+    // The bound leaves room above the actual number.
     assert!(moved < 1_500, "{moved} of 10,000 moved");
 }
 
