--- a/crates/valvestage-policy/src/operations/decision_record.rs
+++ b/crates/valvestage-policy/src/operations/decision_record.rs
@@ -106,10 +106,12 @@
         match self {
             Self::FlowBound { backend, source, version } => {
                 let why = match source {
-                    FlowSource::Token => "the caller's token names it",
-                    FlowSource::Table => "the flow was bound to it before",
+                    FlowSource::Token => "the flow token of the caller names it",
+                    FlowSource::Table => "the flow was already bound to it",
                     FlowSource::Placement => "the flow is new and hashes to it",
-                    FlowSource::History => "its opening was not seen here, and it hashes to it",
+                    FlowSource::History => {
+                        "the start of the flow was not seen here, and the flow hashes to it"
+                    }
                 };
                 write!(
                     f,
@@ -117,17 +119,17 @@
                 )
             }
             Self::Relayed { peer, hops } => {
-                write!(f, "handed it to balancer {peer}, which decides for it (relay {hops})")
+                write!(f, "relayed it to balancer {peer}, which decides for it (relay {hops})")
             }
             Self::FlowRefused { reason } => write!(f, "refused the packet: {}", reason.label()),
             Self::Dispatched { backend, attempt, retry, busy_slots, waiting } => {
-                write!(f, "sent it to backend server {backend} (try {attempt}")?;
+                write!(f, "sent it to backend server {backend} (attempt {attempt}")?;
                 if let Some(reason) = retry {
-                    write!(f, ", because the try before ended with {}", reason.label())?;
+                    write!(f, ", because the previous attempt ended with {}", reason.label())?;
                 }
                 write!(f, "); {busy_slots} slots of the service in use, {waiting} requests waiting")
             }
-            Self::Answered => f.write_str("passed the whole answer to the caller"),
+            Self::Answered => f.write_str("sent the complete answer to the caller"),
             Self::Refused { outcome, reason, retry_after } => {
                 let told = match outcome {
                     Outcome::NotRun => "it did not run and will not",
@@ -136,7 +138,7 @@
                 let millis = retry_after.as_millis();
                 write!(
                     f,
-                    "gave it up ({}): told the caller that {told}, and to come back in {millis} ms",
+                    "refused it ({}): told the caller that {told}, and to retry after {millis} ms",
                     reason.label()
                 )
             }
@@ -147,7 +149,7 @@
                 let how = if *planned {
                     "by a planned handover, with all claims"
                 } else {
-                    "after the former lease ended, or as the first"
+                    "after the previous lease ended, or as its first owner"
                 };
                 write!(f, "learned that balancer {owner} owns the service, {how}")
             }
--- a/crates/valvestage-policy/src/operations/planner.rs
+++ b/crates/valvestage-policy/src/operations/planner.rs
@@ -60,24 +60,24 @@
                 format!(
                     "{name} gets no new flows or requests, on every balancer within 4 seconds."
                 ),
-                format!("Flows and requests that {name} has go on until they end."),
+                format!("Existing flows and requests of {name} continue until they end."),
             ])
         }
         Intent::ResumeBackend { name } => {
             find_backend(result, name)?.state = BackendState::Active;
-            Ok(vec![format!("{name} gets new flows and requests again, slowly at first.")])
+            Ok(vec![format!("{name} gets new flows and requests again, in slow start at first.")])
         }
         Intent::RemoveBackend { name } => {
             find_backend(result, name)?;
             result.backends.retain(|backend| backend.name != *name);
-            Ok(vec![format!("{name} is taken out of the configuration.")])
+            Ok(vec![format!("{name} is removed from the configuration.")])
         }
         Intent::SetWeight { name, weight } => {
             let backend = find_backend(result, name)?;
             let former = std::mem::replace(&mut backend.weight, *weight);
             Ok(vec![
-                format!("The weight of {name} goes from {former} to {weight}."),
-                "Only new flows and requests follow it; established flows stay.".to_owned(),
+                format!("The weight of {name} changes from {former} to {weight}."),
+                "It applies to new flows and requests only; established flows stay.".to_owned(),
             ])
         }
         Intent::StopZone { zone } => {
@@ -85,7 +85,7 @@
             result.stopped_zones.insert(zone.clone());
             Ok(vec![
                 format!("Backend servers in {zone} get no new flows or requests."),
-                "Flows and requests that they have go on until they end.".to_owned(),
+                "Their existing flows and requests continue until they end.".to_owned(),
             ])
         }
         Intent::ResumeZone { zone } => {
@@ -123,7 +123,7 @@
 
     Ok(vec![
         format!("{} is added to {} in {}.", new.name, new.service, new.zone),
-        "It starts with one slot and comes to its full slots within seconds.".to_owned(),
+        "It starts with one slot and ramps up to all of its slots within seconds.".to_owned(),
     ])
 }
 
@@ -204,7 +204,7 @@
     let missing = short.slots_busy.max(1) - short.slots_after;
     Some(PlanRefusal {
         problem: format!(
-            "It leaves {} {missing} slots short: {} of its slots are in use or waited for, and {} would stay.",
+            "{} would be {missing} slots short: {} of its slots are occupied or waited for, and {} would remain.",
             short.service, short.slots_busy, short.slots_after
         ),
         remedy: format!(
@@ -244,14 +244,14 @@
         let free = effect.slots_after.saturating_sub(effect.slots_busy);
         if free * 5 < effect.slots_after {
             dangers.push(format!(
-                "{} would have {free} free slots of {}: a burst would have to wait.",
+                "{} would have {free} of {} slots free: requests of a burst would have to wait.",
                 effect.service, effect.slots_after
             ));
         }
     }
     if let Intent::AddBackend(new) = intent {
         dangers.push(format!(
-            "If {} served another service before, be sure that it is replaced: it refuses packets for any other service than {}.",
+            "If the VM at {} served another service before, make sure that it has been replaced: it refuses packets for any service other than {}.",
             new.address, new.service
         ));
     }
