--- a/crates/valvestage-policy/src/control/control_action.rs
+++ b/crates/valvestage-policy/src/control/control_action.rs
@@ -7,7 +7,7 @@
 use valvestage_core::Configuration;
 use valvestage_core::ids::BalancerId;
 
-use super::lease_keeper::LeaseGrant;
+use super::lease_manager::LeaseGrant;
 use super::object_key::ObjectKey;
 use super::owner_map::OwnerMap;
 use super::platform_call::PlatformCall;
--- a/crates/valvestage-policy/src/control/control_options.rs
+++ b/crates/valvestage-policy/src/control/control_options.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::lease_keeper::LeaseOptions;
+use super::lease_manager::LeaseOptions;
 use crate::membership::HeartbeatOptions;
 
 /// Limits of the control traffic of a balancer, and its timeouts.
--- a/crates/valvestage-policy/src/control/control_policy.rs
+++ b/crates/valvestage-policy/src/control/control_policy.rs
@@ -11,7 +11,7 @@
 use super::control_action::{ControlAction, Installation, Machine};
 use super::control_options::ControlOptions;
 use super::first_read::FirstRead;
-use super::lease_keeper::{LeaseGrant, LeaseKeeper};
+use super::lease_manager::{LeaseGrant, LeaseManager};
 use super::object_cache::ObjectCache;
 use super::object_key::{ObjectKey, ObjectValue};
 use super::owner_coordinator::OwnerCoordinator;
@@ -43,13 +43,13 @@
     pub(super) configuration: Option<Arc<Configuration>>,
     pub(super) owner_map: Arc<OwnerMap>,
     pub(super) view: LiveView,
-    pub(super) keeper: LeaseKeeper,
+    pub(super) lease_manager: LeaseManager,
     pub(super) grant: Option<LeaseGrant>,
     pub(super) coordinator: OwnerCoordinator,
     first_read: FirstRead,
-    next_beat: SystemTime,
+    next_heartbeat: SystemTime,
     /// Whether a change is to be announced to peers without waiting for the next interval.
-    has_news: bool,
+    has_update: bool,
     /// Pending fetches, with the time at which each is given up.
     fetches: BTreeMap<ObjectKey, SystemTime>,
 }
@@ -70,12 +70,12 @@
             configuration: None,
             owner_map: Arc::default(),
             view: LiveView::default(),
-            keeper: LeaseKeeper::new(id, options.lease, now),
+            lease_manager: LeaseManager::new(id, options.lease, now),
             grant: None,
             coordinator: OwnerCoordinator::new(id, options.lease.clock_bound, now),
             first_read: FirstRead::new(now + options.join_without_platform_after),
-            next_beat: now,
-            has_news: false,
+            next_heartbeat: now,
+            has_update: false,
             fetches: BTreeMap::new(),
             options,
         }
@@ -84,7 +84,7 @@
     /// Emits all actions that are due. A call is cheap and may be made often.
     pub fn step(&mut self, now: SystemTime, out: &mut Vec<ControlAction>) {
         self.step_first_read(now, out);
-        self.beat_if_due(now, out);
+        self.send_due_heartbeats(now, out);
         self.refresh_view(now, out);
         self.fetch_newer(now, out);
         self.step_lease(now, out);
@@ -108,17 +108,17 @@
             self.configuration.is_some() && self.objects.version(ObjectKey::TokenKeys) > 0;
         if has_objects && self.first_read.is_done(now) {
             self.table.set_state(PeerState::Serving);
-            self.has_news = true;
+            self.has_update = true;
         }
     }
 
-    fn beat_if_due(&mut self, now: SystemTime, out: &mut Vec<ControlAction>) {
-        if now < self.next_beat && !self.has_news {
+    fn send_due_heartbeats(&mut self, now: SystemTime, out: &mut Vec<ControlAction>) {
+        if now < self.next_heartbeat && !self.has_update {
             return;
         }
 
-        self.next_beat = now + self.options.heartbeat_interval;
-        let has_news = std::mem::take(&mut self.has_news);
+        self.next_heartbeat = now + self.options.heartbeat_interval;
+        let has_news = std::mem::take(&mut self.has_update);
         for to in self.table.beat(now, has_news) {
             let message = self.table.message(now);
             out.push(ControlAction::Heartbeat { to, message });
@@ -172,7 +172,7 @@
                     return self.on_object(ObjectKey::Configuration, version, value, out);
                 }
             }
-            Machine::Lease => self.keeper.on_reply(now, &reply),
+            Machine::Lease => self.lease_manager.on_reply(now, &reply),
             Machine::Owners => {
                 if let Some(map) = self.coordinator.on_reply(now, reply) {
                     self.on_owner_map(map, out);
@@ -212,7 +212,7 @@
         out: &mut Vec<ControlAction>,
     ) -> Result<bool, PolicyError> {
         self.fetches.remove(&key);
-        if !self.objects.is_news(key, version) {
+        if !self.objects.should_install(key, version) {
             return Ok(false);
         }
 
@@ -236,7 +236,7 @@
             self.objects.version(ObjectKey::OwnerMap),
             self.objects.version(ObjectKey::TokenKeys),
         );
-        self.has_news = true;
+        self.has_update = true;
         out.push(ControlAction::Install(installation));
         Ok(true)
     }
@@ -264,18 +264,18 @@
     /// Marks this balancer as leaving and announces it to peers.
     pub fn leave(&mut self) {
         self.table.set_state(PeerState::Leaving);
-        self.has_news = true;
+        self.has_update = true;
     }
 
     /// Releases the lease. To be called once all services have been handed over.
     pub fn give_lease_back(&mut self) {
-        self.keeper.give_back();
+        self.lease_manager.release();
     }
 
     /// Reports whether the lease has been released: none is held and none will be acquired.
     #[must_use]
     pub fn is_lease_given_back(&self) -> bool {
-        self.keeper.is_given_back()
+        self.lease_manager.is_released()
     }
 
     /// Returns the latest known version and value of an object.
--- a/crates/valvestage-policy/src/control/control_roles.rs
+++ b/crates/valvestage-policy/src/control/control_roles.rs
@@ -25,12 +25,12 @@
 impl ControlPolicy {
     pub(super) fn step_lease(&mut self, now: SystemTime, out: &mut Vec<ControlAction>) {
         if self.may_hold_lease(now)
-            && let Some(call) = self.keeper.next_call(now)
+            && let Some(call) = self.lease_manager.next_call(now)
         {
             out.push(ControlAction::Call { machine: Machine::Lease, call });
         }
 
-        let grant = self.keeper.grant(now);
+        let grant = self.lease_manager.grant(now);
         if grant != self.grant {
             self.grant = grant;
             self.table.set_lease_epoch(grant.map_or(0, |grant| grant.epoch));
@@ -41,8 +41,8 @@
     /// Reports whether this balancer may make lease calls: if it is a selected lease holder of its
     /// zone, owns a service, or is releasing its lease.
     fn may_hold_lease(&self, now: SystemTime) -> bool {
-        self.keeper.gives_back()
-            || self.is_chosen(now, HOLDER_SEED, self.options.owners_per_zone)
+        self.lease_manager.is_releasing()
+            || self.is_selected(now, HOLDER_SEED, self.options.owners_per_zone)
             || !self.owned_services().is_empty()
     }
 
@@ -70,19 +70,19 @@
             now.duration_since(heard).unwrap_or_default() > self.options.stale_after
         });
 
-        is_stale || self.is_chosen(now, WATCHER_SEED, self.options.watchers_per_zone)
+        is_stale || self.is_selected(now, WATCHER_SEED, self.options.watchers_per_zone)
     }
 
     /// Reports whether this balancer ranks among the first `count` serving balancers of its zone,
     /// in an order that is the same on all balancers.
-    fn is_chosen(&self, now: SystemTime, seed: u64, count: usize) -> bool {
+    fn is_selected(&self, now: SystemTime, seed: u64, count: usize) -> bool {
         let own = self.own();
-        let mates = self
+        let zone_peers = self
             .table
             .alive(now)
             .filter(|record| record.zone == own.zone && record.state == PeerState::Serving);
         let rank = |id: BalancerId| mix(u64::from(id), seed);
-        let before = mates.filter(|record| rank(record.id) < rank(own.id)).count();
+        let before = zone_peers.filter(|record| rank(record.id) < rank(own.id)).count();
 
         before < count
     }
--- a/crates/valvestage-policy/src/control/first_read.rs
+++ b/crates/valvestage-policy/src/control/first_read.rs
@@ -19,7 +19,7 @@
     /// Time after which the configuration from peers is accepted without an answer of the platform.
     give_up_at: SystemTime,
     not_before: SystemTime,
-    is_waiting: bool,
+    is_call_pending: bool,
     is_answered: bool,
 }
 
@@ -30,7 +30,7 @@
         Self {
             give_up_at,
             not_before: SystemTime::UNIX_EPOCH,
-            is_waiting: false,
+            is_call_pending: false,
             is_answered: false,
         }
     }
@@ -43,11 +43,11 @@
 
     /// Returns the platform call that is due, if any.
     pub fn next_call(&mut self, now: SystemTime) -> Option<PlatformCall> {
-        if self.is_waiting || self.is_answered || now < self.not_before {
+        if self.is_call_pending || self.is_answered || now < self.not_before {
             return None;
         }
 
-        self.is_waiting = true;
+        self.is_call_pending = true;
         Some(PlatformCall::Read { key: ObjectKey::Configuration })
     }
 
@@ -57,7 +57,7 @@
         now: SystemTime,
         reply: PlatformReply,
     ) -> Option<(ObjectVersion, ObjectValue)> {
-        self.is_waiting = false;
+        self.is_call_pending = false;
 
         match reply {
             PlatformReply::Found { version, value } => {
--- a/crates/valvestage-policy/src/control/lease_keeper.rs
+++ b/crates/valvestage-policy/src/control/lease_manager.rs
@@ -42,9 +42,9 @@
 
 /// Last known state of the lease object in the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Knowledge {
+enum CachedLease {
     /// Not known: the object has to be read.
-    None,
+    Unread,
     /// The object does not exist.
     Missing,
     /// Version and value at the last read or write.
@@ -56,10 +56,10 @@
 /// A lease is valid only once its write is confirmed, and its time runs from before the write was
 /// sent, so that the holder never relies on it for longer than other balancers respect it.
 #[derive(Debug, Clone)]
-pub struct LeaseKeeper {
+pub struct LeaseManager {
     own: BalancerId,
     options: LeaseOptions,
-    knowledge: Knowledge,
+    cached: CachedLease,
     /// Epoch of the lease that this process acquired; `None` before the first and after its close.
     epoch: Option<LeaseEpoch>,
     /// End of the last confirmed lease.
@@ -67,23 +67,23 @@
     /// Record of a write whose result is not known yet.
     in_flight: Option<LeaseRecord>,
     /// Whether a call is pending; there is at most one.
-    is_waiting: bool,
+    is_call_pending: bool,
     not_before: SystemTime,
     is_leaving: bool,
 }
 
-impl LeaseKeeper {
+impl LeaseManager {
     /// Creates the state machine of a balancer that holds no lease.
     #[must_use]
     pub fn new(own: BalancerId, options: LeaseOptions, now: SystemTime) -> Self {
         Self {
             own,
             options,
-            knowledge: Knowledge::None,
+            cached: CachedLease::Unread,
             epoch: None,
             expires: None,
             in_flight: None,
-            is_waiting: false,
+            is_call_pending: false,
             not_before: now,
             is_leaving: false,
         }
@@ -98,34 +98,39 @@
     }
 
     /// Releases the lease with the next call. No other lease is acquired afterwards.
-    pub fn give_back(&mut self) {
+    pub fn release(&mut self) {
         self.is_leaving = true;
     }
 
     /// Reports whether the lease is being released or has been.
     #[must_use]
-    pub fn gives_back(&self) -> bool {
+    pub fn is_releasing(&self) -> bool {
         self.is_leaving
     }
 
     /// Reports whether the lease has been released: none is held and none will be acquired.
     #[must_use]
-    pub fn is_given_back(&self) -> bool {
+    pub fn is_released(&self) -> bool {
         self.is_leaving && self.expires.is_none()
     }
 
     /// Returns the platform call that is due, if any.
     pub fn next_call(&mut self, now: SystemTime) -> Option<PlatformCall> {
-        if self.is_waiting || now < self.not_before || (self.is_leaving && self.epoch.is_none()) {
+        if self.is_call_pending
+            || now < self.not_before
+            || (self.is_leaving && self.epoch.is_none())
+        {
             return None;
         }
 
-        let call = match &self.knowledge {
-            Knowledge::None => PlatformCall::Read { key: ObjectKey::Lease(self.own) },
-            Knowledge::Missing => self.write(None, self.fresh_epoch(now, 0), now),
-            Knowledge::Known(version, record) => self.next_write(*version, &record.clone(), now)?,
+        let call = match &self.cached {
+            CachedLease::Unread => PlatformCall::Read { key: ObjectKey::Lease(self.own) },
+            CachedLease::Missing => self.write(None, self.fresh_epoch(now, 0), now),
+            CachedLease::Known(version, record) => {
+                self.next_write(*version, &record.clone(), now)?
+            }
         };
-        self.is_waiting = true;
+        self.is_call_pending = true;
         Some(call)
     }
 
@@ -201,40 +206,40 @@
 
     /// Handles the reply to the pending call.
     pub fn on_reply(&mut self, now: SystemTime, reply: &PlatformReply) {
-        self.is_waiting = false;
+        self.is_call_pending = false;
 
         match reply {
             PlatformReply::Written { version } => {
                 if let Some(record) = self.in_flight.take() {
-                    self.adopt(*version, record);
+                    self.apply_record(*version, record);
                 }
             }
             PlatformReply::Found { version, value: ObjectValue::Lease(record) } => {
                 // The value of a write whose answer was lost shows that the write took effect.
                 if self.in_flight.take().as_ref() == Some(record) {
-                    self.adopt(*version, record.clone());
+                    self.apply_record(*version, record.clone());
                 } else {
-                    self.knowledge = Knowledge::Known(*version, record.clone());
+                    self.cached = CachedLease::Known(*version, record.clone());
                 }
             }
-            PlatformReply::Found { .. } => self.knowledge = Knowledge::None,
+            PlatformReply::Found { .. } => self.cached = CachedLease::Unread,
             PlatformReply::Missing => {
                 self.in_flight = None;
-                self.knowledge = Knowledge::Missing;
+                self.cached = CachedLease::Missing;
             }
             PlatformReply::Conflict => {
                 // The conflicting write may be an earlier one of this balancer whose answer was
                 // lost.
-                self.knowledge = Knowledge::None;
+                self.cached = CachedLease::Unread;
             }
             PlatformReply::Unknown => {
-                self.knowledge = Knowledge::None;
+                self.cached = CachedLease::Unread;
                 self.not_before = now + RETRY_PAUSE;
             }
         }
     }
 
-    fn adopt(&mut self, version: ObjectVersion, record: LeaseRecord) {
+    fn apply_record(&mut self, version: ObjectVersion, record: LeaseRecord) {
         if record.closed {
             self.epoch = None;
             self.expires = None;
@@ -243,6 +248,6 @@
             self.expires = Some(from_unix_millis(record.expires_ms));
         }
 
-        self.knowledge = Knowledge::Known(version, record);
+        self.cached = CachedLease::Known(version, record);
     }
 }
--- a/crates/valvestage-policy/src/control/object_cache.rs
+++ b/crates/valvestage-policy/src/control/object_cache.rs
@@ -26,7 +26,7 @@
 
     /// Reports whether a version is to be put in force.
     #[must_use]
-    pub fn is_news(&self, key: ObjectKey, version: ObjectVersion) -> bool {
+    pub fn should_install(&self, key: ObjectKey, version: ObjectVersion) -> bool {
         let known = self.version(key);
 
         if self.newest_only { version > known } else { version != known }
@@ -34,7 +34,7 @@
 
     /// Stores an object. The caller has checked that its version is to be put in force.
     pub fn put(&mut self, key: ObjectKey, version: ObjectVersion, value: ObjectValue) {
-        if let Some(place) = self.place_mut(key) {
+        if let Some(place) = self.entry_mut(key) {
             *place = Some((version, value));
         }
     }
@@ -56,7 +56,7 @@
         }
     }
 
-    fn place_mut(&mut self, key: ObjectKey) -> Option<&mut Option<(ObjectVersion, ObjectValue)>> {
+    fn entry_mut(&mut self, key: ObjectKey) -> Option<&mut Option<(ObjectVersion, ObjectValue)>> {
         match key {
             ObjectKey::Configuration => Some(&mut self.configuration),
             ObjectKey::OwnerMap => Some(&mut self.owner_map),
--- a/crates/valvestage-policy/src/control/owner_coordinator.rs
+++ b/crates/valvestage-policy/src/control/owner_coordinator.rs
@@ -20,7 +20,7 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Maximum time to wait for more candidates before the first owner map of a deployment is written.
-const FIRST_GATHERING: Duration = Duration::from_secs(2);
+const FIRST_MAP_DELAY: Duration = Duration::from_secs(2);
 
 /// Live balancer that holds a lease and may own services.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -115,8 +115,9 @@
         };
 
         // An owner that is not a live candidate keeps its services until its lease is over.
-        let doubtful = map.raw.entries.values().find(|entry| self.is_doubtful(entry, inputs));
-        if let Some(entry) = doubtful {
+        let unconfirmed =
+            map.raw.entries.values().find(|entry| self.needs_lease_check(entry, inputs));
+        if let Some(entry) = unconfirmed {
             self.step = Step::ReadingLease(entry.owner);
             return Some(PlatformCall::Read { key: ObjectKey::Lease(entry.owner) });
         }
@@ -139,10 +140,10 @@
     /// In a new deployment the first balancer with a lease would get every service, although most
     /// of the others acquire theirs shortly after.
     fn expects_more_candidates(&self, now: SystemTime, inputs: &CoordinatorInputs) -> bool {
-        inputs.candidates.len() * 2 < inputs.live && now < self.started + FIRST_GATHERING
+        inputs.candidates.len() * 2 < inputs.live && now < self.started + FIRST_MAP_DELAY
     }
 
-    fn is_doubtful(&self, entry: &OwnerEntry, inputs: &CoordinatorInputs) -> bool {
+    fn needs_lease_check(&self, entry: &OwnerEntry, inputs: &CoordinatorInputs) -> bool {
         let is_candidate = inputs
             .candidates
             .iter()
--- a/crates/valvestage-policy/src/membership.rs
+++ b/crates/valvestage-policy/src/membership.rs
@@ -7,7 +7,7 @@
 mod peer_entry;
 mod peer_record;
 
-pub use heartbeat_message::{BeatDigest, HeartbeatMessage};
+pub use heartbeat_message::{HeartbeatDigest, HeartbeatMessage};
 pub use heartbeat_options::HeartbeatOptions;
 pub use heartbeat_table::HeartbeatTable;
 pub use live_view::LiveView;
--- a/crates/valvestage-policy/src/membership/heartbeat_message.rs
+++ b/crates/valvestage-policy/src/membership/heartbeat_message.rs
@@ -7,7 +7,7 @@
 
 /// Digest of a peer record: the part that changes with every heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BeatDigest {
+pub struct HeartbeatDigest {
     /// Balancer that the digest is about.
     pub id: BalancerId,
     /// Identifies the start of its process: the low bits of `started_ms`.
@@ -26,7 +26,7 @@
     /// Records that changed recently or that the receiver asked for.
     pub records: Vec<PeerRecord>,
     /// Digests of other live balancers.
-    pub digests: Vec<BeatDigest>,
+    pub digests: Vec<HeartbeatDigest>,
     /// Balancers of which the sender has no record or an outdated one.
     pub wanted: Vec<BalancerId>,
     /// Time of the latest platform answer to any balancer that the sender knows of, in Unix
--- a/crates/valvestage-policy/src/membership/heartbeat_table.rs
+++ b/crates/valvestage-policy/src/membership/heartbeat_table.rs
@@ -19,7 +19,7 @@
 use crate::rendezvous::mix;
 
 /// Maximum number of records requested in one message.
-const MOST_WANTED: usize = 8;
+const MAX_REQUESTED: usize = 8;
 
 /// Number of times that a changed record is sent, per doubling of the deployment's size.
 const ANNOUNCEMENTS_PER_DOUBLING: u32 = 3;
@@ -32,9 +32,9 @@
     /// Other balancers, from the settings or from gossip, that have not expired.
     peers: BTreeMap<BalancerId, PeerEntry>,
     /// Balancers whose full record is missing or outdated, to be requested.
-    wanted: BTreeSet<BalancerId>,
+    missing_records: BTreeSet<BalancerId>,
     /// Records that the last peer requested.
-    asked: BTreeSet<BalancerId>,
+    peer_requests: BTreeSet<BalancerId>,
     platform_heard_ms: u64,
     /// Counts messages and intervals; seeds the rotation of targets and digests.
     round: u64,
@@ -51,15 +51,15 @@
         let peers = seeds
             .into_iter()
             .filter(|seed| seed.id != own.id)
-            .map(|record| (record.id, PeerEntry::seed(record, now)))
+            .map(|record| (record.id, PeerEntry::from_settings(record, now)))
             .collect();
 
         Self {
             options,
             own,
             peers,
-            wanted: BTreeSet::new(),
-            asked: BTreeSet::new(),
+            missing_records: BTreeSet::new(),
+            peer_requests: BTreeSet::new(),
             platform_heard_ms: 0,
             round: 0,
         }
@@ -126,7 +126,7 @@
 
         self.own.beat += 1;
         self.round += 1;
-        self.forget(now);
+        self.remove_expired(now);
 
         let (round, own) = (self.round, u64::from(self.own.id));
         let live_only = has_news || round % (LIVE_ROUNDS + 1) != 0;
@@ -140,7 +140,7 @@
         }
 
         candidates.sort_by_key(|peer| mix(mix(round, own), peer.record.id.into()));
-        let fanout = if has_news { self.options.news_fanout } else { self.options.fanout };
+        let fanout = if has_news { self.options.update_fanout } else { self.options.fanout };
         let chosen = candidates.into_iter().take(fanout);
         chosen.map(|peer| peer.record.clone()).collect()
     }
@@ -155,7 +155,7 @@
             own: self.own.clone(),
             records,
             digests,
-            wanted: self.wanted.iter().copied().take(MOST_WANTED).collect(),
+            wanted: self.missing_records.iter().copied().take(MAX_REQUESTED).collect(),
             platform_heard_ms: self.platform_heard_ms,
         }
     }
@@ -163,7 +163,7 @@
     /// Returns the records that the peer requested, then the changed records that were sent the
     /// fewest times.
     fn records_to_send(&mut self) -> Vec<PeerRecord> {
-        let asked = std::mem::take(&mut self.asked);
+        let asked = std::mem::take(&mut self.peer_requests);
         let mut records: Vec<PeerRecord> = asked
             .iter()
             .filter_map(|id| self.peers.get(id))
@@ -185,7 +185,7 @@
 
     /// Returns digests of live peers; if there are too many for one message, a different selection
     /// each time.
-    fn digests_to_send(&self, now: SystemTime) -> Vec<super::BeatDigest> {
+    fn digests_to_send(&self, now: SystemTime) -> Vec<super::HeartbeatDigest> {
         let dead_after = self.options.dead_after;
         let mut live: Vec<_> =
             self.peers.values().filter(|peer| peer.is_alive(now, dead_after)).collect();
@@ -201,15 +201,15 @@
     /// Merges a peer's message into the table. Records older than the known ones are ignored.
     pub fn merge(&mut self, message: HeartbeatMessage, now: SystemTime) {
         self.on_platform_heard(message.platform_heard_ms);
-        self.asked.extend(message.wanted);
+        self.peer_requests.extend(message.wanted);
 
         for record in message.records.into_iter().chain([message.own]) {
             self.merge_record(record, now);
         }
         for digest in message.digests.iter().filter(|digest| digest.id != self.own.id) {
             let peer = self.peers.get_mut(&digest.id);
-            if !peer.is_some_and(|peer| peer.take_digest(digest, now)) {
-                self.wanted.insert(digest.id);
+            if !peer.is_some_and(|peer| peer.apply_digest(digest, now)) {
+                self.missing_records.insert(digest.id);
             }
         }
     }
@@ -219,7 +219,7 @@
             return;
         }
 
-        self.wanted.remove(&record.id);
+        self.missing_records.remove(&record.id);
         let announcements = self.announcements();
         match self.peers.get_mut(&record.id) {
             Some(peer) if peer.is_confirmed && !record.is_newer_than(&peer.record) => {}
@@ -228,10 +228,10 @@
                     || peer.record.revision != record.revision
                     || peer.record.started_ms != record.started_ms;
                 let left = if is_changed { announcements } else { peer.announcements_left };
-                *peer = PeerEntry::heard(record, now, left);
+                *peer = PeerEntry::from_record(record, now, left);
             }
             None => {
-                self.peers.insert(record.id, PeerEntry::heard(record, now, announcements));
+                self.peers.insert(record.id, PeerEntry::from_record(record, now, announcements));
             }
         }
     }
@@ -265,11 +265,11 @@
         self.peers.values().map(move |peer| (&peer.record, peer.is_alive(now, dead_after)))
     }
 
-    fn forget(&mut self, now: SystemTime) {
-        let forget_after = self.options.forget_after;
+    fn remove_expired(&mut self, now: SystemTime) {
+        let forget_after = self.options.expire_after;
 
         self.peers.retain(|_, peer| {
-            now.duration_since(peer.heard).unwrap_or(Duration::ZERO) < forget_after
+            now.duration_since(peer.last_heard).unwrap_or(Duration::ZERO) < forget_after
         });
     }
 }
--- a/crates/valvestage-policy/src/membership/peer_entry.rs
+++ b/crates/valvestage-policy/src/membership/peer_entry.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, SystemTime};
 
-use super::heartbeat_message::BeatDigest;
+use super::heartbeat_message::HeartbeatDigest;
 use super::peer_record::PeerRecord;
 
 /// Latest known record of a balancer, with the state of its failure detection.
@@ -10,7 +10,7 @@
 pub(super) struct PeerEntry {
     pub(super) record: PeerRecord,
     /// Local time at which its heartbeat count last advanced; never in the future.
-    pub(super) heard: SystemTime,
+    pub(super) last_heard: SystemTime,
     /// Whether any heartbeat was received; `false` at first for a peer from the settings.
     pub(super) is_confirmed: bool,
     /// Number of further messages that carry the full record because it changed.
@@ -19,29 +19,29 @@
 
 impl PeerEntry {
     /// Creates the entry of a peer from the settings.
-    pub(super) fn seed(record: PeerRecord, now: SystemTime) -> Self {
-        Self { record, heard: now, is_confirmed: false, announcements_left: 0 }
+    pub(super) fn from_settings(record: PeerRecord, now: SystemTime) -> Self {
+        Self { record, last_heard: now, is_confirmed: false, announcements_left: 0 }
     }
 
     /// Creates the entry of a peer whose record was received.
-    pub(super) fn heard(record: PeerRecord, now: SystemTime, announcements: u32) -> Self {
-        Self { record, heard: now, is_confirmed: true, announcements_left: announcements }
+    pub(super) fn from_record(record: PeerRecord, now: SystemTime, announcements: u32) -> Self {
+        Self { record, last_heard: now, is_confirmed: true, announcements_left: announcements }
     }
 
     pub(super) fn is_alive(&self, now: SystemTime, dead_after: Duration) -> bool {
-        let silence = now.duration_since(self.heard).unwrap_or(Duration::ZERO);
+        let silence = now.duration_since(self.last_heard).unwrap_or(Duration::ZERO);
 
         self.is_confirmed && silence < dead_after
     }
 
     /// Applies a digest; returns `false` if the full record has to be requested.
-    pub(super) fn take_digest(&mut self, digest: &BeatDigest, now: SystemTime) -> bool {
+    pub(super) fn apply_digest(&mut self, digest: &HeartbeatDigest, now: SystemTime) -> bool {
         let known = self.record.digest();
         let same_start = self.is_confirmed && known.start_tag == digest.start_tag;
 
         if same_start && digest.beat > self.record.beat {
             self.record.beat = digest.beat;
-            self.heard = now;
+            self.last_heard = now;
         }
         // A digest older than the record does not show whether the record is outdated.
         same_start && (known.revision_tag == digest.revision_tag || digest.beat < self.record.beat)
--- a/crates/valvestage-policy/src/membership/peer_record.rs
+++ b/crates/valvestage-policy/src/membership/peer_record.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use valvestage_core::ids::{BalancerId, LeaseEpoch, ObjectVersion, ZoneName};
 
-use super::heartbeat_message::BeatDigest;
+use super::heartbeat_message::HeartbeatDigest;
 
 /// Lifecycle state of a balancer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -57,8 +57,8 @@
 
     /// Returns the digest of the record.
     #[must_use]
-    pub fn digest(&self) -> BeatDigest {
-        BeatDigest {
+    pub fn digest(&self) -> HeartbeatDigest {
+        HeartbeatDigest {
             id: self.id,
             start_tag: self.started_ms.to_le_bytes()[0],
             revision_tag: self.revision.to_le_bytes()[0],
--- a/crates/valvestage-policy/src/operations/planner.rs
+++ b/crates/valvestage-policy/src/operations/planner.rs
@@ -33,7 +33,7 @@
     raw: &RawConfiguration,
     intent: Intent,
     demand: &BTreeMap<ServiceId, ServiceDemand>,
-    flows_on: &BTreeMap<String, u64>,
+    flows_by_backend: &BTreeMap<String, u64>,
 ) -> Result<Plan, PolicyError> {
     let mut result = raw.clone();
     result.change_id.clone_from(&id);
@@ -41,8 +41,8 @@
     let next = Configuration::try_from((base.version + 1, result.clone()))?;
 
     let effects = effects(base, &next, demand);
-    let refusal = find_refusal(base, &intent, &effects, flows_on);
-    let dangers = find_dangers(&intent, &effects);
+    let refusal = find_refusal(base, &intent, &effects, flows_by_backend);
+    let dangers = find_warnings(&intent, &effects);
 
     Ok(Plan { id, base_version: base.version, intent, steps, effects, dangers, refusal, result })
 }
@@ -237,7 +237,7 @@
     None
 }
 
-fn find_dangers(intent: &Intent, effects: &[ServiceEffect]) -> Vec<String> {
+fn find_warnings(intent: &Intent, effects: &[ServiceEffect]) -> Vec<String> {
     let mut dangers = Vec::new();
 
     for effect in effects.iter().filter(|effect| effect.slots_after < effect.slots_before) {
--- a/crates/valvestage-policy/src/requests/try_record.rs
+++ b/crates/valvestage-policy/src/requests/attempt_record.rs
@@ -7,11 +7,11 @@
 
 /// State of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TryState {
+pub enum AttemptState {
     /// Sent, and possibly running. Holds a slot.
     Pending,
     /// Timed out, and possibly still running. Holds a slot.
-    Overdue,
+    TimedOut,
     /// Refused by the backend server before it started: it certainly did not run.
     Refused,
     /// Completely answered.
@@ -23,7 +23,7 @@
 
 /// One attempt, with the answer segments received so far.
 #[derive(Debug, Clone)]
-pub struct TryRecord<P> {
+pub struct AttemptRecord<P> {
     /// Number of the attempt, from 1; unique within a claim.
     pub attempt: Attempt,
     /// Backend server that the attempt was sent to.
@@ -33,14 +33,14 @@
     /// Time of the dispatch.
     pub sent: SystemTime,
     /// State of the attempt as far as this balancer knows.
-    pub state: TryState,
+    pub state: AttemptState,
     /// Received segments by index; empty before the first segment.
     segments: Vec<Option<P>>,
     /// Number of missing segments; meaningful once `segments` is not empty.
     missing: usize,
 }
 
-impl<P> TryRecord<P> {
+impl<P> AttemptRecord<P> {
     /// Creates the record of an attempt that is sent at the given time.
     #[must_use]
     pub fn new(
@@ -54,7 +54,7 @@
             backend,
             incarnation,
             sent,
-            state: TryState::Pending,
+            state: AttemptState::Pending,
             segments: Vec::new(),
             missing: 0,
         }
@@ -63,13 +63,13 @@
     /// Reports whether the backend server may still be busy with the attempt.
     #[must_use]
     pub fn holds_slot(&self) -> bool {
-        matches!(self.state, TryState::Pending | TryState::Overdue)
+        matches!(self.state, AttemptState::Pending | AttemptState::TimedOut)
     }
 
     /// Reports whether the attempt may have run.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
-        self.state != TryState::Refused
+        self.state != AttemptState::Refused
     }
 
     /// Adds one segment, and returns all segments in order once the answer is complete.
--- a/crates/valvestage-policy/src/requests/backend_pool.rs
+++ b/crates/valvestage-policy/src/requests/backend_pool.rs
@@ -22,16 +22,16 @@
     /// Consecutive attempts without an answer after which a backend server is ejected.
     pub failures_to_eject: u32,
     /// Length of the first ejection; it doubles with each consecutive ejection.
-    pub first_ejection: Duration,
+    pub initial_ejection: Duration,
     /// Upper bound of the length of an ejection.
-    pub longest_ejection: Duration,
+    pub max_ejection: Duration,
     /// Share of the eligible backend servers, from 0 to 1, that is never ejected, however many
     /// fail.
-    pub share_kept: f64,
+    pub min_available_share: f64,
     /// First backoff after a backend server shed load; it doubles with each consecutive shed.
-    pub first_shedding_pause: Duration,
+    pub initial_shedding_backoff: Duration,
     /// Upper bound of the backoff after a backend server shed load.
-    pub longest_shedding_pause: Duration,
+    pub max_shedding_backoff: Duration,
     /// A backend server whose mean run time exceeds the median by this factor is selected last.
     pub slow_factor: f64,
     /// Seed of the baseline algorithms that select at random.
@@ -45,11 +45,11 @@
             choice: ChoiceRule::LeastOccupied,
             slow_start: Duration::from_secs(5),
             failures_to_eject: 3,
-            first_ejection: Duration::from_secs(1),
-            longest_ejection: Duration::from_secs(15),
-            share_kept: 0.25,
-            first_shedding_pause: Duration::from_millis(20),
-            longest_shedding_pause: Duration::from_secs(1),
+            initial_ejection: Duration::from_secs(1),
+            max_ejection: Duration::from_secs(15),
+            min_available_share: 0.25,
+            initial_shedding_backoff: Duration::from_millis(20),
+            max_shedding_backoff: Duration::from_secs(1),
             slow_factor: 3.0,
             seed: 0,
         }
@@ -61,7 +61,7 @@
 pub struct BackendPool {
     options: PoolOptions,
     backends: BTreeMap<BackendId, BackendSlots>,
-    draws: u64,
+    selections: u64,
     /// Availability zones without a live balancer; their backend servers are selected last.
     lost_zones: BTreeSet<ZoneName>,
 }
@@ -70,7 +70,7 @@
     /// Creates an empty pool.
     #[must_use]
     pub fn new(options: PoolOptions) -> Self {
-        Self { options, backends: BTreeMap::new(), draws: 0, lost_zones: BTreeSet::new() }
+        Self { options, backends: BTreeMap::new(), selections: 0, lost_zones: BTreeSet::new() }
     }
 
     /// Replaces the backend servers by those that a configuration lists for a service.
@@ -95,10 +95,10 @@
                 busy: 0,
                 run_time: None,
                 failures: 0,
-                ejections: 0,
+                consecutive_ejections: 0,
                 ejected_until: None,
                 shedding_until: None,
-                sheddings: 0,
+                consecutive_sheds: 0,
                 cold_until,
             });
 
@@ -126,8 +126,9 @@
             return None;
         }
 
-        self.draws += 1;
-        let draw = |count: u64| mix(self.options.seed, self.draws << 8 | count) % free.len() as u64;
+        self.selections += 1;
+        let draw =
+            |count: u64| mix(self.options.seed, self.selections << 8 | count) % free.len() as u64;
         #[allow(clippy::cast_possible_truncation)]
         let drawn = |count: u64| free[draw(count) as usize];
 
@@ -169,7 +170,7 @@
             // values.
             let occupancy = slots.occupancy().to_bits();
 
-            (is_lost, is_slow, occupancy, is_far, mix(self.draws, slots.id.into()))
+            (is_lost, is_slow, occupancy, is_far, mix(self.selections, slots.id.into()))
         };
 
         free.iter().min_by_key(rank).map_or(0, |slots| slots.id)
@@ -185,7 +186,7 @@
     /// Returns the mean of the backend servers' average run times, or `None` before the first
     /// answer.
     #[must_use]
-    pub fn usual_run_time(&self) -> Option<Duration> {
+    pub fn mean_run_time(&self) -> Option<Duration> {
         let times: Vec<_> = self.backends.values().filter_map(|slots| slots.run_time).collect();
         let count = u32::try_from(times.len()).ok().filter(|count| *count > 0)?;
 
@@ -219,10 +220,10 @@
             return;
         };
 
-        slots.on_run_time(taken);
+        slots.record_run_time(taken);
         slots.failures = 0;
-        slots.ejections = 0;
-        slots.sheddings = 0;
+        slots.consecutive_ejections = 0;
+        slots.consecutive_sheds = 0;
     }
 
     /// Frees the slot of an attempt that ended with neither an answer nor a failure.
@@ -232,15 +233,16 @@
 
     /// Frees the slot of an attempt that the backend server shed, and starts the shedding backoff.
     pub fn on_shedding(&mut self, id: BackendId, incarnation: Incarnation, now: SystemTime) {
-        let first = self.options.first_shedding_pause;
-        let longest = self.options.longest_shedding_pause;
+        let first = self.options.initial_shedding_backoff;
+        let longest = self.options.max_shedding_backoff;
         let Some(slots) = self.release_slot(id, incarnation) else {
             return;
         };
 
         slots.failures = 0;
-        slots.sheddings += 1;
-        slots.shedding_until = Some(now + doubled(first, slots.sheddings - 1).min(longest));
+        slots.consecutive_sheds += 1;
+        slots.shedding_until =
+            Some(now + exponential_backoff(first, slots.consecutive_sheds - 1).min(longest));
     }
 
     /// Records that an attempt got no answer in time, and ejects the backend server after enough of
@@ -256,24 +258,25 @@
         };
 
         slots.failures += 1;
-        if slots.failures < options.failures_to_eject || slots.is_out(now) || !may_eject {
+        if slots.failures < options.failures_to_eject || slots.is_ejected(now) || !may_eject {
             return;
         }
 
         // The backend server returns from the ejection in slow start.
-        let length = doubled(options.first_ejection, slots.ejections).min(options.longest_ejection);
-        slots.ejections += 1;
+        let length = exponential_backoff(options.initial_ejection, slots.consecutive_ejections)
+            .min(options.max_ejection);
+        slots.consecutive_ejections += 1;
         slots.ejected_until = Some(now + length);
         slots.cold_until = now + length + options.slow_start;
     }
 
-    /// Reports whether another backend server may be ejected: at least the share `share_kept` of
-    /// the eligible ones, and at least one, must remain afterwards.
+    /// Reports whether another backend server may be ejected: at least the share
+    /// `min_available_share` of the eligible ones, and at least one, must remain afterwards.
     fn may_eject(&self, now: SystemTime) -> bool {
         let eligible = self.backends.values().filter(|slots| slots.eligible);
         let (out, all) = eligible
-            .fold((0u32, 0u32), |(out, all), slots| (out + u32::from(slots.is_out(now)), all + 1));
-        let kept = (f64::from(all) * self.options.share_kept).ceil().max(1.0);
+            .fold((0u32, 0u32), |(out, all), s| (out + u32::from(s.is_ejected(now)), all + 1));
+        let kept = (f64::from(all) * self.options.min_available_share).ceil().max(1.0);
 
         f64::from(all - out) > kept
     }
@@ -282,7 +285,8 @@
     #[must_use]
     pub fn usable_slots(&self, now: SystemTime) -> u32 {
         let slow_start = self.slow_start(now);
-        let usable = self.backends.values().filter(|slots| slots.eligible && !slots.is_out(now));
+        let usable =
+            self.backends.values().filter(|slots| slots.eligible && !slots.is_ejected(now));
 
         usable.map(|slots| u32::from(slots.allowed(now, slow_start))).sum()
     }
@@ -296,7 +300,7 @@
     /// Returns the earliest future time at which an ejection or a shedding backoff of an eligible
     /// backend server ends.
     #[must_use]
-    pub fn next_return(&self, now: SystemTime) -> Option<SystemTime> {
+    pub fn next_available_at(&self, now: SystemTime) -> Option<SystemTime> {
         self.backends
             .values()
             .filter(|slots| slots.eligible)
@@ -318,7 +322,7 @@
     }
 }
 
-fn doubled(first: Duration, times: u32) -> Duration {
+fn exponential_backoff(first: Duration, times: u32) -> Duration {
     const MOST_DOUBLINGS: u32 = 16;
 
     first * 2u32.pow(times.min(MOST_DOUBLINGS))
--- a/crates/valvestage-policy/src/requests/backend_slots.rs
+++ b/crates/valvestage-policy/src/requests/backend_slots.rs
@@ -6,7 +6,7 @@
 use valvestage_core::time::{Deadline, remaining};
 
 /// Weight of the newest run time in the exponential moving average.
-const RUN_TIME_SHARE: f64 = 0.2;
+const RUN_TIME_EMA_WEIGHT: f64 = 0.2;
 
 /// Occupancy and recent behaviour of one backend server, as counted by the owner of its service.
 #[derive(Debug, Clone)]
@@ -30,13 +30,13 @@
     /// Attempts that timed out since the last answer or refusal for load.
     pub failures: u32,
     /// Consecutive ejections, reset by an answer.
-    pub ejections: u32,
+    pub consecutive_ejections: u32,
     /// End of the latest ejection; no attempt is sent before it.
     pub ejected_until: Option<Deadline>,
     /// End of the latest shedding backoff; no attempt is sent before it.
     pub shedding_until: Option<Deadline>,
     /// Consecutive refusals for load, reset by an answer.
-    pub sheddings: u32,
+    pub consecutive_sheds: u32,
     /// End of slow start; before it the backend server takes fewer requests than `slots`.
     pub cold_until: Deadline,
 }
@@ -60,7 +60,7 @@
 
     /// Reports whether the backend server is ejected.
     #[must_use]
-    pub fn is_out(&self, now: SystemTime) -> bool {
+    pub fn is_ejected(&self, now: SystemTime) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
 
@@ -68,7 +68,7 @@
     #[must_use]
     pub fn has_room(&self, now: SystemTime, slow_start: Duration) -> bool {
         self.eligible
-            && !self.is_out(now)
+            && !self.is_ejected(now)
             && self.shedding_until.is_none_or(|until| until <= now)
             && self.busy < self.allowed(now, slow_start)
     }
@@ -80,10 +80,12 @@
     }
 
     /// Updates the average run time with that of an answered attempt.
-    pub fn on_run_time(&mut self, taken: Duration) {
+    pub fn record_run_time(&mut self, taken: Duration) {
         self.run_time = Some(match self.run_time {
             None => taken,
-            Some(average) => average.mul_f64(1.0 - RUN_TIME_SHARE) + taken.mul_f64(RUN_TIME_SHARE),
+            Some(average) => {
+                average.mul_f64(1.0 - RUN_TIME_EMA_WEIGHT) + taken.mul_f64(RUN_TIME_EMA_WEIGHT)
+            }
         });
     }
 }
--- a/crates/valvestage-policy/src/requests/claim.rs
+++ b/crates/valvestage-policy/src/requests/claim.rs
@@ -3,8 +3,8 @@
 use valvestage_core::ids::Attempt;
 use valvestage_core::time::Deadline;
 
+use super::attempt_record::AttemptRecord;
 use super::request::{Refusal, Request};
-use super::try_record::TryRecord;
 
 /// Progress of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     /// Progress; `Answered` and `Refused` are final.
     pub state: ClaimState<P>,
     /// Attempts in the order in which they were sent.
-    pub tries: Vec<TryRecord<P>>,
+    pub attempts: Vec<AttemptRecord<P>>,
     /// Whether the request is in the wait queue, for its first attempt or for a retry.
     pub queued: bool,
     /// Whether the claim table covers the whole time in which a copy may have been accepted. Only
@@ -53,30 +53,30 @@
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         matches!(self.state, ClaimState::Elsewhere)
-            || self.tries.iter().any(TryRecord::may_have_run)
+            || self.attempts.iter().any(AttemptRecord::may_have_run)
     }
 
     /// Reports whether the request waits and has certainly not run, so that the next owner of the
     /// service may run it.
     #[must_use]
-    pub fn may_be_run_elsewhere(&self) -> bool {
+    pub fn can_be_run_by_next_owner(&self) -> bool {
         self.queued && !self.is_final() && !self.may_have_run()
     }
 
     /// Reports whether any attempt holds a slot.
     #[must_use]
     pub fn holds_slot(&self) -> bool {
-        self.tries.iter().any(TryRecord::holds_slot)
+        self.attempts.iter().any(AttemptRecord::holds_slot)
     }
 
     /// Returns the number of the next attempt.
     #[must_use]
     pub fn next_attempt(&self) -> Attempt {
-        self.tries.last().map_or(1, |last| last.attempt.saturating_add(1))
+        self.attempts.last().map_or(1, |last| last.attempt.saturating_add(1))
     }
 
     /// Returns the attempt with this number.
-    pub fn find_try(&mut self, attempt: Attempt) -> Option<&mut TryRecord<P>> {
-        self.tries.iter_mut().find(|record| record.attempt == attempt)
+    pub fn attempt_mut(&mut self, attempt: Attempt) -> Option<&mut AttemptRecord<P>> {
+        self.attempts.iter_mut().find(|record| record.attempt == attempt)
     }
 }
--- a/crates/valvestage-policy/src/requests/handover.rs
+++ b/crates/valvestage-policy/src/requests/exported_claim.rs
@@ -9,7 +9,7 @@
 
 /// Progress of a claim as the next owner takes it over.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum HandedState<P> {
+pub enum ExportedState<P> {
     /// Certainly not run: the next owner runs it.
     Waiting,
     /// May be running: the previous owner answers it, and the next owner keeps copies from running.
@@ -26,18 +26,18 @@
     /// The request as the previous owner accepted it.
     pub request: Request<P>,
     /// Progress at the time of the transfer.
-    pub state: HandedState<P>,
+    pub state: ExportedState<P>,
 }
 
 impl<P: Clone> From<&Claim<P>> for HandedClaim<P> {
     fn from(claim: &Claim<P>) -> Self {
         let state = match &claim.state {
-            _ if claim.may_be_run_elsewhere() => HandedState::Waiting,
+            _ if claim.can_be_run_by_next_owner() => ExportedState::Waiting,
             ClaimState::Waiting | ClaimState::Running | ClaimState::Elsewhere => {
-                HandedState::Running
+                ExportedState::Running
             }
-            ClaimState::Answered(segments) => HandedState::Answered(segments.clone()),
-            ClaimState::Refused(refusal) => HandedState::Refused(*refusal),
+            ClaimState::Answered(segments) => ExportedState::Answered(segments.clone()),
+            ClaimState::Refused(refusal) => ExportedState::Refused(*refusal),
         };
 
         Self { request: claim.request.clone(), state }
@@ -48,18 +48,18 @@
     /// Converts into a claim of the next owner, and reports whether the request waits to be run.
     #[must_use]
     pub fn into_claim(self, kept_until: SystemTime) -> (Claim<P>, bool) {
-        let waits = matches!(self.state, HandedState::Waiting);
+        let waits = matches!(self.state, ExportedState::Waiting);
         let state = match self.state {
-            HandedState::Waiting => ClaimState::Waiting,
-            HandedState::Running => ClaimState::Elsewhere,
-            HandedState::Answered(segments) => ClaimState::Answered(segments),
-            HandedState::Refused(refusal) => ClaimState::Refused(refusal),
+            ExportedState::Waiting => ClaimState::Waiting,
+            ExportedState::Running => ClaimState::Elsewhere,
+            ExportedState::Answered(segments) => ClaimState::Answered(segments),
+            ExportedState::Refused(refusal) => ClaimState::Refused(refusal),
         };
 
         let claim = Claim {
             request: self.request,
             state,
-            tries: Vec::new(),
+            attempts: Vec::new(),
             queued: waits,
             covered: true,
             kept_until,
--- a/crates/valvestage-policy/src/requests/request_options.rs
+++ b/crates/valvestage-policy/src/requests/request_options.rs
@@ -26,18 +26,18 @@
     /// Maximum number of claims per service.
     pub max_claims: usize,
     /// Additional time that a bulk request waits at most, compared to an urgent request.
-    pub bulk_patience: Duration,
+    pub bulk_extra_wait: Duration,
     /// Maximum number of attempts per request, the first one included.
-    pub max_tries: u16,
+    pub max_attempts: u16,
     /// Retries earned by each first attempt.
     pub retry_ratio: f64,
     /// Maximum number of unused retries that accumulate.
     pub retry_burst: f64,
     /// Attempt timeout as a multiple of the mean run time; a repeatable request is then retried on
     /// another backend server.
-    pub try_timeout_factor: f64,
+    pub attempt_timeout_factor: f64,
     /// Lower bound of the attempt timeout.
-    pub min_try_timeout: Duration,
+    pub min_attempt_timeout: Duration,
     /// Time after the deadline for which a slot stays occupied if no answer arrives.
     pub slot_grace: Duration,
     /// Selection algorithm of backend servers.
@@ -61,12 +61,12 @@
             min_remaining: Duration::from_millis(5),
             waiting_per_slot: 50,
             max_claims: 200_000,
-            bulk_patience: Duration::from_millis(500),
-            max_tries: 4,
+            bulk_extra_wait: Duration::from_millis(500),
+            max_attempts: 4,
             retry_ratio: 0.1,
             retry_burst: 10.0,
-            try_timeout_factor: 10.0,
-            min_try_timeout: Duration::from_millis(400),
+            attempt_timeout_factor: 10.0,
+            min_attempt_timeout: Duration::from_millis(400),
             slot_grace: Duration::from_secs(2),
             choice: ChoiceRule::LeastOccupied,
             claims: true,
--- a/crates/valvestage-policy/src/requests/retry_budget.rs
+++ b/crates/valvestage-policy/src/requests/retry_budget.rs
@@ -20,7 +20,7 @@
     }
 
     /// Adds the share of a retry that a first attempt earns.
-    pub fn on_first_try(&mut self) {
+    pub fn on_first_attempt(&mut self) {
         self.tokens = (self.tokens + self.ratio).min(self.burst);
     }
 
--- a/crates/valvestage-policy/src/requests/service_admission.rs
+++ b/crates/valvestage-policy/src/requests/service_admission.rs
@@ -32,7 +32,7 @@
         authority.is_some_and(|authority| authority.covers(request.deadline, limit))
     }
 
-    pub(super) fn admission_problem(
+    pub(super) fn admission_refusal(
         &self,
         now: SystemTime,
         request: &Request<P>,
@@ -59,10 +59,10 @@
             return Some(RefusalReason::DeadlineTooShort);
         }
 
-        self.load_problem(now, request, left)
+        self.overload_refusal(now, request, left)
     }
 
-    fn load_problem(
+    fn overload_refusal(
         &self,
         now: SystemTime,
         request: &Request<P>,
@@ -73,7 +73,7 @@
             return Some(RefusalReason::NoBackend);
         }
 
-        let ahead = self.queue.ahead_of(request.class);
+        let ahead = self.queue.count_ahead_of(request.class);
         if ahead == 0 && self.pool.busy_slots() < usable {
             return None;
         }
@@ -86,7 +86,7 @@
     }
 
     pub(super) fn run_time(&self) -> Duration {
-        self.pool.usual_run_time().unwrap_or(FIRST_RUN_TIME)
+        self.pool.mean_run_time().unwrap_or(FIRST_RUN_TIME)
     }
 
     /// Estimates the time until the slots have worked off the requests ahead.
--- a/crates/valvestage-policy/src/requests/service_dispatcher.rs
+++ b/crates/valvestage-policy/src/requests/service_dispatcher.rs
@@ -6,6 +6,7 @@
 use valvestage_core::ids::{BackendId, RequestId, ServiceId};
 use valvestage_core::{Configuration, Outcome, RefusalReason, RetryReason};
 
+use super::attempt_record::{AttemptRecord, AttemptState};
 use super::authority::Authority;
 use super::backend_pool::{BackendPool, PoolOptions};
 use super::claim::{Claim, ClaimState};
@@ -14,7 +15,6 @@
 use super::request_action::RequestAction;
 use super::request_options::RequestOptions;
 use super::retry_budget::RetryBudget;
-use super::try_record::{TryRecord, TryState};
 use super::wait_queue::{WaitEntry, WaitQueue};
 
 /// Present load of a service at its owner.
@@ -45,9 +45,9 @@
     /// Whether a configuration was installed since the last tick.
     pub(super) pool_changed: bool,
     /// Nothing is dispatched before this time.
-    held_until: Option<SystemTime>,
+    dispatch_not_before: Option<SystemTime>,
     /// Requests received during a handover; `None` when no handover is in progress.
-    pub(super) held: Option<Vec<Request<P>>>,
+    pub(super) held_requests: Option<Vec<Request<P>>>,
 }
 
 impl<P: Clone> ServiceDispatcher<P> {
@@ -60,12 +60,12 @@
             service,
             options,
             pool: BackendPool::new(pool),
-            queue: WaitQueue::new(options.bulk_patience),
+            queue: WaitQueue::new(options.bulk_extra_wait),
             claims: ClaimTable::default(),
             budget: RetryBudget::new(options.retry_ratio, options.retry_burst),
             pool_changed: false,
-            held_until: None,
-            held: None,
+            dispatch_not_before: None,
+            held_requests: None,
         }
     }
 
@@ -81,15 +81,15 @@
         if self.options.claims && self.repeat_final_answer(&request, out) {
             return;
         }
-        if let Some(held) = &mut self.held {
-            held.push(request);
+        if let Some(requests) = &mut self.held_requests {
+            requests.push(request);
             return;
         }
 
         // A new request is refused at once or gets a claim.
         let authority = authority.filter(|authority| authority.is_valid(now));
         let covered = self.is_covered(&request, authority);
-        if let Some(reason) = self.admission_problem(now, &request, authority, covered) {
+        if let Some(reason) = self.admission_refusal(now, &request, authority, covered) {
             self.refuse_new(now, request, reason, covered, out);
             return;
         }
@@ -99,9 +99,9 @@
         let deadline = request.deadline;
         let claim = self.new_claim(request, ClaimState::Waiting, covered);
         self.claims.insert(claim, deadline);
-        self.queue.push(class, WaitEntry { id, since: now });
-        self.budget.on_first_try();
-        self.pump(now, authority, out);
+        self.queue.push(class, WaitEntry { id, enqueued_at: now });
+        self.budget.on_first_attempt();
+        self.dispatch_waiting(now, authority, out);
     }
 
     /// Repeats the final answer of a known request; returns `false` if the request is not known.
@@ -138,17 +138,18 @@
 
         let queued = matches!(state, ClaimState::Waiting);
 
-        Claim { request, state, tries: Vec::new(), queued, covered, kept_until }
+        Claim { request, state, attempts: Vec::new(), queued, covered, kept_until }
     }
 
     /// Dispatches waiting requests while there are free slots.
-    pub fn pump(
+    pub fn dispatch_waiting(
         &mut self,
         now: SystemTime,
         authority: Option<Authority>,
         out: &mut Vec<RequestAction<P>>,
     ) {
-        if self.held.is_some() || self.held_until.is_some_and(|until| now < until) {
+        if self.held_requests.is_some() || self.dispatch_not_before.is_some_and(|until| now < until)
+        {
             return;
         }
 
@@ -160,7 +161,7 @@
 
             // Backend servers on which an attempt may still be running.
             let excluded: Vec<BackendId> =
-                claim.tries.iter().filter(|t| t.holds_slot()).map(|t| t.backend).collect();
+                claim.attempts.iter().filter(|t| t.holds_slot()).map(|t| t.backend).collect();
             let needs_lease = !claim.request.repeatable && self.options.window;
             let class = claim.request.class;
 
@@ -179,7 +180,7 @@
         }
 
         for (class, entry) in blocked.into_iter().rev() {
-            self.queue.push_first(class, entry);
+            self.queue.push_to_front(class, entry);
         }
     }
 
@@ -194,8 +195,8 @@
         let Some(incarnation) = self.pool.take_slot(backend) else {
             return;
         };
-        let try_timeout = self.try_timeout();
-        let fences = self.options.fence;
+        let try_timeout = self.attempt_timeout();
+        let is_fenced = self.options.fence;
         let Some(claim) = self.claims.get_mut(id) else {
             return;
         };
@@ -205,17 +206,19 @@
         // nor work on a backend server that has been drained meanwhile.
         let request = claim.request.clone();
         let deadline = match authority {
-            Some(authority) if fences => request.deadline.min(authority.fence),
+            Some(authority) if is_fenced => request.deadline.min(authority.fence),
             _ => request.deadline,
         };
-        let retry = claim.tries.last().map(|last| match last.state {
-            TryState::Refused => RetryReason::Refused,
-            TryState::Lost => RetryReason::BackendRemoved,
-            TryState::Pending | TryState::Overdue | TryState::Answered => RetryReason::TryTimeout,
+        let retry = claim.attempts.last().map(|last| match last.state {
+            AttemptState::Refused => RetryReason::Refused,
+            AttemptState::Lost => RetryReason::BackendRemoved,
+            AttemptState::Pending | AttemptState::TimedOut | AttemptState::Answered => {
+                RetryReason::TryTimeout
+            }
         });
         let attempt = claim.next_attempt();
 
-        claim.tries.push(TryRecord::new(attempt, backend, incarnation, now));
+        claim.attempts.push(AttemptRecord::new(attempt, backend, incarnation, now));
         claim.state = ClaimState::Running;
         claim.queued = false;
         if request.repeatable {
@@ -231,10 +234,10 @@
         });
     }
 
-    pub(super) fn try_timeout(&self) -> Duration {
-        let usual = self.run_time().mul_f64(self.options.try_timeout_factor);
+    pub(super) fn attempt_timeout(&self) -> Duration {
+        let usual = self.run_time().mul_f64(self.options.attempt_timeout_factor);
 
-        usual.max(self.options.min_try_timeout)
+        usual.max(self.options.min_attempt_timeout)
     }
 
     /// Refuses a request for good and sends the refusal, unless it already has a final answer.
@@ -248,28 +251,28 @@
         let retry_after = self.retry_after(now);
         let service = self.service;
         // During a handover the next owner may already run the waiting requests.
-        let is_handed = self.held.is_some();
+        let is_handover_open = self.held_requests.is_some();
         let Some(claim) = self.claims.get_mut(id).filter(|claim| !claim.is_final()) else {
             return;
         };
 
-        let certain = claim.covered && !claim.may_have_run() && !is_handed;
+        let certain = claim.covered && !claim.may_have_run() && !is_handover_open;
         let outcome = if certain { Outcome::NotRun } else { Outcome::InDoubt };
         let refusal = Refusal { outcome, reason, retry_after };
         let caller: SocketAddr = claim.request.caller;
         claim.state = ClaimState::Refused(refusal);
 
-        self.cancel_tries(id, out);
+        self.cancel_attempts(id, out);
         out.push(RequestAction::Refuse { id, service, caller, refusal });
     }
 
     /// Sends a cancellation to every backend server that may still run an attempt of a request.
-    pub(super) fn cancel_tries(&self, id: RequestId, out: &mut Vec<RequestAction<P>>) {
+    pub(super) fn cancel_attempts(&self, id: RequestId, out: &mut Vec<RequestAction<P>>) {
         let Some(claim) = self.claims.get(id) else {
             return;
         };
 
-        for record in claim.tries.iter().filter(|record| record.holds_slot()) {
+        for record in claim.attempts.iter().filter(|record| record.holds_slot()) {
             out.push(RequestAction::Cancel {
                 backend: record.backend,
                 incarnation: record.incarnation,
@@ -283,7 +286,7 @@
 
     /// Holds back all dispatches until this time.
     pub fn hold_until(&mut self, until: SystemTime) {
-        self.held_until = Some(until);
+        self.dispatch_not_before = Some(until);
     }
 
     /// Updates the backend servers of the service from a configuration.
--- a/crates/valvestage-policy/src/requests/service_handover.rs
+++ b/crates/valvestage-policy/src/requests/service_handover.rs
@@ -4,7 +4,7 @@
 
 use valvestage_core::time::Deadline;
 
-use super::handover::HandedClaim;
+use super::exported_claim::HandedClaim;
 use super::request::Request;
 use super::service_dispatcher::ServiceDispatcher;
 use super::wait_queue::WaitEntry;
@@ -13,7 +13,7 @@
     /// Exports the claims for the next owner, and holds new requests back until the handover is
     /// completed or aborted.
     pub fn start_handover(&mut self) -> Vec<HandedClaim<P>> {
-        self.held.get_or_insert_default();
+        self.held_requests.get_or_insert_default();
 
         self.claims.iter().map(HandedClaim::from).collect()
     }
@@ -30,7 +30,7 @@
             let Some(claim) = self.claims.get(entry.id) else {
                 continue;
             };
-            if claim.may_be_run_elsewhere() {
+            if claim.can_be_run_by_next_owner() {
                 self.claims.remove(entry.id);
             } else {
                 staying.push((claim.request.class, entry));
@@ -40,12 +40,12 @@
         for (class, entry) in staying {
             self.queue.push(class, entry);
         }
-        self.held.take().unwrap_or_default()
+        self.held_requests.take().unwrap_or_default()
     }
 
     /// Keeps the service here, and returns the requests held back, which are to be accepted.
     pub fn abort_handover(&mut self) -> Vec<Request<P>> {
-        self.held.take().unwrap_or_default()
+        self.held_requests.take().unwrap_or_default()
     }
 
     /// Imports the claims of the previous owner, and queues the waiting requests to run them here.
@@ -61,7 +61,7 @@
             let (claim, waits) = claim.into_claim(deadline + self.options.slot_grace);
             self.claims.insert(claim, deadline);
             if waits {
-                self.queue.push(class, WaitEntry { id, since: now });
+                self.queue.push(class, WaitEntry { id, enqueued_at: now });
             }
         }
     }
--- a/crates/valvestage-policy/src/requests/service_replies.rs
+++ b/crates/valvestage-policy/src/requests/service_replies.rs
@@ -7,11 +7,11 @@
 use valvestage_core::time::Deadline;
 use valvestage_core::{RefusalReason, Segment};
 
+use super::attempt_record::AttemptState;
 use super::authority::Authority;
 use super::claim::ClaimState;
 use super::request_action::RequestAction;
 use super::service_dispatcher::ServiceDispatcher;
-use super::try_record::TryState;
 use super::wait_queue::WaitEntry;
 
 /// Identifies the attempt that a backend server replies to.
@@ -42,7 +42,7 @@
         };
         let is_final = claim.is_final();
         let Some(record) = claim
-            .find_try(reply.attempt)
+            .attempt_mut(reply.attempt)
             .filter(|record| record.backend == reply.backend && record.holds_slot())
         else {
             return;
@@ -52,7 +52,7 @@
         };
 
         // The attempt has ended and its slot is free, even if another attempt answered first.
-        record.state = TryState::Answered;
+        record.state = AttemptState::Answered;
         let taken = now.duration_since(record.sent).unwrap_or(Duration::ZERO);
         self.pool.on_answered(record.backend, record.incarnation, taken);
 
@@ -65,9 +65,9 @@
                 caller,
                 segments,
             });
-            self.cancel_tries(reply.id, out);
+            self.cancel_attempts(reply.id, out);
         }
-        self.pump(now, authority, out);
+        self.dispatch_waiting(now, authority, out);
     }
 
     /// Handles a reply that says that the backend server did not start an attempt, or stopped it.
@@ -83,7 +83,7 @@
             return;
         };
         let Some(record) = claim
-            .find_try(reply.attempt)
+            .attempt_mut(reply.attempt)
             .filter(|record| record.backend == reply.backend && record.holds_slot())
         else {
             return;
@@ -91,8 +91,8 @@
 
         // A cancelled attempt had been started.
         record.state = match reason {
-            RefusalReason::Cancelled => TryState::Lost,
-            _ => TryState::Refused,
+            RefusalReason::Cancelled => AttemptState::Lost,
+            _ => AttemptState::Refused,
         };
         let (backend, incarnation) = (record.backend, record.incarnation);
         match reason {
@@ -100,19 +100,19 @@
             _ => self.pool.on_ended(backend, incarnation),
         }
 
-        self.retry_or_finish(now, reply.id, reason, out);
-        self.pump(now, authority, out);
+        self.retry_or_refuse(now, reply.id, reason, out);
+        self.dispatch_waiting(now, authority, out);
     }
 
     /// Queues a request for a retry if it may be retried, and refuses it otherwise.
-    fn retry_or_finish(
+    fn retry_or_refuse(
         &mut self,
         now: SystemTime,
         id: RequestId,
         reason: RefusalReason,
         out: &mut Vec<RequestAction<P>>,
     ) {
-        let max_tries = usize::from(self.options.max_tries);
+        let max_attempts = usize::from(self.options.max_attempts);
         let Some(claim) = self.claims.get(id).filter(|claim| !claim.is_final()) else {
             return;
         };
@@ -125,22 +125,22 @@
         let repeats = claim.request.repeatable || !claim.may_have_run();
         if reason == RefusalReason::BackendDeadline || !repeats {
             self.finish_refused(now, id, reason, out);
-        } else if claim.tries.len() >= max_tries {
+        } else if claim.attempts.len() >= max_attempts {
             self.finish_refused(now, id, RefusalReason::TriesExhausted, out);
         } else if !self.budget.take() {
             self.finish_refused(now, id, RefusalReason::RetryBudgetSpent, out);
         } else {
-            self.queue_again(now, id);
+            self.requeue(now, id);
         }
     }
 
-    fn queue_again(&mut self, now: SystemTime, id: RequestId) {
+    fn requeue(&mut self, now: SystemTime, id: RequestId) {
         let Some(claim) = self.claims.get_mut(id).filter(|claim| !claim.queued) else {
             return;
         };
 
         claim.queued = true;
-        self.queue.push_first(claim.request.class, WaitEntry { id, since: now });
+        self.queue.push_to_front(claim.request.class, WaitEntry { id, enqueued_at: now });
     }
 
     /// Cancels a request on behalf of its caller.
@@ -151,8 +151,9 @@
         caller: SocketAddr,
         out: &mut Vec<RequestAction<P>>,
     ) {
-        let is_callers = self.claims.get(id).is_some_and(|claim| claim.request.caller == caller);
-        if is_callers {
+        let is_from_caller =
+            self.claims.get(id).is_some_and(|claim| claim.request.caller == caller);
+        if is_from_caller {
             self.queue.remove(id);
             self.finish_refused(now, id, RefusalReason::Cancelled, out);
         }
@@ -172,7 +173,7 @@
         if std::mem::take(&mut self.pool_changed) {
             self.retry_removed(now, out);
         }
-        self.pump(now, authority, out);
+        self.dispatch_waiting(now, authority, out);
     }
 
     fn check(&mut self, now: SystemTime, id: RequestId, out: &mut Vec<RequestAction<P>>) {
@@ -182,12 +183,12 @@
         let (deadline, kept_until) = (claim.request.deadline, claim.kept_until);
 
         if now >= kept_until {
-            self.forget(now, id);
+            self.remove_claim(now, id);
         } else if now >= deadline {
             self.expire(now, id, out);
             self.claims.check_at(id, kept_until);
         } else {
-            self.check_overdue(now, id, deadline);
+            self.check_attempt_timeout(now, id, deadline);
         }
     }
 
@@ -202,7 +203,7 @@
                 self.finish_refused(now, id, RefusalReason::ExpiredInQueue, out);
             }
             ClaimState::Running => {
-                self.note_silence(now, id);
+                self.record_timeouts(now, id);
                 self.finish_refused(now, id, RefusalReason::ExpiredRunning, out);
             }
             // The previous owner answers; copies are past the deadline as well.
@@ -212,33 +213,34 @@
 
     /// Counts pending attempts older than the attempt timeout as failures of their backend servers.
     /// One that was sent shortly before the deadline is no evidence of a failure.
-    fn note_silence(&mut self, now: SystemTime, id: RequestId) {
-        let timeout = self.try_timeout();
+    fn record_timeouts(&mut self, now: SystemTime, id: RequestId) {
+        let timeout = self.attempt_timeout();
         let Some(claim) = self.claims.get(id) else {
             return;
         };
-        let pending = claim.tries.iter().filter(|record| record.state == TryState::Pending);
-        let silent: Vec<_> = pending
+        let pending = claim.attempts.iter().filter(|record| record.state == AttemptState::Pending);
+        let timed_out: Vec<_> = pending
             .filter(|record| record.sent + timeout <= now)
             .map(|record| (record.backend, record.incarnation))
             .collect();
 
-        for (backend, incarnation) in silent {
+        for (backend, incarnation) in timed_out {
             self.pool.on_failure(backend, incarnation, now);
         }
     }
 
     /// Handles the attempt timeout: counts a failure of the backend server, and retries a
     /// repeatable request on another one.
-    fn check_overdue(&mut self, now: SystemTime, id: RequestId, deadline: Deadline) {
-        let timeout = self.try_timeout();
-        let max_tries = usize::from(self.options.max_tries);
+    fn check_attempt_timeout(&mut self, now: SystemTime, id: RequestId, deadline: Deadline) {
+        let timeout = self.attempt_timeout();
+        let max_attempts = usize::from(self.options.max_attempts);
         let Some(claim) = self.claims.get_mut(id).filter(|claim| !claim.is_final()) else {
             return;
         };
-        let tries = claim.tries.len();
+        let attempt_count = claim.attempts.len();
         let repeatable = claim.request.repeatable;
-        let Some(newest) = claim.tries.last_mut().filter(|t| t.state == TryState::Pending) else {
+        let Some(newest) = claim.attempts.last_mut().filter(|t| t.state == AttemptState::Pending)
+        else {
             return;
         };
 
@@ -248,11 +250,11 @@
             return;
         }
 
-        newest.state = TryState::Overdue;
+        newest.state = AttemptState::TimedOut;
         let (backend, incarnation) = (newest.backend, newest.incarnation);
         self.pool.on_failure(backend, incarnation, now);
-        if repeatable && tries < max_tries && self.budget.take() {
-            self.queue_again(now, id);
+        if repeatable && attempt_count < max_attempts && self.budget.take() {
+            self.requeue(now, id);
         }
     }
 
@@ -266,28 +268,28 @@
             .iter()
             .filter(|claim| matches!(claim.state, ClaimState::Running) && claim.request.repeatable)
             .filter(|claim| claim.holds_slot())
-            .filter(|claim| claim.tries.iter().all(|t| !t.holds_slot() || is_gone(t.backend)))
+            .filter(|claim| claim.attempts.iter().all(|t| !t.holds_slot() || is_gone(t.backend)))
             .map(|claim| claim.request.id)
             .collect();
 
         for id in orphaned {
             if let Some(claim) = self.claims.get_mut(id) {
-                for record in claim.tries.iter_mut().filter(|record| record.holds_slot()) {
-                    record.state = TryState::Lost;
+                for record in claim.attempts.iter_mut().filter(|record| record.holds_slot()) {
+                    record.state = AttemptState::Lost;
                 }
             }
-            self.retry_or_finish(now, id, RefusalReason::BackendGone, out);
+            self.retry_or_refuse(now, id, RefusalReason::BackendGone, out);
         }
     }
 
     /// Removes a claim, and frees the slots of its attempts that were never answered.
-    fn forget(&mut self, now: SystemTime, id: RequestId) {
-        self.note_silence(now, id);
+    fn remove_claim(&mut self, now: SystemTime, id: RequestId) {
+        self.record_timeouts(now, id);
         let Some(claim) = self.claims.remove(id) else {
             return;
         };
 
-        for record in claim.tries.iter().filter(|record| record.holds_slot()) {
+        for record in claim.attempts.iter().filter(|record| record.holds_slot()) {
             self.pool.on_ended(record.backend, record.incarnation);
         }
     }
--- a/crates/valvestage-policy/src/requests/wait_queue.rs
+++ b/crates/valvestage-policy/src/requests/wait_queue.rs
@@ -12,34 +12,39 @@
     /// Id of the request.
     pub id: RequestId,
     /// Time at which the request entered the queue.
-    pub since: SystemTime,
+    pub enqueued_at: SystemTime,
 }
 
 /// One in this many dequeued requests is a bulk request, if any waits.
-const BULK_TURN: usize = 5;
+const BULK_INTERVAL: usize = 5;
 
 /// Priority queue of waiting requests, with ageing of the lower class.
 ///
-/// An urgent request goes before every bulk request that has waited less than `bulk_patience`
-/// longer. Otherwise the bulk request goes first. In any case, one in [`BULK_TURN`] dequeued
+/// An urgent request goes before every bulk request that has waited less than `bulk_extra_wait`
+/// longer. Otherwise the bulk request goes first. In any case, one in [`BULK_INTERVAL`] dequeued
 /// requests is a bulk request, so that bulk requests do not starve in an overload in which urgent
 /// requests wait as long.
 #[derive(Debug, Clone)]
 pub struct WaitQueue {
-    bulk_patience: Duration,
+    bulk_extra_wait: Duration,
     /// Ordered from the longest waiting to the newest.
     urgent: VecDeque<WaitEntry>,
     /// Ordered from the longest waiting to the newest.
     bulk: VecDeque<WaitEntry>,
-    /// Urgent requests dequeued since the last bulk request; less than [`BULK_TURN`].
-    urgent_turns: usize,
+    /// Urgent requests dequeued since the last bulk request; less than [`BULK_INTERVAL`].
+    urgent_since_bulk: usize,
 }
 
 impl WaitQueue {
     /// Creates an empty queue.
     #[must_use]
     pub fn new(bulk_patience: Duration) -> Self {
-        Self { bulk_patience, urgent: VecDeque::new(), bulk: VecDeque::new(), urgent_turns: 0 }
+        Self {
+            bulk_extra_wait: bulk_patience,
+            urgent: VecDeque::new(),
+            bulk: VecDeque::new(),
+            urgent_since_bulk: 0,
+        }
     }
 
     /// Adds a request at the end of its class.
@@ -48,7 +53,7 @@
     }
 
     /// Puts a request back at the head of its class.
-    pub fn push_first(&mut self, class: RequestClass, entry: WaitEntry) {
+    pub fn push_to_front(&mut self, class: RequestClass, entry: WaitEntry) {
         self.class_mut(class).push_front(entry);
     }
 
@@ -56,8 +61,8 @@
     pub fn pop(&mut self) -> Option<WaitEntry> {
         let class = self.next_class()?;
 
-        self.urgent_turns = match class {
-            RequestClass::Urgent => (self.urgent_turns + 1).min(BULK_TURN - 1),
+        self.urgent_since_bulk = match class {
+            RequestClass::Urgent => (self.urgent_since_bulk + 1).min(BULK_INTERVAL - 1),
             RequestClass::Bulk => 0,
         };
         self.class_mut(class).pop_front()
@@ -65,11 +70,11 @@
 
     /// Returns the number of waiting requests that go before a new request of this class.
     #[must_use]
-    pub fn ahead_of(&self, class: RequestClass) -> usize {
+    pub fn count_ahead_of(&self, class: RequestClass) -> usize {
         match class {
             RequestClass::Urgent => self.urgent.len(),
             RequestClass::Bulk => {
-                self.bulk.len() + self.urgent.len().min(self.bulk.len() * (BULK_TURN - 1))
+                self.bulk.len() + self.urgent.len().min(self.bulk.len() * (BULK_INTERVAL - 1))
             }
         }
     }
@@ -97,8 +102,12 @@
             (None, None) => None,
             (Some(_), None) => Some(RequestClass::Urgent),
             (None, Some(_)) => Some(RequestClass::Bulk),
-            (Some(_), Some(_)) if self.urgent_turns + 1 >= BULK_TURN => Some(RequestClass::Bulk),
-            (Some(urgent), Some(bulk)) if bulk.since + self.bulk_patience < urgent.since => {
+            (Some(_), Some(_)) if self.urgent_since_bulk + 1 >= BULK_INTERVAL => {
+                Some(RequestClass::Bulk)
+            }
+            (Some(urgent), Some(bulk))
+                if bulk.enqueued_at + self.bulk_extra_wait < urgent.enqueued_at =>
+            {
                 Some(RequestClass::Bulk)
             }
             (Some(_), Some(_)) => Some(RequestClass::Urgent),
--- a/crates/valvestage-policy/tests/control.rs
+++ b/crates/valvestage-policy/tests/control.rs
@@ -6,7 +6,7 @@
 use valvestage_core::RawConfiguration;
 use valvestage_core::ids::BalancerId;
 use valvestage_policy::control::{
-    ControlAction, ControlOptions, ControlPolicy, CoordinatorInputs, Installation, LeaseKeeper,
+    ControlAction, ControlOptions, ControlPolicy, CoordinatorInputs, Installation, LeaseManager,
     LeaseOptions, LeaseRecord, Machine, ObjectKey, ObjectValue, OwnerCandidate, OwnerCoordinator,
     PlatformCall, PlatformReply,
 };
@@ -126,55 +126,55 @@
 }
 
 /// Returns a state machine that holds a lease, written as version 1, and the lease record.
-fn holding(options: LeaseOptions) -> (LeaseKeeper, LeaseRecord) {
-    let mut keeper = LeaseKeeper::new(1, options, start());
-
-    keeper.next_call(start()).unwrap();
-    keeper.on_reply(start(), &PlatformReply::Missing);
-    let (_, record) = written(&keeper.next_call(start()).unwrap());
-    keeper.on_reply(start(), &PlatformReply::Written { version: 1 });
-    (keeper, record)
+fn lease_holder(options: LeaseOptions) -> (LeaseManager, LeaseRecord) {
+    let mut manager = LeaseManager::new(1, options, start());
+
+    manager.next_call(start()).unwrap();
+    manager.on_reply(start(), &PlatformReply::Missing);
+    let (_, record) = written(&manager.next_call(start()).unwrap());
+    manager.on_reply(start(), &PlatformReply::Written { version: 1 });
+    (manager, record)
 }
 
 #[test]
 fn a_lease_counts_only_once_its_write_is_confirmed() {
     let options = LeaseOptions::default();
-    let mut keeper = LeaseKeeper::new(1, options, start());
-    keeper.next_call(start()).unwrap();
-    keeper.on_reply(start(), &PlatformReply::Missing);
-    let (_, record) = written(&keeper.next_call(start()).unwrap());
-    assert_eq!(keeper.grant(start()), None);
+    let mut manager = LeaseManager::new(1, options, start());
+    manager.next_call(start()).unwrap();
+    manager.on_reply(start(), &PlatformReply::Missing);
+    let (_, record) = written(&manager.next_call(start()).unwrap());
+    assert_eq!(manager.grant(start()), None);
 
     // The answer is lost; the next read shows that the write took effect.
-    keeper.on_reply(start(), &PlatformReply::Unknown);
-    assert_eq!(keeper.grant(start()), None);
+    manager.on_reply(start(), &PlatformReply::Unknown);
+    assert_eq!(manager.grant(start()), None);
     let later = start() + Duration::from_millis(300);
-    assert!(matches!(keeper.next_call(later), Some(PlatformCall::Read { .. })));
+    assert!(matches!(manager.next_call(later), Some(PlatformCall::Read { .. })));
     let found = PlatformReply::Found { version: 4, value: ObjectValue::Lease(record) };
-    keeper.on_reply(later, &found);
+    manager.on_reply(later, &found);
 
     // The lease runs from before the write was sent.
     let fence = start() + options.length - options.clock_bound;
-    assert_eq!(keeper.grant(later).unwrap().fence, fence);
-    assert_eq!(keeper.grant(fence), None);
+    assert_eq!(manager.grant(later).unwrap().fence, fence);
+    assert_eq!(manager.grant(fence), None);
 }
 
 #[test]
 fn a_lease_that_was_closed_is_not_renewed_and_the_next_one_has_another_epoch() {
     let options = LeaseOptions::default();
-    let (mut keeper, record) = holding(options);
+    let (mut manager, record) = lease_holder(options);
     let now = start() + options.length;
-    assert_eq!(keeper.grant(now), None);
+    assert_eq!(manager.grant(now), None);
 
     // The renewal conflicts because another balancer closed the lease.
-    keeper.next_call(now).unwrap();
-    keeper.on_reply(now, &PlatformReply::Conflict);
-    keeper.next_call(now).unwrap();
+    manager.next_call(now).unwrap();
+    manager.on_reply(now, &PlatformReply::Conflict);
+    manager.next_call(now).unwrap();
     let closed = LeaseRecord { closed: true, ..record.clone() };
     let found = PlatformReply::Found { version: 2, value: ObjectValue::Lease(closed) };
-    keeper.on_reply(now, &found);
+    manager.on_reply(now, &found);
 
-    let (expected, next) = written(&keeper.next_call(now).unwrap());
+    let (expected, next) = written(&manager.next_call(now).unwrap());
     assert_eq!(expected, Some(2));
     assert!(next.epoch > record.epoch);
 }
@@ -182,8 +182,8 @@
 #[test]
 fn a_new_process_waits_until_the_lease_of_the_former_one_is_over() {
     let options = LeaseOptions::default();
-    let (_, record) = holding(options);
-    let mut fresh = LeaseKeeper::new(1, options, start());
+    let (_, record) = lease_holder(options);
+    let mut fresh = LeaseManager::new(1, options, start());
     fresh.next_call(start()).unwrap();
     let found = PlatformReply::Found { version: 1, value: ObjectValue::Lease(record) };
     fresh.on_reply(start(), &found);
--- a/crates/valvestage-policy/tests/handover.rs
+++ b/crates/valvestage-policy/tests/handover.rs
@@ -8,7 +8,7 @@
     Backend, BackendState, Configuration, RawConfiguration, RefusalReason, RequestClass, Service,
 };
 use valvestage_policy::requests::{
-    Authority, BackendReply, HandedState, PoolOptions, Request, RequestAction, RequestOptions,
+    Authority, BackendReply, ExportedState, PoolOptions, Request, RequestAction, RequestOptions,
     ServiceDispatcher,
 };
 
@@ -64,14 +64,14 @@
 
 /// Drains the actions and returns the dispatched attempts, in the form of replies to them.
 fn sent(out: &mut Vec<RequestAction<()>>) -> Vec<BackendReply> {
-    let tries = out.drain(..).filter_map(|action| match action {
+    let attempts = out.drain(..).filter_map(|action| match action {
         RequestAction::Dispatch { backend, attempt, request, .. } => {
             Some(BackendReply { backend, id: request.id, attempt })
         }
         _ => None,
     });
 
-    tries.collect()
+    attempts.collect()
 }
 
 #[test]
@@ -81,15 +81,15 @@
     for id in [1, 2] {
         former.accept(now, request(id, false), authority(), &mut out);
     }
-    let tries = sent(&mut out);
+    let attempts = sent(&mut out);
 
     // The first attempt is refused, and its request waits because the other backend server is busy.
-    let refused = tries[0];
+    let refused = attempts[0];
     former.on_refused(now, refused, RefusalReason::BackendShedding, authority(), &mut out);
     assert!(sent(&mut out).is_empty());
     let handed = former.start_handover();
     let states: Vec<_> = handed.iter().map(|claim| &claim.state).collect();
-    assert_eq!(states, [&HandedState::Waiting, &HandedState::Running]);
+    assert_eq!(states, [&ExportedState::Waiting, &ExportedState::Running]);
 
     // Only the next owner has the waiting request now.
     former.complete_handover();
@@ -97,8 +97,8 @@
     let mut next = dispatcher();
     next.import(now, handed);
     next.tick(now, authority(), &mut out);
-    let tries = sent(&mut out);
-    assert_eq!(tries.iter().map(|reply| reply.id).collect::<Vec<_>>(), [refused.id]);
+    let attempts = sent(&mut out);
+    assert_eq!(attempts.iter().map(|reply| reply.id).collect::<Vec<_>>(), [refused.id]);
 }
 
 #[test]
@@ -107,7 +107,7 @@
     for id in [1, 2] {
         former.accept(start(), request(id, true), authority(), &mut out);
     }
-    let tries = sent(&mut out);
+    let attempts = sent(&mut out);
 
     // Both attempts time out, and no other backend server has a free slot.
     let later = start() + Duration::from_secs(1);
@@ -118,7 +118,7 @@
 
     // The second request is answered, which frees a slot for the retry of the first.
     let place = valvestage_core::Segment::WHOLE;
-    former.on_answer(later, tries[1], place, (), None, &mut out);
+    former.on_answer(later, attempts[1], place, (), None, &mut out);
     let again = sent(&mut out);
     assert_eq!(again.iter().map(|reply| (reply.id, reply.attempt)).collect::<Vec<_>>(), [(1, 2)]);
 }
@@ -127,10 +127,10 @@
 fn a_request_whose_try_was_stopped_is_not_run_again_and_is_in_doubt() {
     let (mut dispatcher, mut out) = (dispatcher(), Vec::new());
     dispatcher.accept(start(), request(1, false), authority(), &mut out);
-    let tries = sent(&mut out);
+    let attempts = sent(&mut out);
 
     // A cancelled attempt had been started by the backend server.
-    dispatcher.on_refused(start(), tries[0], RefusalReason::Cancelled, authority(), &mut out);
+    dispatcher.on_refused(start(), attempts[0], RefusalReason::Cancelled, authority(), &mut out);
 
     let [RequestAction::Refuse { refusal, .. }] = &out[..] else { panic!("{out:?}") };
     assert_eq!(refusal.outcome, valvestage_core::Outcome::InDoubt);
--- a/crates/valvestage-policy/tests/properties.rs
+++ b/crates/valvestage-policy/tests/properties.rs
@@ -6,7 +6,7 @@
 use valvestage_core::{RequestClass, Segment};
 use valvestage_policy::flows::{FlowToken, RawTokenKeys, TokenKeys, TokenVerdict};
 use valvestage_policy::membership::LiveView;
-use valvestage_policy::requests::{RetryBudget, TryRecord, WaitEntry, WaitQueue};
+use valvestage_policy::requests::{AttemptRecord, RetryBudget, WaitEntry, WaitQueue};
 
 /// Returns a generator with a fixed seed, so that every run has the same inputs.
 fn seeded(size: usize) -> QuickCheck {
@@ -54,7 +54,7 @@
 fn segments_in_any_order_and_repeated_make_the_whole_answer_once() {
     fn holds(order: Vec<u8>, count: u8) -> TestResult {
         let count = u16::from(count % 12) + 1;
-        let mut record = TryRecord::new(1, 1, 1, start());
+        let mut record = AttemptRecord::new(1, 1, 1, start());
         let mut seen = std::collections::BTreeSet::new();
 
         for index in order.into_iter().map(|drawn| u16::from(drawn) % count) {
@@ -113,8 +113,8 @@
 fn no_class_starves_while_both_wait() {
     let mut queue = WaitQueue::new(Duration::from_secs(3_600));
     for id in 0..100 {
-        queue.push(RequestClass::Urgent, WaitEntry { id, since: start() });
-        queue.push(RequestClass::Bulk, WaitEntry { id: id + 1_000, since: start() });
+        queue.push(RequestClass::Urgent, WaitEntry { id, enqueued_at: start() });
+        queue.push(RequestClass::Bulk, WaitEntry { id: id + 1_000, enqueued_at: start() });
     }
 
     let first: Vec<u128> = (0..50).filter_map(|_| queue.pop()).map(|entry| entry.id).collect();
@@ -125,24 +125,24 @@
 
 #[test]
 fn a_bulk_request_that_has_waited_long_goes_first() {
-    let patience = Duration::from_millis(500);
-    let mut queue = WaitQueue::new(patience);
-    let later = start() + patience + Duration::from_millis(1);
-    queue.push(RequestClass::Bulk, WaitEntry { id: 1, since: start() });
-    queue.push(RequestClass::Urgent, WaitEntry { id: 2, since: later });
+    let extra_wait = Duration::from_millis(500);
+    let mut queue = WaitQueue::new(extra_wait);
+    let later = start() + extra_wait + Duration::from_millis(1);
+    queue.push(RequestClass::Bulk, WaitEntry { id: 1, enqueued_at: start() });
+    queue.push(RequestClass::Urgent, WaitEntry { id: 2, enqueued_at: later });
 
     assert_eq!(queue.pop().map(|entry| entry.id), Some(1));
 }
 
 #[test]
 fn retries_never_exceed_their_budget() {
-    fn holds(tries: Vec<bool>) -> bool {
+    fn holds(attempts: Vec<bool>) -> bool {
         let mut budget = RetryBudget::new(0.1, 10.0);
         let (mut firsts, mut retries) = (0.0, 0.0);
 
-        for is_first in tries {
+        for is_first in attempts {
             if is_first {
-                budget.on_first_try();
+                budget.on_first_attempt();
                 firsts += 1.0;
             } else if budget.take() {
                 retries += 1.0;
