--- a/crates/valvestage-policy/src/control/control_policy.rs
+++ b/crates/valvestage-policy/src/control/control_policy.rs
@@ -24,10 +24,10 @@
 /// Time after which a fetch without an answer is retried.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
 
-type VersionOf = fn(&PeerRecord) -> ObjectVersion;
+type VersionField = fn(&PeerRecord) -> ObjectVersion;
 
 /// Objects that balancers fetch from each other, and the field of a peer record with their version.
-const SHARED_OBJECTS: [(ObjectKey, VersionOf); 3] = [
+const SHARED_OBJECTS: [(ObjectKey, VersionField); 3] = [
     (ObjectKey::Configuration, |record| record.configuration),
     (ObjectKey::OwnerMap, |record| record.owner_map),
     (ObjectKey::TokenKeys, |record| record.token_keys),
@@ -250,7 +250,7 @@
     /// peers.
     #[must_use]
     pub fn platform_heard(&self) -> Option<SystemTime> {
-        let heard = self.table.platform_heard_ms();
+        let heard = self.table.platform_contact_ms();
 
         (heard > 0).then(|| from_unix_millis(heard))
     }
--- a/crates/valvestage-policy/src/control/lease_manager.rs
+++ b/crates/valvestage-policy/src/control/lease_manager.rs
@@ -125,7 +125,7 @@
 
         let call = match &self.cached {
             CachedLease::Unread => PlatformCall::Read { key: ObjectKey::Lease(self.own) },
-            CachedLease::Missing => self.write(None, self.fresh_epoch(now, 0), now),
+            CachedLease::Missing => self.write(None, self.next_epoch(now, 0), now),
             CachedLease::Known(version, record) => {
                 self.next_write(*version, &record.clone(), now)?
             }
@@ -158,7 +158,7 @@
             return None;
         }
 
-        let epoch = self.fresh_epoch(now, record.epoch);
+        let epoch = self.next_epoch(now, record.epoch);
         Some(self.write(Some(version), epoch, now))
     }
 
@@ -169,7 +169,7 @@
         self.expires.is_none_or(|expires| now + renew_before >= expires)
     }
 
-    fn fresh_epoch(&self, now: SystemTime, former: LeaseEpoch) -> LeaseEpoch {
+    fn next_epoch(&self, now: SystemTime, former: LeaseEpoch) -> LeaseEpoch {
         to_unix_millis(now).max(former + 1)
     }
 
--- a/crates/valvestage-policy/src/membership/heartbeat_message.rs
+++ b/crates/valvestage-policy/src/membership/heartbeat_message.rs
@@ -28,8 +28,8 @@
     /// Digests of other live balancers.
     pub digests: Vec<HeartbeatDigest>,
     /// Balancers of which the sender has no record or an outdated one.
-    pub wanted: Vec<BalancerId>,
+    pub requested: Vec<BalancerId>,
     /// Time of the latest platform answer to any balancer that the sender knows of, in Unix
     /// milliseconds; 0 for none.
-    pub platform_heard_ms: u64,
+    pub platform_contact_ms: u64,
 }
--- a/crates/valvestage-policy/src/membership/heartbeat_table.rs
+++ b/crates/valvestage-policy/src/membership/heartbeat_table.rs
@@ -35,7 +35,7 @@
     missing_records: BTreeSet<BalancerId>,
     /// Records that the last peer requested.
     peer_requests: BTreeSet<BalancerId>,
-    platform_heard_ms: u64,
+    platform_contact_ms: u64,
     /// Counts messages and intervals; seeds the rotation of targets and digests.
     round: u64,
 }
@@ -60,7 +60,7 @@
             peers,
             missing_records: BTreeSet::new(),
             peer_requests: BTreeSet::new(),
-            platform_heard_ms: 0,
+            platform_contact_ms: 0,
             round: 0,
         }
     }
@@ -106,14 +106,14 @@
 
     /// Records a platform answer to any balancer, at this time in Unix milliseconds.
     pub fn on_platform_heard(&mut self, at_ms: u64) {
-        self.platform_heard_ms = self.platform_heard_ms.max(at_ms);
+        self.platform_contact_ms = self.platform_contact_ms.max(at_ms);
     }
 
     /// Returns the time of the latest known platform answer to any balancer, in Unix milliseconds;
     /// 0 if there was none.
     #[must_use]
-    pub fn platform_heard_ms(&self) -> u64 {
-        self.platform_heard_ms
+    pub fn platform_contact_ms(&self) -> u64 {
+        self.platform_contact_ms
     }
 
     /// Counts one heartbeat and returns the peers to send it to.
@@ -155,8 +155,8 @@
             own: self.own.clone(),
             records,
             digests,
-            wanted: self.missing_records.iter().copied().take(MAX_REQUESTED).collect(),
-            platform_heard_ms: self.platform_heard_ms,
+            requested: self.missing_records.iter().copied().take(MAX_REQUESTED).collect(),
+            platform_contact_ms: self.platform_contact_ms,
         }
     }
 
@@ -200,8 +200,8 @@
 
     /// Merges a peer's message into the table. Records older than the known ones are ignored.
     pub fn merge(&mut self, message: HeartbeatMessage, now: SystemTime) {
-        self.on_platform_heard(message.platform_heard_ms);
-        self.peer_requests.extend(message.wanted);
+        self.on_platform_heard(message.platform_contact_ms);
+        self.peer_requests.extend(message.requested);
 
         for record in message.records.into_iter().chain([message.own]) {
             self.merge_record(record, now);
--- a/crates/valvestage-policy/src/operations/planner.rs
+++ b/crates/valvestage-policy/src/operations/planner.rs
@@ -157,7 +157,7 @@
         slots_before: open_slots(base, service.id),
         slots_after: open_slots(next, service.id),
         slots_busy: demand.get(&service.id).map_or(0, |demand| demand.busy_slots + demand.waiting),
-        new_flows_moved_percent: moved_percent(base, next, service.id),
+        new_flows_moved_percent: moved_flows_percent(base, next, service.id),
     };
 
     base.services()
@@ -172,7 +172,7 @@
     eligible.filter_map(|id| configuration.backend(*id)).map(|b| u32::from(b.slots)).sum()
 }
 
-fn moved_percent(base: &Configuration, next: &Configuration, service: ServiceId) -> f64 {
+fn moved_flows_percent(base: &Configuration, next: &Configuration, service: ServiceId) -> f64 {
     let key = |index| mix(index, u64::from(service));
     let moved = (0..SAMPLED_FLOWS)
         .filter(|index| {
--- a/crates/valvestage-policy/src/requests/backend_pool.rs
+++ b/crates/valvestage-policy/src/requests/backend_pool.rs
@@ -160,17 +160,18 @@
     /// failures first, then one of normal speed, then the least occupied, then one in the zone of
     /// this balancer. The remaining ties are broken by a hash that changes with every selection.
     fn least_occupied(&self, free: &[&BackendSlots]) -> BackendId {
-        let slow_above =
+        let slow_threshold =
             self.median_run_time().map(|median| median.mul_f64(self.options.slow_factor));
         let rank = |slots: &&&BackendSlots| {
-            let is_lost = self.lost_zones.contains(&slots.zone) || slots.failures > 0;
-            let is_slow = slots.run_time.zip(slow_above).is_some_and(|(time, limit)| time > limit);
+            let is_suspect = self.lost_zones.contains(&slots.zone) || slots.failures > 0;
+            let is_slow =
+                slots.run_time.zip(slow_threshold).is_some_and(|(time, limit)| time > limit);
             let is_far = slots.zone != self.options.own_zone;
             // Occupancies are finite and non-negative, so their bit patterns sort like their
             // values.
             let occupancy = slots.occupancy().to_bits();
 
-            (is_lost, is_slow, occupancy, is_far, mix(self.selections, slots.id.into()))
+            (is_suspect, is_slow, occupancy, is_far, mix(self.selections, slots.id.into()))
         };
 
         free.iter().min_by_key(rank).map_or(0, |slots| slots.id)
--- a/crates/valvestage-policy/src/requests/service_admission.rs
+++ b/crates/valvestage-policy/src/requests/service_admission.rs
@@ -113,13 +113,14 @@
         // "Not run" also promises that no later copy runs, so it is given only if a claim that
         // refuses later copies is kept. A deadline that is too far ahead comes into range later,
         // possibly at another owner.
-        let can_keep = !matches!(reason, RefusalReason::ClaimsFull | RefusalReason::DeadlineTooFar);
-        let outcome = if covered && can_keep { Outcome::NotRun } else { Outcome::InDoubt };
+        let can_keep_claim =
+            !matches!(reason, RefusalReason::ClaimsFull | RefusalReason::DeadlineTooFar);
+        let outcome = if covered && can_keep_claim { Outcome::NotRun } else { Outcome::InDoubt };
         let refusal = Refusal { outcome, reason, retry_after: self.retry_after(now) };
         let (id, service, caller) = (request.id, self.service, request.caller);
 
-        let keeps = can_keep && reason != RefusalReason::NoLease;
-        if keeps && request.deadline > now {
+        let is_claim_kept = can_keep_claim && reason != RefusalReason::NoLease;
+        if is_claim_kept && request.deadline > now {
             let deadline = request.deadline;
             let claim = self.new_claim(request, ClaimState::Refused(refusal), covered);
             self.claims.insert(claim, deadline);
--- a/crates/valvestage-policy/src/requests/service_dispatcher.rs
+++ b/crates/valvestage-policy/src/requests/service_dispatcher.rs
@@ -195,7 +195,7 @@
         let Some(incarnation) = self.pool.take_slot(backend) else {
             return;
         };
-        let try_timeout = self.attempt_timeout();
+        let attempt_timeout = self.attempt_timeout();
         let is_fenced = self.options.fence;
         let Some(claim) = self.claims.get_mut(id) else {
             return;
@@ -222,7 +222,7 @@
         claim.state = ClaimState::Running;
         claim.queued = false;
         if request.repeatable {
-            self.claims.check_at(id, now + try_timeout);
+            self.claims.check_at(id, now + attempt_timeout);
         }
         out.push(RequestAction::Dispatch {
             backend,
@@ -256,8 +256,8 @@
             return;
         };
 
-        let certain = claim.covered && !claim.may_have_run() && !is_handover_open;
-        let outcome = if certain { Outcome::NotRun } else { Outcome::InDoubt };
+        let is_certain = claim.covered && !claim.may_have_run() && !is_handover_open;
+        let outcome = if is_certain { Outcome::NotRun } else { Outcome::InDoubt };
         let refusal = Refusal { outcome, reason, retry_after };
         let caller: SocketAddr = claim.request.caller;
         claim.state = ClaimState::Refused(refusal);
--- a/crates/valvestage-policy/src/requests/service_replies.rs
+++ b/crates/valvestage-policy/src/requests/service_replies.rs
@@ -263,7 +263,7 @@
     fn retry_removed(&mut self, now: SystemTime, out: &mut Vec<RequestAction<P>>) {
         let pool = &self.pool;
         let is_gone = |backend: BackendId| pool.get(backend).is_none();
-        let orphaned: Vec<RequestId> = self
+        let on_removed_backends: Vec<RequestId> = self
             .claims
             .iter()
             .filter(|claim| matches!(claim.state, ClaimState::Running) && claim.request.repeatable)
@@ -272,7 +272,7 @@
             .map(|claim| claim.request.id)
             .collect();
 
-        for id in orphaned {
+        for id in on_removed_backends {
             if let Some(claim) = self.claims.get_mut(id) {
                 for record in claim.attempts.iter_mut().filter(|record| record.holds_slot()) {
                     record.state = AttemptState::Lost;
--- a/crates/valvestage-policy/tests/control.rs
+++ b/crates/valvestage-policy/tests/control.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_restarted_balancer_does_not_serve_what_a_lagging_watch_shows() {
+fn a_restarted_balancer_does_not_serve_the_old_version_of_a_lagging_watch() {
     let mut policy = ControlPolicy::new(ControlOptions::default(), record(1), [], start());
     let mut out = Vec::new();
 
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_restarted_balancer_goes_on_with_what_peers_have_when_the_platform_is_out() {
+fn a_restarted_balancer_uses_the_objects_of_peers_when_the_platform_is_down() {
     let options = ControlOptions::default();
     let mut policy = ControlPolicy::new(options, record(1), [], start());
     let mut out = Vec::new();
@@ -104,10 +104,10 @@
     let mut policy = ControlPolicy::new(ControlOptions::default(), record(1), [], start());
     let mut out = Vec::new();
 
-    for (version, is_news) in [(7, true), (3, false), (7, false), (8, true)] {
+    for (version, is_newer) in [(7, true), (3, false), (7, false), (8, true)] {
         let value = configuration(&version.to_string());
         let taken = policy.on_object(ObjectKey::Configuration, version, value, &mut out).unwrap();
-        assert_eq!(taken, is_news, "version {version}");
+        assert_eq!(taken, is_newer, "version {version}");
     }
     let installed = out.iter().filter_map(|action| match action {
         ControlAction::Install(Installation::Configuration(known)) => Some(known.version),
@@ -116,7 +116,7 @@
     assert_eq!(installed.collect::<Vec<_>>(), [7, 8]);
 }
 
-fn written(call: &PlatformCall) -> (Option<u64>, LeaseRecord) {
+fn lease_write(call: &PlatformCall) -> (Option<u64>, LeaseRecord) {
     match call {
         PlatformCall::Write { expected, value: ObjectValue::Lease(record), .. } => {
             (*expected, record.clone())
@@ -131,7 +131,7 @@
 
     manager.next_call(start()).unwrap();
     manager.on_reply(start(), &PlatformReply::Missing);
-    let (_, record) = written(&manager.next_call(start()).unwrap());
+    let (_, record) = lease_write(&manager.next_call(start()).unwrap());
     manager.on_reply(start(), &PlatformReply::Written { version: 1 });
     (manager, record)
 }
@@ -142,7 +142,7 @@
     let mut manager = LeaseManager::new(1, options, start());
     manager.next_call(start()).unwrap();
     manager.on_reply(start(), &PlatformReply::Missing);
-    let (_, record) = written(&manager.next_call(start()).unwrap());
+    let (_, record) = lease_write(&manager.next_call(start()).unwrap());
     assert_eq!(manager.grant(start()), None);
 
     // The answer is lost; the next read shows that the write took effect.
@@ -174,7 +174,7 @@
     let found = PlatformReply::Found { version: 2, value: ObjectValue::Lease(closed) };
     manager.on_reply(now, &found);
 
-    let (expected, next) = written(&manager.next_call(now).unwrap());
+    let (expected, next) = lease_write(&manager.next_call(now).unwrap());
     assert_eq!(expected, Some(2));
     assert!(next.epoch > record.epoch);
 }
@@ -183,20 +183,20 @@
 fn a_new_process_waits_until_the_lease_of_the_former_one_is_over() {
     let options = LeaseOptions::default();
     let (_, record) = lease_holder(options);
-    let mut fresh = LeaseManager::new(1, options, start());
-    fresh.next_call(start()).unwrap();
+    let mut restarted = LeaseManager::new(1, options, start());
+    restarted.next_call(start()).unwrap();
     let found = PlatformReply::Found { version: 1, value: ObjectValue::Lease(record) };
-    fresh.on_reply(start(), &found);
+    restarted.on_reply(start(), &found);
 
     // The former process may only be paused and still rely on its lease.
-    assert_eq!(fresh.next_call(start()), None);
-    assert_eq!(fresh.next_call(start() + options.length), None);
+    assert_eq!(restarted.next_call(start()), None);
+    assert_eq!(restarted.next_call(start() + options.length), None);
     let over = start() + options.length + options.clock_bound * 3;
-    assert!(fresh.next_call(over).is_some());
+    assert!(restarted.next_call(over).is_some());
 }
 
 #[test]
-fn a_lapsed_lease_is_closed_before_its_services_are_given_away() {
+fn a_lapsed_lease_is_closed_before_its_services_are_reassigned() {
     let bound = Duration::from_millis(250);
     let mut coordinator = OwnerCoordinator::new(2, bound, start());
     let one = OwnerCandidate { id: 1, lease: 100 };
@@ -223,7 +223,7 @@
     let now = start() + Duration::from_secs(7);
     coordinator.next_call(now, &inputs).unwrap();
     coordinator.on_reply(now, PlatformReply::Found { version: 5, value: value() });
-    let (expected, closed) = written(&coordinator.next_call(now, &inputs).unwrap());
+    let (expected, closed) = lease_write(&coordinator.next_call(now, &inputs).unwrap());
     assert_eq!((expected, closed.closed), (Some(5), true));
     coordinator.on_reply(now, PlatformReply::Written { version: 6 });
     coordinator.next_call(now, &inputs).unwrap();
--- a/crates/valvestage-policy/tests/handover.rs
+++ b/crates/valvestage-policy/tests/handover.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_request_that_every_try_refused_is_run_by_the_next_owner() {
+fn a_request_refused_by_every_attempt_is_run_by_the_next_owner() {
     let (mut former, mut out) = (dispatcher(), Vec::new());
     let now = start();
     for id in [1, 2] {
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_repeatable_request_that_waits_for_another_try_stays_and_gets_it() {
+fn a_repeatable_request_that_waits_for_a_retry_stays_and_gets_it() {
     let (mut former, mut out) = (dispatcher(), Vec::new());
     for id in [1, 2] {
         former.accept(start(), request(id, true), authority(), &mut out);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_request_whose_try_was_stopped_is_not_run_again_and_is_in_doubt() {
+fn a_request_whose_attempt_was_cancelled_is_not_run_again_and_is_in_doubt() {
     let (mut dispatcher, mut out) = (dispatcher(), Vec::new());
     dispatcher.accept(start(), request(1, false), authority(), &mut out);
     let attempts = sent(&mut out);
