--- a/crates/valvestage-policy/src/requests/backend_pool.rs
+++ b/crates/valvestage-policy/src/requests/backend_pool.rs
@@ -32,7 +32,8 @@
     pub initial_shedding_backoff: Duration,
     /// Upper bound of the backoff after a backend server shed load.
     pub max_shedding_backoff: Duration,
-    /// A backend server whose mean run time exceeds the median by this factor is selected last.
+    /// A backend server whose average run time is above this multiple of the median is selected
+    /// last.
     pub slow_factor: f64,
     /// Seed of the baseline algorithms that select at random.
     pub seed: u64,
@@ -76,7 +77,7 @@
     /// Replaces the backend servers by those that a configuration lists for a service.
     ///
     /// A backend server whose VM (incarnation) is unchanged keeps its counters. Any other starts
-    /// cold, except those of the first configuration.
+    /// cold, unless the pool was empty.
     pub fn install(&mut self, configuration: &Configuration, service: ServiceId, now: SystemTime) {
         let is_first = self.backends.is_empty();
         let mut known = std::mem::take(&mut self.backends);
@@ -246,8 +247,8 @@
             Some(now + exponential_backoff(first, slots.consecutive_sheds - 1).min(longest));
     }
 
-    /// Records that an attempt got no answer in time, and ejects the backend server after enough of
-    /// them.
+    /// Records that an attempt got no answer in time, and ejects the backend server once the number
+    /// of failures since its last answer reaches `failures_to_eject`.
     ///
     /// The slot stays occupied, because the backend server may still be running the request.
     pub fn on_failure(&mut self, id: BackendId, incarnation: Incarnation, now: SystemTime) {
