--- a/crates/valvestage-policy/src/control/owner_handover.rs
+++ b/crates/valvestage-policy/src/control/owner_handover.rs
@@ -18,7 +18,7 @@
     /// The next owner owns the service, by this map.
     Moved(OwnerMap),
     /// The service was not moved, because another balancer changed the map first.
-    Stays(OwnerMap),
+    NotMoved(OwnerMap),
     /// The result is not known: the map has to be read later. Until then no request of the service
     /// may be run.
     Unsettled,
@@ -97,6 +97,6 @@
             return HandoverOutcome::Call(self.call());
         }
 
-        HandoverOutcome::Stays(map)
+        HandoverOutcome::NotMoved(map)
     }
 }
--- a/crates/valvestage-policy/src/control/planned_stop.rs
+++ b/crates/valvestage-policy/src/control/planned_stop.rs
@@ -42,9 +42,9 @@
 
 #[derive(Debug, Clone)]
 enum Progress {
-    /// The next candidate has to be asked; these are left.
+    /// The next candidate has to be asked; these remain.
     Choosing(VecDeque<OwnerCandidate>),
-    /// An offer is pending; these candidates are left if it is refused.
+    /// An offer is pending; these candidates remain if it is refused.
     Offering(VecDeque<OwnerCandidate>, OwnerHandover),
     /// A platform call is due.
     Writing(OwnerHandover, PlatformCall),
@@ -96,7 +96,7 @@
         let progress =
             self.progress.take().unwrap_or_else(|| Progress::Choosing(self.rank(map, candidates)));
         match progress {
-            Progress::Choosing(left) => Some(self.offer_next(now, service, left, map)),
+            Progress::Choosing(remaining) => Some(self.offer_next(now, service, remaining, map)),
             Progress::Writing(handover, call) => {
                 self.progress = Some(Progress::Waiting(handover));
                 Some(StopStep::Call(call))
@@ -126,16 +126,16 @@
         &mut self,
         now: SystemTime,
         service: ServiceId,
-        mut left: VecDeque<OwnerCandidate>,
+        mut remaining: VecDeque<OwnerCandidate>,
         map: &OwnerMap,
     ) -> StopStep {
-        let next = left.pop_front();
+        let next = remaining.pop_front();
         let handover = next.and_then(|to| OwnerHandover::new(service, map, self.from, to, now));
 
         match (next, handover) {
             (Some(to), Some(handover)) => {
                 let id = handover.id;
-                self.progress = Some(Progress::Offering(left, handover));
+                self.progress = Some(Progress::Offering(remaining, handover));
                 StopStep::Offer { to: to.id, service, handover: id }
             }
             // No candidate takes the service, or another balancer owns it by now. Requests that
@@ -149,12 +149,12 @@
 
     /// Handles the answer to an offer. No answer counts as a refusal.
     pub fn on_offered(&mut self, taken: bool) {
-        if let Some(Progress::Offering(left, handover)) = self.progress.take() {
+        if let Some(Progress::Offering(remaining, handover)) = self.progress.take() {
             self.progress = Some(if taken {
                 let call = handover.call();
                 Progress::Writing(handover, call)
             } else {
-                Progress::Choosing(left)
+                Progress::Choosing(remaining)
             });
         }
     }
@@ -171,7 +171,7 @@
         self.progress = Some(match handover.on_reply(reply) {
             HandoverOutcome::Call(call) => Progress::Writing(handover, call),
             HandoverOutcome::Moved(map) => Progress::Settling(true, Some(map)),
-            HandoverOutcome::Stays(map) => Progress::Settling(false, Some(map)),
+            HandoverOutcome::NotMoved(map) => Progress::Settling(false, Some(map)),
             HandoverOutcome::Unsettled => {
                 self.not_before = now + RETRY_PAUSE;
                 let call = PlatformCall::Read { key: ObjectKey::OwnerMap };
--- a/crates/valvestage-policy/src/membership/heartbeat_table.rs
+++ b/crates/valvestage-policy/src/membership/heartbeat_table.rs
@@ -33,7 +33,7 @@
     peers: BTreeMap<BalancerId, PeerEntry>,
     /// Balancers whose full record is missing or outdated, to be requested.
     missing_records: BTreeSet<BalancerId>,
-    /// Records that the last peer requested.
+    /// Balancers whose full records peers have requested since the last message sent.
     peer_requests: BTreeSet<BalancerId>,
     platform_contact_ms: u64,
     /// Counts messages and intervals; seeds the rotation of targets and digests.
@@ -121,7 +121,7 @@
     /// The targets rotate pseudo-randomly over all peers, dead ones included, so that a repaired
     /// link is detected without intervention. Of every four rounds, three are limited to live
     /// peers, as are all heartbeats that carry an update.
-    pub fn beat(&mut self, now: SystemTime, has_news: bool) -> Vec<PeerRecord> {
+    pub fn beat(&mut self, now: SystemTime, has_update: bool) -> Vec<PeerRecord> {
         const LIVE_ROUNDS: u64 = 3;
 
         self.own.beat += 1;
@@ -129,7 +129,7 @@
         self.remove_expired(now);
 
         let (round, own) = (self.round, u64::from(self.own.id));
-        let live_only = has_news || round % (LIVE_ROUNDS + 1) != 0;
+        let live_only = has_update || round % (LIVE_ROUNDS + 1) != 0;
         let mut candidates: Vec<_> = self
             .peers
             .values()
@@ -140,7 +140,7 @@
         }
 
         candidates.sort_by_key(|peer| mix(mix(round, own), peer.record.id.into()));
-        let fanout = if has_news { self.options.update_fanout } else { self.options.fanout };
+        let fanout = if has_update { self.options.update_fanout } else { self.options.fanout };
         let chosen = candidates.into_iter().take(fanout);
         chosen.map(|peer| peer.record.clone()).collect()
     }
@@ -163,8 +163,8 @@
     /// Returns the records that the peer requested, then the changed records that were sent the
     /// fewest times.
     fn records_to_send(&mut self) -> Vec<PeerRecord> {
-        let asked = std::mem::take(&mut self.peer_requests);
-        let mut records: Vec<PeerRecord> = asked
+        let requested_ids = std::mem::take(&mut self.peer_requests);
+        let mut records: Vec<PeerRecord> = requested_ids
             .iter()
             .filter_map(|id| self.peers.get(id))
             .filter(|peer| peer.is_confirmed)
@@ -176,7 +176,7 @@
         changed.sort_by_key(|peer| std::cmp::Reverse(peer.announcements_left));
         for peer in changed.into_iter().take(self.options.full_records) {
             peer.announcements_left -= 1;
-            if !asked.contains(&peer.record.id) {
+            if !requested_ids.contains(&peer.record.id) {
                 records.push(peer.record.clone());
             }
         }
@@ -266,10 +266,10 @@
     }
 
     fn remove_expired(&mut self, now: SystemTime) {
-        let forget_after = self.options.expire_after;
+        let expire_after = self.options.expire_after;
 
         self.peers.retain(|_, peer| {
-            now.duration_since(peer.last_heard).unwrap_or(Duration::ZERO) < forget_after
+            now.duration_since(peer.last_heard).unwrap_or(Duration::ZERO) < expire_after
         });
     }
 }
