--- a/crates/valvestage-policy/src/requests/wait_queue.rs
+++ b/crates/valvestage-policy/src/requests/wait_queue.rs
@@ -21,8 +21,8 @@
 /// Priority queue of waiting requests, with ageing of the lower class.
 ///
 /// An urgent request goes before every bulk request that has waited less than `bulk_extra_wait`
-/// longer. Otherwise the bulk request goes first. In any case, one in [`BULK_INTERVAL`] dequeued
-/// requests is a bulk request, so that bulk requests do not starve in an overload in which urgent
+/// longer. Otherwise the bulk request goes first. In any case, every fifth dequeued request is a
+/// bulk request if one waits, so that bulk requests do not starve in an overload in which urgent
 /// requests wait as long.
 #[derive(Debug, Clone)]
 pub struct WaitQueue {
