--- a/crates/valvestage-policy/src/control/control_policy.rs
+++ b/crates/valvestage-policy/src/control/control_policy.rs
@@ -118,8 +118,8 @@
         }
 
         self.next_heartbeat = now + self.options.heartbeat_interval;
-        let has_news = std::mem::take(&mut self.has_update);
-        for to in self.table.beat(now, has_news) {
+        let has_update = std::mem::take(&mut self.has_update);
+        for to in self.table.beat(now, has_update) {
             let message = self.table.message(now);
             out.push(ControlAction::Heartbeat { to, message });
         }
@@ -154,7 +154,8 @@
         }
     }
 
-    /// Handles the reply to a platform call, and reports whether a newer object was put in force.
+    /// Handles the reply to a platform call. Reports whether it put a newer configuration in force;
+    /// an owner map that was put in force is not reported.
     pub fn on_reply(
         &mut self,
         now: SystemTime,
--- a/crates/valvestage-policy/src/requests/service_handover.rs
+++ b/crates/valvestage-policy/src/requests/service_handover.rs
@@ -49,8 +49,8 @@
     }
 
     /// Imports the claims of the previous owner, and queues the waiting requests to run them here.
-    pub fn import(&mut self, now: SystemTime, handed: Vec<HandedClaim<P>>) {
-        for claim in handed {
+    pub fn import(&mut self, now: SystemTime, exported: Vec<HandedClaim<P>>) {
+        for claim in exported {
             let deadline: Deadline = claim.request.deadline;
             let class = claim.request.class;
             let id = claim.request.id;
--- a/crates/valvestage-policy/src/requests/wait_queue.rs
+++ b/crates/valvestage-policy/src/requests/wait_queue.rs
@@ -38,9 +38,9 @@
 impl WaitQueue {
     /// Creates an empty queue.
     #[must_use]
-    pub fn new(bulk_patience: Duration) -> Self {
+    pub fn new(bulk_extra_wait: Duration) -> Self {
         Self {
-            bulk_extra_wait: bulk_patience,
+            bulk_extra_wait,
             urgent: VecDeque::new(),
             bulk: VecDeque::new(),
             urgent_since_bulk: 0,
