--- a/crates/valvestage-policy/src/control.rs
+++ b/crates/valvestage-policy/src/control.rs
@@ -1,14 +1,14 @@
-//! Leases, service owners and object versions: everything that is agreed through the platform.
+//! Leases, service ownership and object versions, coordinated through the platform.
 //!
-//! The state machines here ask for [`PlatformCall`]s and take [`PlatformReply`]s; a driver carries
-//! them to the platform's object API.
+//! The state machines here emit [`PlatformCall`]s and consume [`PlatformReply`]s; a driver performs
+//! the calls on the platform's object API.
 
 mod control_action;
 mod control_options;
 mod control_policy;
 mod control_roles;
 mod first_read;
-mod lease_keeper;
+mod lease_manager;
 mod lease_record;
 mod object_cache;
 mod object_key;
@@ -22,7 +22,7 @@
 pub use control_options::ControlOptions;
 pub use control_policy::ControlPolicy;
 pub use first_read::FirstRead;
-pub use lease_keeper::{LeaseGrant, LeaseKeeper, LeaseOptions};
+pub use lease_manager::{LeaseGrant, LeaseManager, LeaseOptions};
 pub use lease_record::LeaseRecord;
 pub use object_cache::ObjectCache;
 pub use object_key::{ObjectKey, ObjectValue};
--- a/crates/valvestage-policy/src/membership.rs
+++ b/crates/valvestage-policy/src/membership.rs
@@ -1,4 +1,4 @@
-//! Which balancers are alive, and which of them is home of a flow or service.
+//! Membership: which balancers are alive, and which of them is the home of a flow or service.
 
 mod heartbeat_message;
 mod heartbeat_options;
@@ -7,7 +7,7 @@
 mod peer_entry;
 mod peer_record;
 
-pub use heartbeat_message::{BeatDigest, HeartbeatMessage};
+pub use heartbeat_message::{HeartbeatDigest, HeartbeatMessage};
 pub use heartbeat_options::HeartbeatOptions;
 pub use heartbeat_table::HeartbeatTable;
 pub use live_view::LiveView;
--- a/crates/valvestage-policy/src/membership/heartbeat_table.rs
+++ b/crates/valvestage-policy/src/membership/heartbeat_table.rs
@@ -1,10 +1,10 @@
-//! Gossip of heartbeats: which balancers are alive.
+//! Heartbeat gossip: determines which balancers are alive.
 //!
 //! Each balancer counts its own heartbeats. At every interval it exchanges messages with a few
-//! targets; a balancer whose count stands still for too long is taken as dead. Counts travel as
-//! digests of a few bytes; a full record travels only after it has changed, a number of times that
-//! grows with the logarithm of the deployment, and when it is asked for. So the bytes of a message
-//! are bounded, whatever the size of the deployment.
+//! peers. A balancer whose count does not advance for too long is considered dead. Counts travel as
+//! digests of a few bytes. A full record is sent only on request and after a change, then a number
+//! of times that grows with the logarithm of the deployment's size. This bounds the size of
+//! messages regardless of the size of the deployment.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, SystemTime};
@@ -18,30 +18,30 @@
 use super::peer_record::{PeerRecord, PeerState};
 use crate::rendezvous::mix;
 
-/// Records asked for in one message.
-const MOST_WANTED: usize = 8;
+/// Maximum number of records requested in one message.
+const MAX_REQUESTED: usize = 8;
 
-/// A changed record is announced this many times for each doubling of the deployment.
+/// Number of times that a changed record is sent, per doubling of the deployment's size.
 const ANNOUNCEMENTS_PER_DOUBLING: u32 = 3;
 
-/// `HeartbeatTable` holds the latest record of each balancer.
+/// Table of the latest known record of each balancer.
 #[derive(Debug, Clone)]
 pub struct HeartbeatTable {
     options: HeartbeatOptions,
     own: PeerRecord,
-    /// Every other balancer ever heard of and not yet forgotten.
+    /// Other balancers, from the settings or from gossip, that have not expired.
     peers: BTreeMap<BalancerId, PeerEntry>,
-    /// Balancers of which a full record is missing.
-    wanted: BTreeSet<BalancerId>,
-    /// Records that the last partner asked for.
-    asked: BTreeSet<BalancerId>,
-    platform_heard_ms: u64,
-    /// Counts messages; decides whose turn it is.
+    /// Balancers whose full record is missing or outdated, to be requested.
+    missing_records: BTreeSet<BalancerId>,
+    /// Balancers whose full records peers have requested since the last message sent.
+    peer_requests: BTreeSet<BalancerId>,
+    platform_contact_ms: u64,
+    /// Counts messages and intervals; seeds the rotation of targets and digests.
     round: u64,
 }
 
 impl HeartbeatTable {
-    /// `new` starts a table with the own record and the peers known from the settings.
+    /// Creates a table with the balancer's own record and the peers from the settings.
     pub fn new(
         options: HeartbeatOptions,
         own: PeerRecord,
@@ -51,37 +51,37 @@
         let peers = seeds
             .into_iter()
             .filter(|seed| seed.id != own.id)
-            .map(|record| (record.id, PeerEntry::seed(record, now)))
+            .map(|record| (record.id, PeerEntry::from_settings(record, now)))
             .collect();
 
         Self {
             options,
             own,
             peers,
-            wanted: BTreeSet::new(),
-            asked: BTreeSet::new(),
-            platform_heard_ms: 0,
+            missing_records: BTreeSet::new(),
+            peer_requests: BTreeSet::new(),
+            platform_contact_ms: 0,
             round: 0,
         }
     }
 
-    /// `own` gives the own record.
+    /// Returns the record of this balancer.
     #[must_use]
     pub fn own(&self) -> &PeerRecord {
         &self.own
     }
 
-    /// `set_state` announces whether this balancer is staying.
+    /// Sets the announced state of this balancer.
     pub fn set_state(&mut self, state: PeerState) {
         self.change_own(|own| own.state = state);
     }
 
-    /// `set_lease_epoch` announces the lease that this balancer holds; 0 for none.
+    /// Sets the announced lease of this balancer; 0 for none.
     pub fn set_lease_epoch(&mut self, epoch: LeaseEpoch) {
         self.change_own(|own| own.lease_epoch = epoch);
     }
 
-    /// `set_versions` announces the object versions that this balancer has.
+    /// Sets the announced object versions of this balancer.
     pub fn set_versions(
         &mut self,
         configuration: ObjectVersion,
@@ -104,30 +104,32 @@
         }
     }
 
-    /// `on_platform_heard` notes when anyone last heard the platform, Unix milliseconds.
+    /// Records a platform answer to any balancer, at this time in Unix milliseconds.
     pub fn on_platform_heard(&mut self, at_ms: u64) {
-        self.platform_heard_ms = self.platform_heard_ms.max(at_ms);
+        self.platform_contact_ms = self.platform_contact_ms.max(at_ms);
     }
 
-    /// `platform_heard_ms` gives when anyone last heard the platform; 0 for never.
+    /// Returns the time of the latest known platform answer to any balancer, in Unix milliseconds;
+    /// 0 if there was none.
     #[must_use]
-    pub fn platform_heard_ms(&self) -> u64 {
-        self.platform_heard_ms
+    pub fn platform_contact_ms(&self) -> u64 {
+        self.platform_contact_ms
     }
 
-    /// `beat` counts one heartbeat and gives the targets of this interval.
+    /// Counts one heartbeat and returns the peers to send it to.
     ///
-    /// The targets rotate over all peers, so that each is met in turn, dead ones too: a healed
-    /// link is found again without help. Live ones are met three times as often.
-    pub fn beat(&mut self, now: SystemTime, has_news: bool) -> Vec<PeerRecord> {
+    /// The targets rotate pseudo-randomly over all peers, dead ones included, so that a repaired
+    /// link is detected without intervention. Of every four rounds, three are limited to live
+    /// peers, as are all heartbeats that carry an update.
+    pub fn beat(&mut self, now: SystemTime, has_update: bool) -> Vec<PeerRecord> {
         const LIVE_ROUNDS: u64 = 3;
 
         self.own.beat += 1;
         self.round += 1;
-        self.forget(now);
+        self.remove_expired(now);
 
         let (round, own) = (self.round, u64::from(self.own.id));
-        let live_only = has_news || round % (LIVE_ROUNDS + 1) != 0;
+        let live_only = has_update || round % (LIVE_ROUNDS + 1) != 0;
         let mut candidates: Vec<_> = self
             .peers
             .values()
@@ -138,12 +140,12 @@
         }
 
         candidates.sort_by_key(|peer| mix(mix(round, own), peer.record.id.into()));
-        let fanout = if has_news { self.options.news_fanout } else { self.options.fanout };
+        let fanout = if has_update { self.options.update_fanout } else { self.options.fanout };
         let chosen = candidates.into_iter().take(fanout);
         chosen.map(|peer| peer.record.clone()).collect()
     }
 
-    /// `message` gives what to tell a partner.
+    /// Builds the next message to a peer.
     pub fn message(&mut self, now: SystemTime) -> HeartbeatMessage {
         self.round += 1;
 
@@ -153,15 +155,16 @@
             own: self.own.clone(),
             records,
             digests,
-            wanted: self.wanted.iter().copied().take(MOST_WANTED).collect(),
-            platform_heard_ms: self.platform_heard_ms,
+            requested: self.missing_records.iter().copied().take(MAX_REQUESTED).collect(),
+            platform_contact_ms: self.platform_contact_ms,
         }
     }
 
-    /// What the partner asked for, then what changed and was told the least.
+    /// Returns the records that the peer requested, then the changed records that were sent the
+    /// fewest times.
     fn records_to_send(&mut self) -> Vec<PeerRecord> {
-        let asked = std::mem::take(&mut self.asked);
-        let mut records: Vec<PeerRecord> = asked
+        let requested_ids = std::mem::take(&mut self.peer_requests);
+        let mut records: Vec<PeerRecord> = requested_ids
             .iter()
             .filter_map(|id| self.peers.get(id))
             .filter(|peer| peer.is_confirmed)
@@ -173,15 +176,16 @@
         changed.sort_by_key(|peer| std::cmp::Reverse(peer.announcements_left));
         for peer in changed.into_iter().take(self.options.full_records) {
             peer.announcements_left -= 1;
-            if !asked.contains(&peer.record.id) {
+            if !requested_ids.contains(&peer.record.id) {
                 records.push(peer.record.clone());
             }
         }
         records
     }
 
-    /// The live ones, in an order that changes from message to message.
-    fn digests_to_send(&self, now: SystemTime) -> Vec<super::BeatDigest> {
+    /// Returns digests of live peers; if there are too many for one message, a different selection
+    /// each time.
+    fn digests_to_send(&self, now: SystemTime) -> Vec<super::HeartbeatDigest> {
         let dead_after = self.options.dead_after;
         let mut live: Vec<_> =
             self.peers.values().filter(|peer| peer.is_alive(now, dead_after)).collect();
@@ -194,18 +198,18 @@
         live.iter().map(|peer| peer.record.digest()).collect()
     }
 
-    /// `merge` takes a partner's message in; what is older than what is known is ignored.
+    /// Merges a peer's message into the table. Records older than the known ones are ignored.
     pub fn merge(&mut self, message: HeartbeatMessage, now: SystemTime) {
-        self.on_platform_heard(message.platform_heard_ms);
-        self.asked.extend(message.wanted);
+        self.on_platform_heard(message.platform_contact_ms);
+        self.peer_requests.extend(message.requested);
 
         for record in message.records.into_iter().chain([message.own]) {
             self.merge_record(record, now);
         }
         for digest in message.digests.iter().filter(|digest| digest.id != self.own.id) {
             let peer = self.peers.get_mut(&digest.id);
-            if !peer.is_some_and(|peer| peer.take_digest(digest, now)) {
-                self.wanted.insert(digest.id);
+            if !peer.is_some_and(|peer| peer.apply_digest(digest, now)) {
+                self.missing_records.insert(digest.id);
             }
         }
     }
@@ -215,7 +219,7 @@
             return;
         }
 
-        self.wanted.remove(&record.id);
+        self.missing_records.remove(&record.id);
         let announcements = self.announcements();
         match self.peers.get_mut(&record.id) {
             Some(peer) if peer.is_confirmed && !record.is_newer_than(&peer.record) => {}
@@ -224,10 +228,10 @@
                     || peer.record.revision != record.revision
                     || peer.record.started_ms != record.started_ms;
                 let left = if is_changed { announcements } else { peer.announcements_left };
-                *peer = PeerEntry::heard(record, now, left);
+                *peer = PeerEntry::from_record(record, now, left);
             }
             None => {
-                self.peers.insert(record.id, PeerEntry::heard(record, now, announcements));
+                self.peers.insert(record.id, PeerEntry::from_record(record, now, announcements));
             }
         }
     }
@@ -238,7 +242,7 @@
         ANNOUNCEMENTS_PER_DOUBLING * doublings.max(1)
     }
 
-    /// `view` gives the balancers taken as alive and staying, this one included while it stays.
+    /// Returns the live balancers. This balancer is a member while it is in the serving state.
     #[must_use]
     pub fn view(&self, now: SystemTime) -> LiveView {
         let in_state = |state| self.alive(now).filter(move |record| record.state == state);
@@ -249,23 +253,23 @@
             .with_leaving(in_state(PeerState::Leaving).map(|record| record.id))
     }
 
-    /// `alive` lists the records of the other balancers taken as alive, leaving ones included.
+    /// Iterates over the records of the other live balancers, joining and leaving ones included.
     pub fn alive(&self, now: SystemTime) -> impl Iterator<Item = &PeerRecord> {
         self.known(now).filter(|(_, alive)| *alive).map(|(record, _)| record)
     }
 
-    /// `known` lists the records of all other balancers, with whether each is taken as alive.
+    /// Iterates over the records of all other known balancers, each with whether it is alive.
     pub fn known(&self, now: SystemTime) -> impl Iterator<Item = (&PeerRecord, bool)> {
         let dead_after = self.options.dead_after;
 
         self.peers.values().map(move |peer| (&peer.record, peer.is_alive(now, dead_after)))
     }
 
-    fn forget(&mut self, now: SystemTime) {
-        let forget_after = self.options.forget_after;
+    fn remove_expired(&mut self, now: SystemTime) {
+        let expire_after = self.options.expire_after;
 
         self.peers.retain(|_, peer| {
-            now.duration_since(peer.heard).unwrap_or(Duration::ZERO) < forget_after
+            now.duration_since(peer.last_heard).unwrap_or(Duration::ZERO) < expire_after
         });
     }
 }
--- a/crates/valvestage-policy/src/operations/planner.rs
+++ b/crates/valvestage-policy/src/operations/planner.rs
@@ -1,4 +1,4 @@
-//! Drawing up a plan for an intent.
+//! Creation of the plan for an intent.
 
 use std::collections::BTreeMap;
 
@@ -11,29 +11,29 @@
 use crate::flows::place;
 use crate::rendezvous::mix;
 
-/// Flow keys drawn to estimate how many new flows go elsewhere.
+/// Number of sampled flow keys from which the percentage of moved flows is estimated.
 const SAMPLED_FLOWS: u64 = 2_000;
 
-/// `ServiceDemand` is the present use of a service, over all balancers.
+/// Present load of a service, summed over all balancers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ServiceDemand {
-    /// Slots in use.
+    /// Number of occupied slots.
     pub busy_slots: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
 }
 
-/// `draw_plan` gives the plan for an intent on a configuration.
+/// Creates the plan for an intent on the configuration `base`, whose platform object is `raw`.
 ///
-/// An intent that names something unknown is an error; one that would break a promise gives a
-/// plan with a refusal, so that its effects can still be read.
+/// An intent that refers to an unknown object is an error. One that would break existing flows or
+/// leave too few slots gives a plan with a refusal, so that its effects can still be inspected.
 pub fn draw_plan(
     id: String,
     base: &Configuration,
     raw: &RawConfiguration,
     intent: Intent,
     demand: &BTreeMap<ServiceId, ServiceDemand>,
-    flows_on: &BTreeMap<String, u64>,
+    flows_by_backend: &BTreeMap<String, u64>,
 ) -> Result<Plan, PolicyError> {
     let mut result = raw.clone();
     result.change_id.clone_from(&id);
@@ -41,8 +41,8 @@
     let next = Configuration::try_from((base.version + 1, result.clone()))?;
 
     let effects = effects(base, &next, demand);
-    let refusal = find_refusal(base, &intent, &effects, flows_on);
-    let dangers = find_dangers(&intent, &effects);
+    let refusal = find_refusal(base, &intent, &effects, flows_by_backend);
+    let dangers = find_warnings(&intent, &effects);
 
     Ok(Plan { id, base_version: base.version, intent, steps, effects, dangers, refusal, result })
 }
@@ -60,24 +60,24 @@
                 format!(
                     "{name} gets no new flows or requests, on every balancer within 4 seconds."
                 ),
-                format!("Flows and requests that {name} has go on until they end."),
+                format!("Existing flows and requests of {name} continue until they end."),
             ])
         }
         Intent::ResumeBackend { name } => {
             find_backend(result, name)?.state = BackendState::Active;
-            Ok(vec![format!("{name} gets new flows and requests again, slowly at first.")])
+            Ok(vec![format!("{name} gets new flows and requests again, in slow start at first.")])
         }
         Intent::RemoveBackend { name } => {
             find_backend(result, name)?;
             result.backends.retain(|backend| backend.name != *name);
-            Ok(vec![format!("{name} is taken out of the configuration.")])
+            Ok(vec![format!("{name} is removed from the configuration.")])
         }
         Intent::SetWeight { name, weight } => {
             let backend = find_backend(result, name)?;
             let former = std::mem::replace(&mut backend.weight, *weight);
             Ok(vec![
-                format!("The weight of {name} goes from {former} to {weight}."),
-                "Only new flows and requests follow it; established flows stay.".to_owned(),
+                format!("The weight of {name} changes from {former} to {weight}."),
+                "It applies to new flows and requests only; established flows stay.".to_owned(),
             ])
         }
         Intent::StopZone { zone } => {
@@ -85,7 +85,7 @@
             result.stopped_zones.insert(zone.clone());
             Ok(vec![
                 format!("Backend servers in {zone} get no new flows or requests."),
-                "Flows and requests that they have go on until they end.".to_owned(),
+                "Their existing flows and requests continue until they end.".to_owned(),
             ])
         }
         Intent::ResumeZone { zone } => {
@@ -104,7 +104,8 @@
     let service = base.services().find(|service| service.name == new.service);
     let service = service.ok_or_else(|| not_found("service", &new.service))?.id;
 
-    // Ids are never reused, not even those of removed records: the version grows with each write.
+    // Ids are never reused, not even those of removed records. The version grows with each write,
+    // so an id above it is new.
     let highest = base.backends().map(|backend| backend.id).max().unwrap_or(0);
     let version = u32::try_from(base.version).unwrap_or(u32::MAX);
     result.backends.push(Backend {
@@ -122,7 +123,7 @@
 
     Ok(vec![
         format!("{} is added to {} in {}.", new.name, new.service, new.zone),
-        "It starts with one slot and comes to its full slots within seconds.".to_owned(),
+        "It starts with one slot and ramps up to all of its slots within seconds.".to_owned(),
     ])
 }
 
@@ -145,7 +146,7 @@
     PolicyError::NotFound { what, name: name.to_owned() }
 }
 
-/// The effects on the services whose slots or placement change.
+/// Returns the effects on the services whose slots or flow placement change.
 fn effects(
     base: &Configuration,
     next: &Configuration,
@@ -156,7 +157,7 @@
         slots_before: open_slots(base, service.id),
         slots_after: open_slots(next, service.id),
         slots_busy: demand.get(&service.id).map_or(0, |demand| demand.busy_slots + demand.waiting),
-        new_flows_moved_percent: moved_percent(base, next, service.id),
+        new_flows_moved_percent: moved_flows_percent(base, next, service.id),
     };
 
     base.services()
@@ -171,7 +172,7 @@
     eligible.filter_map(|id| configuration.backend(*id)).map(|b| u32::from(b.slots)).sum()
 }
 
-fn moved_percent(base: &Configuration, next: &Configuration, service: ServiceId) -> f64 {
+fn moved_flows_percent(base: &Configuration, next: &Configuration, service: ServiceId) -> f64 {
     let key = |index| mix(index, u64::from(service));
     let moved = (0..SAMPLED_FLOWS)
         .filter(|index| {
@@ -195,7 +196,7 @@
         return removal_refusal(base, name, flows_on);
     }
 
-    // Less capacity than is in use would break the promise to the requests that come next.
+    // With fewer slots than are in use, later requests could not be served as before.
     let short = effects
         .iter()
         .filter(|effect| effect.slots_after < effect.slots_before)
@@ -203,7 +204,7 @@
     let missing = short.slots_busy.max(1) - short.slots_after;
     Some(PlanRefusal {
         problem: format!(
-            "It leaves {} {missing} slots short: {} of its slots are in use or waited for, and {} would stay.",
+            "{} would be {missing} slots short: {} of its slots are occupied or waited for, and {} would remain.",
             short.service, short.slots_busy, short.slots_after
         ),
         remedy: format!(
@@ -236,21 +237,21 @@
     None
 }
 
-fn find_dangers(intent: &Intent, effects: &[ServiceEffect]) -> Vec<String> {
+fn find_warnings(intent: &Intent, effects: &[ServiceEffect]) -> Vec<String> {
     let mut dangers = Vec::new();
 
     for effect in effects.iter().filter(|effect| effect.slots_after < effect.slots_before) {
         let free = effect.slots_after.saturating_sub(effect.slots_busy);
         if free * 5 < effect.slots_after {
             dangers.push(format!(
-                "{} would have {free} free slots of {}: a burst would have to wait.",
+                "{} would have {free} of {} slots free: requests of a burst would have to wait.",
                 effect.service, effect.slots_after
             ));
         }
     }
     if let Intent::AddBackend(new) = intent {
         dangers.push(format!(
-            "If {} served another service before, be sure that it is replaced: it refuses packets for any other service than {}.",
+            "If the VM at {} served another service before, make sure that it has been replaced: it refuses packets for any service other than {}.",
             new.address, new.service
         ));
     }
--- a/crates/valvestage-policy/src/requests/service_dispatcher.rs
+++ b/crates/valvestage-policy/src/requests/service_dispatcher.rs
@@ -1,4 +1,4 @@
-//! Admission, waiting and dispatch of the requests of one service.
+//! Admission, queueing and dispatch of the requests of one service.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
@@ -6,6 +6,7 @@
 use valvestage_core::ids::{BackendId, RequestId, ServiceId};
 use valvestage_core::{Configuration, Outcome, RefusalReason, RetryReason};
 
+use super::attempt_record::{AttemptRecord, AttemptState};
 use super::authority::Authority;
 use super::backend_pool::{BackendPool, PoolOptions};
 use super::claim::{Claim, ClaimState};
@@ -14,26 +15,25 @@
 use super::request_action::RequestAction;
 use super::request_options::RequestOptions;
 use super::retry_budget::RetryBudget;
-use super::try_record::{TryRecord, TryState};
 use super::wait_queue::{WaitEntry, WaitQueue};
 
-/// `ServiceLoad` is the present load of a service at its admitting balancer.
+/// Present load of a service at its owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ServiceLoad {
-    /// Slots in use.
+    /// Number of occupied slots.
     pub busy_slots: u32,
-    /// Slots that may be used.
+    /// Number of slots that may be used, occupied ones included.
     pub usable_slots: u32,
-    /// Requests that wait.
+    /// Number of requests in the wait queue.
     pub waiting: usize,
-    /// Claims kept.
+    /// Number of claims in the claim table.
     pub claims: usize,
 }
 
-/// `ServiceDispatcher` decides for the requests of one service.
+/// Scheduler of the requests of one service.
 ///
-/// Outcomes are exactly three: answered, not run (certain), in doubt. The caller gets its final
-/// answer as soon as it is decided.
+/// Every request has one of exactly three outcomes: answered, not run (certain) or in doubt. The
+/// caller gets the final answer as soon as it is decided.
 #[derive(Debug, Clone)]
 pub struct ServiceDispatcher<P> {
     pub(super) service: ServiceId,
@@ -42,16 +42,16 @@
     pub(super) queue: WaitQueue,
     pub(super) claims: ClaimTable<P>,
     pub(super) budget: RetryBudget,
-    /// Whether a configuration came in since the last tick.
+    /// Whether a configuration was installed since the last tick.
     pub(super) pool_changed: bool,
     /// Nothing is dispatched before this time.
-    held_until: Option<SystemTime>,
-    /// While claims are on their way to the next owner: requests that came since.
-    pub(super) held: Option<Vec<Request<P>>>,
+    dispatch_not_before: Option<SystemTime>,
+    /// Requests received during a handover; `None` when no handover is in progress.
+    pub(super) held_requests: Option<Vec<Request<P>>>,
 }
 
 impl<P: Clone> ServiceDispatcher<P> {
-    /// `new` starts a dispatcher without backend servers.
+    /// Creates a dispatcher without backend servers.
     #[must_use]
     pub fn new(service: ServiceId, options: RequestOptions, pool: PoolOptions) -> Self {
         let pool = PoolOptions { choice: options.choice, ..pool };
@@ -60,16 +60,16 @@
             service,
             options,
             pool: BackendPool::new(pool),
-            queue: WaitQueue::new(options.bulk_patience),
+            queue: WaitQueue::new(options.bulk_extra_wait),
             claims: ClaimTable::default(),
             budget: RetryBudget::new(options.retry_ratio, options.retry_burst),
             pool_changed: false,
-            held_until: None,
-            held: None,
+            dispatch_not_before: None,
+            held_requests: None,
         }
     }
 
-    /// `accept` takes a request from a caller, or a copy of one.
+    /// Handles a new request, or a copy of a known one.
     pub fn accept(
         &mut self,
         now: SystemTime,
@@ -77,19 +77,19 @@
         authority: Option<Authority>,
         out: &mut Vec<RequestAction<P>>,
     ) {
-        // A known request: the final answer once more, or nothing while it is under way.
+        // A known request gets its final answer again, or nothing while it is in progress.
         if self.options.claims && self.repeat_final_answer(&request, out) {
             return;
         }
-        if let Some(held) = &mut self.held {
-            held.push(request);
+        if let Some(requests) = &mut self.held_requests {
+            requests.push(request);
             return;
         }
 
-        // A new one: refused at once, or a claim.
+        // A new request is refused at once or gets a claim.
         let authority = authority.filter(|authority| authority.is_valid(now));
         let covered = self.is_covered(&request, authority);
-        if let Some(reason) = self.admission_problem(now, &request, authority, covered) {
+        if let Some(reason) = self.admission_refusal(now, &request, authority, covered) {
             self.refuse_new(now, request, reason, covered, out);
             return;
         }
@@ -99,18 +99,18 @@
         let deadline = request.deadline;
         let claim = self.new_claim(request, ClaimState::Waiting, covered);
         self.claims.insert(claim, deadline);
-        self.queue.push(class, WaitEntry { id, since: now });
-        self.budget.on_first_try();
-        self.pump(now, authority, out);
+        self.queue.push(class, WaitEntry { id, enqueued_at: now });
+        self.budget.on_first_attempt();
+        self.dispatch_waiting(now, authority, out);
     }
 
-    /// Whether the request is known; its final answer goes out again.
+    /// Repeats the final answer of a known request; returns `false` if the request is not known.
     fn repeat_final_answer(&self, request: &Request<P>, out: &mut Vec<RequestAction<P>>) -> bool {
         let Some(claim) = self.claims.get(request.id) else {
             return false;
         };
 
-        // The answer goes to the caller that asked first; another address gets nothing.
+        // Only the address that sent the first copy gets the answer.
         if claim.request.caller != request.caller {
             return true;
         }
@@ -138,17 +138,18 @@
 
         let queued = matches!(state, ClaimState::Waiting);
 
-        Claim { request, state, tries: Vec::new(), queued, covered, kept_until }
+        Claim { request, state, attempts: Vec::new(), queued, covered, kept_until }
     }
 
-    /// `pump` dispatches waiting requests while there are free slots.
-    pub fn pump(
+    /// Dispatches waiting requests while there are free slots.
+    pub fn dispatch_waiting(
         &mut self,
         now: SystemTime,
         authority: Option<Authority>,
         out: &mut Vec<RequestAction<P>>,
     ) {
-        if self.held.is_some() || self.held_until.is_some_and(|until| now < until) {
+        if self.held_requests.is_some() || self.dispatch_not_before.is_some_and(|until| now < until)
+        {
             return;
         }
 
@@ -158,9 +159,9 @@
                 continue;
             };
 
-            // A try may still be running at these.
+            // Backend servers on which an attempt may still be running.
             let excluded: Vec<BackendId> =
-                claim.tries.iter().filter(|t| t.holds_slot()).map(|t| t.backend).collect();
+                claim.attempts.iter().filter(|t| t.holds_slot()).map(|t| t.backend).collect();
             let needs_lease = !claim.request.repeatable && self.options.window;
             let class = claim.request.class;
 
@@ -179,7 +180,7 @@
         }
 
         for (class, entry) in blocked.into_iter().rev() {
-            self.queue.push_first(class, entry);
+            self.queue.push_to_front(class, entry);
         }
     }
 
@@ -194,32 +195,34 @@
         let Some(incarnation) = self.pool.take_slot(backend) else {
             return;
         };
-        let try_timeout = self.try_timeout();
-        let fences = self.options.fence;
+        let attempt_timeout = self.attempt_timeout();
+        let is_fenced = self.options.fence;
         let Some(claim) = self.claims.get_mut(id) else {
             return;
         };
 
-        // The lease's end is a deadline for the start of work: an owner that is paused between here
-        // and the socket cannot start anything after it, neither work that must not run twice nor
-        // work on a backend server that has been drained since.
+        // The end of the lease bounds the start of work: an owner that is paused between here and
+        // the socket cannot start work after it, neither a second run of a non-repeatable request
+        // nor work on a backend server that has been drained meanwhile.
         let request = claim.request.clone();
         let deadline = match authority {
-            Some(authority) if fences => request.deadline.min(authority.fence),
+            Some(authority) if is_fenced => request.deadline.min(authority.fence),
             _ => request.deadline,
         };
-        let retry = claim.tries.last().map(|last| match last.state {
-            TryState::Refused => RetryReason::Refused,
-            TryState::Lost => RetryReason::BackendRemoved,
-            TryState::Pending | TryState::Overdue | TryState::Answered => RetryReason::TryTimeout,
+        let retry = claim.attempts.last().map(|last| match last.state {
+            AttemptState::Refused => RetryReason::Refused,
+            AttemptState::Lost => RetryReason::BackendRemoved,
+            AttemptState::Pending | AttemptState::TimedOut | AttemptState::Answered => {
+                RetryReason::TryTimeout
+            }
         });
         let attempt = claim.next_attempt();
 
-        claim.tries.push(TryRecord::new(attempt, backend, incarnation, now));
+        claim.attempts.push(AttemptRecord::new(attempt, backend, incarnation, now));
         claim.state = ClaimState::Running;
         claim.queued = false;
         if request.repeatable {
-            self.claims.check_at(id, now + try_timeout);
+            self.claims.check_at(id, now + attempt_timeout);
         }
         out.push(RequestAction::Dispatch {
             backend,
@@ -231,13 +234,13 @@
         });
     }
 
-    pub(super) fn try_timeout(&self) -> Duration {
-        let usual = self.run_time().mul_f64(self.options.try_timeout_factor);
+    pub(super) fn attempt_timeout(&self) -> Duration {
+        let usual = self.run_time().mul_f64(self.options.attempt_timeout_factor);
 
-        usual.max(self.options.min_try_timeout)
+        usual.max(self.options.min_attempt_timeout)
     }
 
-    /// `finish_refused` gives a request up: the final answer goes out now.
+    /// Refuses a request for good and sends the refusal, unless it already has a final answer.
     pub(super) fn finish_refused(
         &mut self,
         now: SystemTime,
@@ -247,29 +250,29 @@
     ) {
         let retry_after = self.retry_after(now);
         let service = self.service;
-        // While a handover is open the next owner may run what waits here.
-        let is_handed = self.held.is_some();
+        // During a handover the next owner may already run the waiting requests.
+        let is_handover_open = self.held_requests.is_some();
         let Some(claim) = self.claims.get_mut(id).filter(|claim| !claim.is_final()) else {
             return;
         };
 
-        let certain = claim.covered && !claim.may_have_run() && !is_handed;
-        let outcome = if certain { Outcome::NotRun } else { Outcome::InDoubt };
+        let is_certain = claim.covered && !claim.may_have_run() && !is_handover_open;
+        let outcome = if is_certain { Outcome::NotRun } else { Outcome::InDoubt };
         let refusal = Refusal { outcome, reason, retry_after };
         let caller: SocketAddr = claim.request.caller;
         claim.state = ClaimState::Refused(refusal);
 
-        self.cancel_tries(id, out);
+        self.cancel_attempts(id, out);
         out.push(RequestAction::Refuse { id, service, caller, refusal });
     }
 
-    /// `cancel_tries` tells the backend servers that may still run a request to stop.
-    pub(super) fn cancel_tries(&self, id: RequestId, out: &mut Vec<RequestAction<P>>) {
+    /// Sends a cancellation to every backend server that may still run an attempt of a request.
+    pub(super) fn cancel_attempts(&self, id: RequestId, out: &mut Vec<RequestAction<P>>) {
         let Some(claim) = self.claims.get(id) else {
             return;
         };
 
-        for record in claim.tries.iter().filter(|record| record.holds_slot()) {
+        for record in claim.attempts.iter().filter(|record| record.holds_slot()) {
             out.push(RequestAction::Cancel {
                 backend: record.backend,
                 incarnation: record.incarnation,
@@ -281,35 +284,35 @@
         }
     }
 
-    /// `hold_until` dispatches nothing before a time.
+    /// Holds back all dispatches until this time.
     pub fn hold_until(&mut self, until: SystemTime) {
-        self.held_until = Some(until);
+        self.dispatch_not_before = Some(until);
     }
 
-    /// `install` takes the service's backend servers from a configuration.
+    /// Updates the backend servers of the service from a configuration.
     pub fn install(&mut self, configuration: &Configuration, now: SystemTime) {
         self.pool.install(configuration, self.service, now);
         self.pool_changed = true;
     }
 
-    /// `pool` gives the backend servers.
+    /// Returns the backend servers of the service.
     #[must_use]
     pub fn pool(&self) -> &BackendPool {
         &self.pool
     }
 
-    /// `pool_mut` gives the backend servers to change.
+    /// Returns the backend servers of the service for modification.
     pub fn pool_mut(&mut self) -> &mut BackendPool {
         &mut self.pool
     }
 
-    /// `claim` gives the claim of a request.
+    /// Returns the claim of a request, or `None` if the request is not known.
     #[must_use]
     pub fn claim(&self, id: RequestId) -> Option<&Claim<P>> {
         self.claims.get(id)
     }
 
-    /// `load` gives the present load.
+    /// Returns the present load of the service.
     #[must_use]
     pub fn load(&self, now: SystemTime) -> ServiceLoad {
         ServiceLoad {
@@ -320,7 +323,7 @@
         }
     }
 
-    /// `open_work` counts requests that have no final answer yet.
+    /// Returns the number of requests that this balancer has not answered yet.
     #[must_use]
     pub fn open_work(&self) -> usize {
         let is_open =
--- a/crates/valvestage-policy/src/requests/service_handover.rs
+++ b/crates/valvestage-policy/src/requests/service_handover.rs
@@ -1,28 +1,28 @@
-//! The change of owners, as the requests of one service go through it.
+//! Ownership changes of one service: export and import of its claims.
 
 use std::time::SystemTime;
 
 use valvestage_core::time::Deadline;
 
-use super::handover::HandedClaim;
+use super::exported_claim::HandedClaim;
 use super::request::Request;
 use super::service_dispatcher::ServiceDispatcher;
 use super::wait_queue::WaitEntry;
 
 impl<P: Clone> ServiceDispatcher<P> {
-    /// `start_handover` copies the claims for the next owner, and holds new work back until the
-    /// handover is settled.
+    /// Exports the claims for the next owner, and holds new requests back until the handover is
+    /// completed or aborted.
     pub fn start_handover(&mut self) -> Vec<HandedClaim<P>> {
-        self.held.get_or_insert_default();
+        self.held_requests.get_or_insert_default();
 
         self.claims.iter().map(HandedClaim::from).collect()
     }
 
-    /// `complete_handover` leaves what waits to the next owner, and gives the requests that came
-    /// since, to be relayed to it.
+    /// Drops the waiting requests, which the next owner runs, and returns the requests held back
+    /// since the start of the handover, which are to be relayed to the next owner.
     ///
-    /// What may be running stays here until it is answered, and keeps its place in the queue if it
-    /// waits for another try.
+    /// A request that may be running stays here until it is answered, and keeps its place in the
+    /// queue if it waits for a retry.
     pub fn complete_handover(&mut self) -> Vec<Request<P>> {
         let mut staying = Vec::new();
 
@@ -30,7 +30,7 @@
             let Some(claim) = self.claims.get(entry.id) else {
                 continue;
             };
-            if claim.may_be_run_elsewhere() {
+            if claim.can_be_run_by_next_owner() {
                 self.claims.remove(entry.id);
             } else {
                 staying.push((claim.request.class, entry));
@@ -40,17 +40,17 @@
         for (class, entry) in staying {
             self.queue.push(class, entry);
         }
-        self.held.take().unwrap_or_default()
+        self.held_requests.take().unwrap_or_default()
     }
 
-    /// `abort_handover` goes on as before, and gives the requests held back, to be accepted.
+    /// Keeps the service here, and returns the requests held back, which are to be accepted.
     pub fn abort_handover(&mut self) -> Vec<Request<P>> {
-        self.held.take().unwrap_or_default()
+        self.held_requests.take().unwrap_or_default()
     }
 
-    /// `import` takes over the claims of the former owner; waiting ones run here.
-    pub fn import(&mut self, now: SystemTime, handed: Vec<HandedClaim<P>>) {
-        for claim in handed {
+    /// Imports the claims of the previous owner, and queues the waiting requests to run them here.
+    pub fn import(&mut self, now: SystemTime, exported: Vec<HandedClaim<P>>) {
+        for claim in exported {
             let deadline: Deadline = claim.request.deadline;
             let class = claim.request.class;
             let id = claim.request.id;
@@ -61,7 +61,7 @@
             let (claim, waits) = claim.into_claim(deadline + self.options.slot_grace);
             self.claims.insert(claim, deadline);
             if waits {
-                self.queue.push(class, WaitEntry { id, since: now });
+                self.queue.push(class, WaitEntry { id, enqueued_at: now });
             }
         }
     }
--- a/crates/valvestage-policy/tests/control.rs
+++ b/crates/valvestage-policy/tests/control.rs
@@ -1,4 +1,4 @@
-//! Control: leases, owners, and which configuration is in force.
+//! Tests of the control policy: leases, service ownership, and the configuration in force.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -6,7 +6,7 @@
 use valvestage_core::RawConfiguration;
 use valvestage_core::ids::BalancerId;
 use valvestage_policy::control::{
-    ControlAction, ControlOptions, ControlPolicy, CoordinatorInputs, Installation, LeaseKeeper,
+    ControlAction, ControlOptions, ControlPolicy, CoordinatorInputs, Installation, LeaseManager,
     LeaseOptions, LeaseRecord, Machine, ObjectKey, ObjectValue, OwnerCandidate, OwnerCoordinator,
     PlatformCall, PlatformReply,
 };
@@ -46,7 +46,7 @@
     ObjectValue::Configuration(raw)
 }
 
-/// The calls of one state machine among the actions of a step.
+/// Returns the calls of one state machine among the actions of a step.
 fn calls(policy: &mut ControlPolicy, now: SystemTime, wanted: Machine) -> Vec<PlatformCall> {
     let mut actions = Vec::new();
     policy.step(now, &mut actions);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_restarted_balancer_does_not_serve_what_a_lagging_watch_shows() {
+fn a_restarted_balancer_does_not_serve_the_old_version_of_a_lagging_watch() {
     let mut policy = ControlPolicy::new(ControlOptions::default(), record(1), [], start());
     let mut out = Vec::new();
 
@@ -70,7 +70,7 @@
     assert_eq!(first_read, [PlatformCall::Read { key: ObjectKey::Configuration }]);
     assert!(!policy.is_serving());
 
-    // The read itself shows version 9.
+    // The first read of the object shows version 9.
     let reply = PlatformReply::Found { version: 9, value: configuration("new") };
     policy.on_reply(start(), Machine::FirstRead, reply, &mut out).unwrap();
     calls(&mut policy, start(), Machine::FirstRead);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_restarted_balancer_goes_on_with_what_peers_have_when_the_platform_is_out() {
+fn a_restarted_balancer_uses_the_objects_of_peers_when_the_platform_is_down() {
     let options = ControlOptions::default();
     let mut policy = ControlPolicy::new(options, record(1), [], start());
     let mut out = Vec::new();
@@ -104,10 +104,10 @@
     let mut policy = ControlPolicy::new(ControlOptions::default(), record(1), [], start());
     let mut out = Vec::new();
 
-    for (version, is_news) in [(7, true), (3, false), (7, false), (8, true)] {
+    for (version, is_newer) in [(7, true), (3, false), (7, false), (8, true)] {
         let value = configuration(&version.to_string());
         let taken = policy.on_object(ObjectKey::Configuration, version, value, &mut out).unwrap();
-        assert_eq!(taken, is_news, "version {version}");
+        assert_eq!(taken, is_newer, "version {version}");
     }
     let installed = out.iter().filter_map(|action| match action {
         ControlAction::Install(Installation::Configuration(known)) => Some(known.version),
@@ -116,7 +116,7 @@
     assert_eq!(installed.collect::<Vec<_>>(), [7, 8]);
 }
 
-fn written(call: &PlatformCall) -> (Option<u64>, LeaseRecord) {
+fn lease_write(call: &PlatformCall) -> (Option<u64>, LeaseRecord) {
     match call {
         PlatformCall::Write { expected, value: ObjectValue::Lease(record), .. } => {
             (*expected, record.clone())
@@ -125,56 +125,56 @@
     }
 }
 
-/// A keeper that holds a lease, written as version 1.
-fn holding(options: LeaseOptions) -> (LeaseKeeper, LeaseRecord) {
-    let mut keeper = LeaseKeeper::new(1, options, start());
+/// Returns a state machine that holds a lease, written as version 1, and the lease record.
+fn lease_holder(options: LeaseOptions) -> (LeaseManager, LeaseRecord) {
+    let mut manager = LeaseManager::new(1, options, start());
 
-    keeper.next_call(start()).unwrap();
-    keeper.on_reply(start(), &PlatformReply::Missing);
-    let (_, record) = written(&keeper.next_call(start()).unwrap());
-    keeper.on_reply(start(), &PlatformReply::Written { version: 1 });
-    (keeper, record)
+    manager.next_call(start()).unwrap();
+    manager.on_reply(start(), &PlatformReply::Missing);
+    let (_, record) = lease_write(&manager.next_call(start()).unwrap());
+    manager.on_reply(start(), &PlatformReply::Written { version: 1 });
+    (manager, record)
 }
 
 #[test]
 fn a_lease_counts_only_once_its_write_is_confirmed() {
     let options = LeaseOptions::default();
-    let mut keeper = LeaseKeeper::new(1, options, start());
-    keeper.next_call(start()).unwrap();
-    keeper.on_reply(start(), &PlatformReply::Missing);
-    let (_, record) = written(&keeper.next_call(start()).unwrap());
-    assert_eq!(keeper.grant(start()), None);
-
-    // The answer is lost; reading shows that the write took effect.
-    keeper.on_reply(start(), &PlatformReply::Unknown);
-    assert_eq!(keeper.grant(start()), None);
+    let mut manager = LeaseManager::new(1, options, start());
+    manager.next_call(start()).unwrap();
+    manager.on_reply(start(), &PlatformReply::Missing);
+    let (_, record) = lease_write(&manager.next_call(start()).unwrap());
+    assert_eq!(manager.grant(start()), None);
+
+    // The answer is lost; the next read shows that the write took effect.
+    manager.on_reply(start(), &PlatformReply::Unknown);
+    assert_eq!(manager.grant(start()), None);
     let later = start() + Duration::from_millis(300);
-    assert!(matches!(keeper.next_call(later), Some(PlatformCall::Read { .. })));
+    assert!(matches!(manager.next_call(later), Some(PlatformCall::Read { .. })));
     let found = PlatformReply::Found { version: 4, value: ObjectValue::Lease(record) };
-    keeper.on_reply(later, &found);
+    manager.on_reply(later, &found);
 
-    // It counts from before the write was sent.
+    // The lease runs from before the write was sent.
     let fence = start() + options.length - options.clock_bound;
-    assert_eq!(keeper.grant(later).unwrap().fence, fence);
-    assert_eq!(keeper.grant(fence), None);
+    assert_eq!(manager.grant(later).unwrap().fence, fence);
+    assert_eq!(manager.grant(fence), None);
 }
 
 #[test]
 fn a_lease_that_was_closed_is_not_renewed_and_the_next_one_has_another_epoch() {
     let options = LeaseOptions::default();
-    let (mut keeper, record) = holding(options);
+    let (mut manager, record) = lease_holder(options);
     let now = start() + options.length;
-    assert_eq!(keeper.grant(now), None);
+    assert_eq!(manager.grant(now), None);
 
-    // The renewal conflicts: another balancer closed it.
-    keeper.next_call(now).unwrap();
-    keeper.on_reply(now, &PlatformReply::Conflict);
-    keeper.next_call(now).unwrap();
+    // The renewal conflicts because another balancer closed the lease.
+    manager.next_call(now).unwrap();
+    manager.on_reply(now, &PlatformReply::Conflict);
+    manager.next_call(now).unwrap();
     let closed = LeaseRecord { closed: true, ..record.clone() };
     let found = PlatformReply::Found { version: 2, value: ObjectValue::Lease(closed) };
-    keeper.on_reply(now, &found);
+    manager.on_reply(now, &found);
 
-    let (expected, next) = written(&keeper.next_call(now).unwrap());
+    let (expected, next) = lease_write(&manager.next_call(now).unwrap());
     assert_eq!(expected, Some(2));
     assert!(next.epoch > record.epoch);
 }
@@ -182,28 +182,28 @@
 #[test]
 fn a_new_process_waits_until_the_lease_of_the_former_one_is_over() {
     let options = LeaseOptions::default();
-    let (_, record) = holding(options);
-    let mut fresh = LeaseKeeper::new(1, options, start());
-    fresh.next_call(start()).unwrap();
+    let (_, record) = lease_holder(options);
+    let mut restarted = LeaseManager::new(1, options, start());
+    restarted.next_call(start()).unwrap();
     let found = PlatformReply::Found { version: 1, value: ObjectValue::Lease(record) };
-    fresh.on_reply(start(), &found);
+    restarted.on_reply(start(), &found);
 
-    // The former process may be paused, and believe in its lease.
-    assert_eq!(fresh.next_call(start()), None);
-    assert_eq!(fresh.next_call(start() + options.length), None);
+    // The former process may only be paused and still rely on its lease.
+    assert_eq!(restarted.next_call(start()), None);
+    assert_eq!(restarted.next_call(start() + options.length), None);
     let over = start() + options.length + options.clock_bound * 3;
-    assert!(fresh.next_call(over).is_some());
+    assert!(restarted.next_call(over).is_some());
 }
 
 #[test]
-fn a_lapsed_lease_is_closed_before_its_services_are_given_away() {
+fn a_lapsed_lease_is_closed_before_its_services_are_reassigned() {
     let bound = Duration::from_millis(250);
     let mut coordinator = OwnerCoordinator::new(2, bound, start());
     let one = OwnerCandidate { id: 1, lease: 100 };
     let two = OwnerCandidate { id: 2, lease: 200 };
     let with = |candidates| CoordinatorInputs { services: vec![7], candidates, live: 1 };
 
-    // First owner: balancer 1, covered from the beginning.
+    // The first owner is balancer 1; its claim table covers all time.
     let inputs = with(vec![one]);
     coordinator.next_call(start(), &inputs).unwrap();
     coordinator.on_reply(start(), PlatformReply::Missing);
@@ -211,7 +211,7 @@
     let map = coordinator.on_reply(start(), PlatformReply::Written { version: 1 }).unwrap();
     assert_eq!(map.owner(7).unwrap().covers_from_ms, 0);
 
-    // It is not heard any more. Its lease holds: nothing is done.
+    // Balancer 1 is not live any more, but its lease has not lapsed: nothing is changed.
     let inputs = with(vec![two]);
     let lease = LeaseRecord { holder: 1, epoch: 100, expires_ms: 1_800_000_006_000, closed: false };
     let value = || ObjectValue::Lease(lease.clone());
@@ -219,11 +219,11 @@
     coordinator.on_reply(start(), PlatformReply::Found { version: 5, value: value() });
     assert_eq!(coordinator.next_call(start(), &inputs), None);
 
-    // It has lapsed: it is closed under the version read, then the map is written.
+    // The lease has lapsed: it is closed under the version read, then the map is written.
     let now = start() + Duration::from_secs(7);
     coordinator.next_call(now, &inputs).unwrap();
     coordinator.on_reply(now, PlatformReply::Found { version: 5, value: value() });
-    let (expected, closed) = written(&coordinator.next_call(now, &inputs).unwrap());
+    let (expected, closed) = lease_write(&coordinator.next_call(now, &inputs).unwrap());
     assert_eq!((expected, closed.closed), (Some(5), true));
     coordinator.on_reply(now, PlatformReply::Written { version: 6 });
     coordinator.next_call(now, &inputs).unwrap();
@@ -244,7 +244,7 @@
     coordinator.next_call(start(), &with(vec![one])).unwrap();
     coordinator.on_reply(start(), PlatformReply::Written { version: 1 });
 
-    // Read as lapsed; renewed before the close arrives.
+    // The lease is read as lapsed, and renewed before the write that closes it arrives.
     let now = start() + Duration::from_secs(7);
     let lease = LeaseRecord { holder: 1, epoch: 100, expires_ms: 1_800_000_006_000, closed: false };
     let found = PlatformReply::Found { version: 5, value: ObjectValue::Lease(lease) };
@@ -253,7 +253,7 @@
     coordinator.next_call(now, &with(vec![two])).unwrap();
     assert_eq!(coordinator.on_reply(now, PlatformReply::Conflict), None);
 
-    // Everything is read again.
+    // The map is read again.
     let later = now + Duration::from_secs(1);
     let next = coordinator.next_call(later, &with(vec![two]));
     assert_eq!(next, Some(PlatformCall::Read { key: ObjectKey::OwnerMap }));
