--- a/crates/valvestage-balancer/src/commands.rs
+++ b/crates/valvestage-balancer/src/commands.rs
@@ -11,7 +11,7 @@
 use valvestage_policy::flows::{Binding, ConfigurationHistory, TokenKeys};
 use valvestage_policy::membership::LiveView;
 use valvestage_policy::operations::{DecisionRecord, Subject};
-use valvestage_policy::requests::{HandedClaim, ServiceLoad};
+use valvestage_policy::requests::{ExportedClaim, ServiceLoad};
 
 /// `Payload` is the opaque part of a datagram.
 pub type Payload = Vec<u8>;
@@ -71,7 +71,7 @@
         /// The service.
         service: ServiceId,
         /// Where the claims go.
-        reply: oneshot::Sender<Vec<HandedClaim<Payload>>>,
+        reply: oneshot::Sender<Vec<ExportedClaim<Payload>>>,
     },
     /// Go on after a handover.
     SettleHandover {
@@ -87,7 +87,7 @@
         /// Names the handover.
         handover: u64,
         /// The claims.
-        claims: Vec<HandedClaim<Payload>>,
+        claims: Vec<ExportedClaim<Payload>>,
     },
     /// Give the present state.
     TakeSnapshot(oneshot::Sender<DataSnapshot>),
--- a/crates/valvestage-balancer/src/control/peer_server.rs
+++ b/crates/valvestage-balancer/src/control/peer_server.rs
@@ -12,7 +12,7 @@
 use valvestage_policy::flows::Binding;
 use valvestage_policy::membership::HeartbeatMessage;
 use valvestage_policy::operations::{DecisionRecord, Subject};
-use valvestage_policy::requests::HandedClaim;
+use valvestage_policy::requests::ExportedClaim;
 use valvestage_wire::peers::{ByteCount, PeerKey, PeerService, SharedObject, accept};
 
 use super::control_state::ControlState;
@@ -98,7 +98,7 @@
         _: Context,
         service: ServiceId,
         handover: u64,
-        claims: Vec<HandedClaim<Payload>>,
+        claims: Vec<ExportedClaim<Payload>>,
     ) -> bool {
         // Without a lease this balancer could not own the service.
         let takes = self.state.is_ready() && self.state.read(|policy| policy.grant().is_some());
--- a/crates/valvestage-balancer/src/control/step_task.rs
+++ b/crates/valvestage-balancer/src/control/step_task.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, SystemTime};
 
 use tokio::time::sleep;
-use valvestage_policy::control::{ControlAction, Machine, ObjectKey, PlatformCall};
+use valvestage_policy::control::{ControlAction, ObjectKey, PlatformCall, StateMachine};
 use valvestage_policy::membership::{HeartbeatMessage, PeerRecord};
 use valvestage_wire::WireError;
 use valvestage_wire::peers::SharedObject;
@@ -61,7 +61,7 @@
 async fn call_platform(
     state: &ControlState,
     platform: &PlatformDriver,
-    machine: Machine,
+    machine: StateMachine,
     call: PlatformCall,
 ) {
     let reply = platform.execute(call).await;
--- a/crates/valvestage-balancer/src/data_path/backend_packets.rs
+++ b/crates/valvestage-balancer/src/data_path/backend_packets.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, SystemTime};
 
 use valvestage_core::{PacketKind, RefusalReason, Segment};
-use valvestage_policy::flows::{HopMark, MAX_HOPS};
+use valvestage_policy::flows::{MAX_HOPS, RelayHeader};
 use valvestage_policy::requests::BackendReply;
 use valvestage_wire::{Envelope, Header, Target};
 
@@ -85,7 +85,7 @@
 
         let header = Header::new(PacketKind::Open);
         let again = Envelope { header, ..*envelope };
-        let hop = HopMark { count: MAX_HOPS, ..HopMark::FIRST };
+        let hop = RelayHeader { count: MAX_HOPS, ..RelayHeader::FIRST };
         self.on_flow_packet(now, &again, sender.service, hop, out)
     }
 
--- a/crates/valvestage-balancer/src/data_path/caller_packets.rs
+++ b/crates/valvestage-balancer/src/data_path/caller_packets.rs
@@ -4,7 +4,7 @@
 
 use valvestage_core::ids::{BackendId, BalancerId, Incarnation, ServiceId};
 use valvestage_core::{Outcome, PacketKind, RefusalReason};
-use valvestage_policy::flows::{Binding, FlowPacket, FlowVerdict, HopMark};
+use valvestage_policy::flows::{Binding, FlowPacket, FlowVerdict, RelayHeader};
 use valvestage_policy::requests::Request;
 use valvestage_wire::{Envelope, Header, Target};
 
@@ -27,7 +27,7 @@
             return Err(RefusalReason::Malformed);
         }
 
-        self.on_packet(now, envelope, HopMark::FIRST, out)
+        self.on_packet(now, envelope, RelayHeader::FIRST, out)
     }
 
     pub(super) fn on_peer_packet(
@@ -52,7 +52,7 @@
         &mut self,
         now: SystemTime,
         envelope: &Envelope<'_>,
-        hop: HopMark,
+        hop: RelayHeader,
         out: &mut Vec<Outbound>,
     ) -> Result<(), RefusalReason> {
         let configuration = self.policy.director().history().current();
@@ -77,7 +77,7 @@
         now: SystemTime,
         envelope: &Envelope<'_>,
         service: ServiceId,
-        hop: HopMark,
+        hop: RelayHeader,
         out: &mut Vec<Outbound>,
     ) -> Result<(), RefusalReason> {
         let keys = self.policy.director().keys().ok_or(RefusalReason::NoConfiguration)?;
@@ -143,7 +143,7 @@
         &self,
         envelope: &Envelope<'_>,
         peer: BalancerId,
-        hop: HopMark,
+        hop: RelayHeader,
         out: &mut Vec<Outbound>,
     ) {
         let Some(address) = self.peer_addresses.get(&peer) else {
@@ -174,7 +174,7 @@
         now: SystemTime,
         envelope: &Envelope<'_>,
         service: ServiceId,
-        hop: HopMark,
+        hop: RelayHeader,
         out: &mut Vec<Outbound>,
     ) -> Result<(), RefusalReason> {
         let header = &envelope.header;
@@ -197,7 +197,7 @@
         now: SystemTime,
         envelope: &Envelope<'_>,
         service: ServiceId,
-        hop: HopMark,
+        hop: RelayHeader,
         out: &mut Vec<Outbound>,
     ) -> Result<(), RefusalReason> {
         let id = envelope.header.request.ok_or(RefusalReason::Malformed)?;
@@ -207,7 +207,7 @@
             self.act(out, |policy, actions| policy.on_cancel(now, service, id, caller, actions));
 
         if let Some(owner) = owner.filter(|_| hop.count == 0) {
-            let hop = HopMark { count: 1, ..hop };
+            let hop = RelayHeader { count: 1, ..hop };
             self.push_to_peer(envelope, owner, hop, out);
         }
         Ok(())
--- a/crates/valvestage-balancer/tests/data_path.rs
+++ b/crates/valvestage-balancer/tests/data_path.rs
@@ -12,7 +12,7 @@
     Backend, BackendState, Configuration, PacketKind, RawConfiguration, RefusalReason, Service,
 };
 use valvestage_policy::balancer::BalancerOptions;
-use valvestage_policy::flows::{FlowToken, HopMark, RawTokenKeys, RelayPurpose, TokenKeys};
+use valvestage_policy::flows::{FlowToken, RawTokenKeys, RelayHeader, RelayPurpose, TokenKeys};
 use valvestage_policy::membership::LiveView;
 use valvestage_wire::envelope::{MAX_DATAGRAM, decode, encode};
 use valvestage_wire::{Envelope, Header, Target};
@@ -132,7 +132,7 @@
     let unknown = packet(Header::new(PacketKind::Open), at("203.0.113.9:7000"));
     fixture.assert_refused(FABRIC, &unknown, RefusalReason::UnknownService);
     let target = Target { service: 1, backend: 1, incarnation: 1 };
-    let hop = HopMark { count: 1, purpose: RelayPurpose::Home, view_epoch: 0 };
+    let hop = RelayHeader { count: 1, purpose: RelayPurpose::Home, view_epoch: 0 };
     for header in [
         Header { target: Some(target), ..Header::new(PacketKind::Open) },
         Header { hop: Some(hop), ..Header::new(PacketKind::Open) },
--- a/crates/valvestage-entry/src/data_thread.rs
+++ b/crates/valvestage-entry/src/data_thread.rs
@@ -242,7 +242,7 @@
     fn act(&mut self, actions: Vec<KeeperAction>) {
         for action in actions {
             match action {
-                KeeperAction::Tell(peer, message) => {
+                KeeperAction::Send(peer, message) => {
                     if let Some(datagram) = peer_codec::encode(&message) {
                         let peer = SocketAddr::V4(peer);
                         self.note_sent(self.links.peer_socket.send_to(&datagram, peer), peer);
--- a/crates/valvestage-entry/src/decision_lines.rs
+++ b/crates/valvestage-entry/src/decision_lines.rs
@@ -11,7 +11,7 @@
 use valvestage_policy::steering::placement::backend_choice::ChoiceDoubt;
 use valvestage_policy::steering::{
     BackendPhase, Decision, DroppedPacket, FlowAddresses, FlowPlacement, IncompleteAnswer,
-    NewsSource,
+    UpdateSource,
 };
 use valvestage_process::log_ring::LogRing;
 use valvestage_process::structured_log::time_of_day;
@@ -98,7 +98,7 @@
         Decision::Suspected { .. } => "suspected",
         Decision::Cleared { .. } => "cleared",
         Decision::Avoided { .. } => "avoided",
-        Decision::AvoidedAsTold { .. } => "avoided_as_told",
+        Decision::AvoidedByPeer { .. } => "avoided_as_told",
         Decision::Slowed { .. } => "slowed",
         Decision::SpillBegan { .. } => "spill_began",
         Decision::SpillEnded { .. } => "spill_ended",
@@ -176,10 +176,10 @@
         self.put("era", position.era);
     }
 
-    fn put_source(&mut self, source: NewsSource) {
+    fn put_source(&mut self, source: UpdateSource) {
         match source {
-            NewsSource::Store => self.put("source", "store"),
-            NewsSource::Peer(peer) => self.put_text("source", peer),
+            UpdateSource::Store => self.put("source", "store"),
+            UpdateSource::Peer(peer) => self.put_text("source", peer),
         }
     }
 }
@@ -213,7 +213,7 @@
             line.put("share", rounded(*share));
         }
         Decision::SpillEnded { service } => line.put("service", service.as_str()),
-        Decision::AvoidedAsTold { instance, peer, left } => {
+        Decision::AvoidedByPeer { instance, peer, left } => {
             line.put_backend(*instance);
             line.put_text("source", peer);
             line.put_time("avoided_ms", *left);
--- a/crates/valvestage-entry/src/store_tasks.rs
+++ b/crates/valvestage-entry/src/store_tasks.rs
@@ -10,7 +10,7 @@
 };
 use valvestage_platform::messages::WireEvent;
 use valvestage_platform::{PlatformError, StoreClient};
-use valvestage_policy::steering::{BackendNews, RouteMap, StoreCall, StoreKind, StoreReply};
+use valvestage_policy::steering::{BackendUpdate, RouteMap, StoreCall, StoreKind, StoreReply};
 
 use crate::entry_metrics::EntryMetrics;
 use crate::updates::{ControlUpdate, UpdateSender};
@@ -85,7 +85,7 @@
     if event.deleted { None } else { logged(read_routes(&event.object)) }
 }
 
-fn read_backend_event(event: &WireEvent) -> Option<BackendNews> {
+fn read_backend_event(event: &WireEvent) -> Option<BackendUpdate> {
     let BackendReading { news, fault } = logged(read_backend(event, Instant::now()))?;
 
     if let Some(fault) = fault {
--- a/crates/valvestage-entry/src/updates.rs
+++ b/crates/valvestage-entry/src/updates.rs
@@ -5,7 +5,7 @@
 
 use crossbeam_channel::{Receiver, Sender, bounded};
 use mio::Waker;
-use valvestage_policy::steering::{BackendNews, EvacuationNews, RouteMap, StoreReply};
+use valvestage_policy::steering::{BackendUpdate, EvacuationUpdate, RouteMap, StoreReply};
 
 /// Updates under way at most: there is one call for each kind of objects at a time.
 const RING_LENGTH: usize = 64;
@@ -16,9 +16,9 @@
     /// The store's answer about the configuration.
     Routes(StoreReply<RouteMap>),
     /// The store's answer about backend servers.
-    Backends(StoreReply<BackendNews>),
+    Backends(StoreReply<BackendUpdate>),
     /// The store's answer about evacuated availability zones.
-    Evacuations(StoreReply<EvacuationNews>),
+    Evacuations(StoreReply<EvacuationUpdate>),
     /// The settings name other balancers.
     Seeds(Vec<SocketAddrV4>),
     /// The process is to stop: it is not ready any more, and forwards until it ends.
--- a/crates/valvestage-entry/tests/peer_codec.rs
+++ b/crates/valvestage-entry/tests/peer_codec.rs
@@ -9,11 +9,11 @@
 use valvestage_policy::steering::health::backend_observer::BackendObserver;
 use valvestage_policy::steering::health::flow_request::EndedRequest;
 use valvestage_policy::steering::health::outcome_count::OutcomeCount;
-use valvestage_policy::steering::packets::flow_record::FlowSign;
+use valvestage_policy::steering::packets::flow_record::LivenessSignal;
 use valvestage_policy::steering::packets::flow_tracker::FlowObservation;
 use valvestage_policy::steering::peers::peer_message::{
-    AvoidanceReport, BackendChange, BackendRecord, BackendStanding, BackendsPart, BackendsPull,
-    ChunksPull, HealthReport, MAX_MESSAGE_BYTES, MessagePart, OutcomeReport, PeerHeartbeat,
+    AvoidanceReport, BackendChange, BackendRecord, BackendsPart, BackendsPull, ChunksPull,
+    HealthReport, MAX_MESSAGE_BYTES, MessagePart, OutcomeReport, PeerHeartbeat, RecordedPhase,
     RoutesIndex, RoutesPull, ServiceDemand, WalkScope, WatcherSighting,
 };
 use valvestage_policy::steering::peers::route_chunk::{ChunkEntry, RouteChunk};
@@ -58,9 +58,9 @@
         address: address(9),
         slots: 2,
         cold_for_ms: u32::MAX,
-        standing: BackendStanding::Ready,
+        standing: RecordedPhase::Ready,
     };
-    let lapsed = BackendStanding::Lapsed { ago_ms: u32::MAX };
+    let lapsed = RecordedPhase::Lapsed { ago_ms: u32::MAX };
     let gone = BackendRecord { standing: lapsed, ..record.clone() };
     let changes = [record, gone];
     let name = BackendName { digest: u32::MAX, number: u64::MAX };
@@ -129,7 +129,8 @@
         knowledge.directory.put(entry(instance));
         for last in 0..20 {
             let flow = FlowAddresses { caller: address(last), service: address(9) };
-            let sign = if is_bad { FlowSign::Unanswered(now) } else { FlowSign::Neutral };
+            let sign =
+                if is_bad { LivenessSignal::Unanswered(now) } else { LivenessSignal::Neutral };
             let answer_bytes = if is_bad { 0 } else { 775 };
             let ended = Some(EndedRequest { answer_bytes });
             let observation = FlowObservation { sign, ended, began: None };
--- a/crates/valvestage-experiment/src/capacity/flow_slope.rs
+++ b/crates/valvestage-experiment/src/capacity/flow_slope.rs
@@ -6,8 +6,8 @@
 
 use valvestage_core::ids::{BalancerId, FlowKey};
 use valvestage_policy::flows::{
-    Binding, ExceptionFinder, FlowDirector, FlowOptions, FlowPacket, HopMark, MAX_HOPS,
-    RawTokenKeys, TokenKeys,
+    Binding, ExceptionFinder, FlowDirector, FlowOptions, FlowPacket, MAX_HOPS, RawTokenKeys,
+    RelayHeader, TokenKeys,
 };
 use valvestage_policy::membership::LiveView;
 
@@ -62,7 +62,7 @@
     let all = callers.map(|caller| keys.hasher().key(caller, 1));
     let own: Vec<FlowKey> = all.filter(|key| view.home(*key) == Some(OWN)).take(flows).collect();
     for key in &own {
-        let hop = HopMark { count: MAX_HOPS, ..HopMark::FIRST };
+        let hop = RelayHeader { count: MAX_HOPS, ..RelayHeader::FIRST };
         let packet =
             FlowPacket { key: *key, service: 1, opening: true, closing: false, token: None, hop };
         director.decide(now, &packet);
--- a/crates/valvestage-experiment/src/data_path/decision_time.rs
+++ b/crates/valvestage-experiment/src/data_path/decision_time.rs
@@ -4,7 +4,7 @@
 use std::time::{Instant, SystemTime};
 
 use valvestage_core::ids::FlowKey;
-use valvestage_policy::flows::{FlowDirector, FlowPacket, HopMark};
+use valvestage_policy::flows::{FlowDirector, FlowPacket, RelayHeader};
 
 use crate::capacity::full_director;
 use crate::table::Table;
@@ -42,7 +42,7 @@
             opening: false,
             closing: false,
             token: None,
-            hop: HopMark::FIRST,
+            hop: RelayHeader::FIRST,
         };
         black_box(director.decide(now, &packet));
     }
--- a/crates/valvestage-experiment/src/fleet/store.rs
+++ b/crates/valvestage-experiment/src/fleet/store.rs
@@ -4,7 +4,7 @@
 
 use valvestage_core::StorePosition;
 use valvestage_policy::steering::{
-    BackendEntry, BackendName, BackendNews, BackendPhase, EntryChange, RouteMap, RouteTarget,
+    BackendEntry, BackendName, BackendPhase, BackendUpdate, EntryChange, RouteMap, RouteTarget,
     StoreCall, StoreKind, StoreReply,
 };
 
@@ -21,7 +21,7 @@
 /// `StoreAnswer` is the answer to a call of one kind.
 pub enum StoreAnswer {
     Routes(StoreReply<RouteMap>),
-    Backends(StoreReply<BackendNews>),
+    Backends(StoreReply<BackendUpdate>),
 }
 
 impl StoreAnswer {
@@ -46,7 +46,7 @@
     route_changes: Vec<(u64, RouteMap)>,
     /// In the order of their names.
     entries: Vec<BackendEntry>,
-    entry_changes: Vec<BackendNews>,
+    entry_changes: Vec<BackendUpdate>,
 }
 
 impl FleetStore {
@@ -133,7 +133,7 @@
         }
     }
 
-    fn page(&self, after: &Option<String>) -> StoreReply<BackendNews> {
+    fn page(&self, after: &Option<String>) -> StoreReply<BackendUpdate> {
         let first = after.as_ref().and_then(|name| name.parse::<usize>().ok()).unwrap_or(0);
         let end = (first + PAGE).min(self.entries.len());
 
@@ -164,8 +164,8 @@
     }
 }
 
-fn written(entry: &BackendEntry) -> BackendNews {
-    BackendNews {
+fn written(entry: &BackendEntry) -> BackendUpdate {
+    BackendUpdate {
         name: entry.name,
         position: entry.position,
         change: EntryChange::Written(entry.clone()),
--- a/crates/valvestage-experiment/src/fleet/world.rs
+++ b/crates/valvestage-experiment/src/fleet/world.rs
@@ -259,7 +259,7 @@
 
     fn carry_out(&mut self, node: usize, action: KeeperAction) {
         match action {
-            KeeperAction::Tell(peer, message) => {
+            KeeperAction::Send(peer, message) => {
                 let Some(to) = self.places.get(&peer).copied() else { return };
                 let bytes = postcard::experimental::serialized_size(&message).unwrap_or_default();
                 let bytes = u64::try_from(bytes).unwrap_or_default() + 1;
--- a/crates/valvestage-experiment/src/flows/flow_model.rs
+++ b/crates/valvestage-experiment/src/flows/flow_model.rs
@@ -8,7 +8,7 @@
 use valvestage_core::ids::{BackendId, BalancerId, FlowKey};
 use valvestage_policy::flows::{
     Binding, ExceptionFinder, FlowDirector, FlowOptions, FlowPacket, FlowToken, FlowVerdict,
-    HopMark, RawTokenKeys, TokenKeys,
+    RawTokenKeys, RelayHeader, TokenKeys,
 };
 use valvestage_policy::membership::LiveView;
 
@@ -268,7 +268,7 @@
             return Some(Some(eligible[place]));
         }
 
-        let mut hop = HopMark::FIRST;
+        let mut hop = RelayHeader::FIRST;
         loop {
             if self.dead == Some(at) {
                 return None;
--- a/crates/valvestage-policy/src/balancer/balancer_policy.rs
+++ b/crates/valvestage-policy/src/balancer/balancer_policy.rs
@@ -13,13 +13,13 @@
 use crate::flows::{FlowDirector, FlowPacket, FlowSource, FlowVerdict, TokenKeys};
 use crate::membership::LiveView;
 use crate::operations::{Decision, DecisionLog, DecisionRecord, Subject};
-use crate::requests::{HandedClaim, Request, RequestAction, ServiceDispatcher, ServiceLoad};
+use crate::requests::{ExportedClaim, Request, RequestAction, ServiceDispatcher, ServiceLoad};
 
 /// Claims of a handover that is not complete yet.
 #[derive(Debug, Clone)]
 pub(super) struct PendingImport<P> {
     pub(super) handover: u64,
-    pub(super) claims: Vec<HandedClaim<P>>,
+    pub(super) claims: Vec<ExportedClaim<P>>,
     /// Requests that the former owner relayed before the owner map arrived; at most
     /// [`super::MAX_HELD_REQUESTS`].
     pub(super) held: Vec<Request<P>>,
--- a/crates/valvestage-policy/src/balancer/owner_change.rs
+++ b/crates/valvestage-policy/src/balancer/owner_change.rs
@@ -8,9 +8,9 @@
 use super::balancer_policy::{BalancerPolicy, PendingImport};
 use super::request_routing::refuse_unclaimed;
 use crate::control::OwnerMap;
-use crate::flows::HopMark;
+use crate::flows::RelayHeader;
 use crate::operations::{Decision, Subject};
-use crate::requests::{HandedClaim, RequestAction};
+use crate::requests::{ExportedClaim, RequestAction};
 
 /// Maximum number of requests held per service until the owner map arrives.
 pub(super) const MAX_HELD_REQUESTS: usize = 1_000;
@@ -75,12 +75,12 @@
             }
         }
         for request in pending.held {
-            self.on_request(now, request, HopMark::FIRST, out);
+            self.on_request(now, request, RelayHeader::FIRST, out);
         }
     }
 
     /// Returns a copy of a service's claims for its next owner, and holds new work back.
-    pub fn start_handover(&mut self, service: ServiceId) -> Vec<HandedClaim<P>> {
+    pub fn start_handover(&mut self, service: ServiceId) -> Vec<ExportedClaim<P>> {
         self.dispatchers.get_mut(&service).map(|d| d.start_handover()).unwrap_or_default()
     }
 
@@ -102,7 +102,7 @@
         let held = if moved { dispatcher.complete_handover() } else { dispatcher.abort_handover() };
 
         for request in held {
-            self.on_request(now, request, HopMark::FIRST, out);
+            self.on_request(now, request, RelayHeader::FIRST, out);
         }
     }
 
@@ -113,7 +113,7 @@
         now: SystemTime,
         service: ServiceId,
         handover: u64,
-        claims: Vec<HandedClaim<P>>,
+        claims: Vec<ExportedClaim<P>>,
     ) {
         let held_until = now + HOLD_TIME;
         let pending = PendingImport { handover, claims, held: Vec::new(), held_until };
--- a/crates/valvestage-policy/src/balancer/request_routing.rs
+++ b/crates/valvestage-policy/src/balancer/request_routing.rs
@@ -8,7 +8,7 @@
 
 use super::balancer_policy::BalancerPolicy;
 use super::owner_change::MAX_HELD_REQUESTS;
-use crate::flows::{HopMark, MAX_HOPS, RelayPurpose};
+use crate::flows::{MAX_HOPS, RelayHeader, RelayPurpose};
 use crate::requests::{Authority, BackendReply, ClaimState, Refusal, Request, RequestAction};
 
 /// Retry delay given to a caller if the owner of its request's service is unreachable.
@@ -32,7 +32,7 @@
         &mut self,
         now: SystemTime,
         request: Request<P>,
-        hop: HopMark,
+        hop: RelayHeader,
         out: &mut Vec<RequestAction<P>>,
     ) {
         self.detect_pause(now);
@@ -46,7 +46,7 @@
         &mut self,
         now: SystemTime,
         request: Request<P>,
-        hop: HopMark,
+        hop: RelayHeader,
         out: &mut Vec<RequestAction<P>>,
     ) {
         if self.director.history().current().is_none() {
@@ -57,7 +57,7 @@
         match self.decider(&request, hop) {
             Decider::Own => self.accept(now, request, out),
             Decider::Peer(peer) => {
-                let hop = HopMark {
+                let hop = RelayHeader {
                     count: hop.count + 1,
                     purpose: RelayPurpose::Home,
                     view_epoch: self.director.view().epoch(),
@@ -91,7 +91,7 @@
         }
     }
 
-    fn decider(&self, request: &Request<P>, hop: HopMark) -> Decider {
+    fn decider(&self, request: &Request<P>, hop: RelayHeader) -> Decider {
         let own = self.options.own;
         let view = self.director.view();
         let may_relay = hop.count < MAX_HOPS;
@@ -101,7 +101,9 @@
         if let Some(claim) = dispatcher.and_then(|dispatcher| dispatcher.claim(request.id)) {
             let former = self.former_owners.get(&request.service).copied();
             return match (&claim.state, former) {
-                (ClaimState::Elsewhere, Some(former)) if may_relay && view.is_reachable(former) => {
+                (ClaimState::RunningAtPreviousOwner, Some(former))
+                    if may_relay && view.is_reachable(former) =>
+                {
                     Decider::Peer(former)
                 }
                 _ => Decider::Own,
--- a/crates/valvestage-policy/src/control.rs
+++ b/crates/valvestage-policy/src/control.rs
@@ -18,7 +18,7 @@
 mod planned_stop;
 mod platform_call;
 
-pub use control_action::{ControlAction, Installation, Machine};
+pub use control_action::{ControlAction, Installation, StateMachine};
 pub use control_options::ControlOptions;
 pub use control_policy::ControlPolicy;
 pub use first_read::FirstRead;
--- a/crates/valvestage-policy/src/control/control_action.rs
+++ b/crates/valvestage-policy/src/control/control_action.rs
@@ -16,7 +16,7 @@
 
 /// State machine that a platform call belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Machine {
+pub enum StateMachine {
     /// The lease manager of this balancer.
     Lease,
     /// The coordinator of service ownership.
@@ -51,7 +51,7 @@
     /// Perform a platform call and return the reply to the policy.
     Call {
         /// State machine that gets the reply.
-        machine: Machine,
+        machine: StateMachine,
         /// The call to perform.
         call: PlatformCall,
     },
--- a/crates/valvestage-policy/src/control/control_policy.rs
+++ b/crates/valvestage-policy/src/control/control_policy.rs
@@ -8,7 +8,7 @@
 use valvestage_core::ids::ObjectVersion;
 use valvestage_core::time::{from_unix_millis, to_unix_millis};
 
-use super::control_action::{ControlAction, Installation, Machine};
+use super::control_action::{ControlAction, Installation, StateMachine};
 use super::control_options::ControlOptions;
 use super::first_read::FirstRead;
 use super::lease_manager::{LeaseGrant, LeaseManager};
@@ -102,7 +102,7 @@
         }
 
         if let Some(call) = self.first_read.next_call(now) {
-            out.push(ControlAction::Call { machine: Machine::FirstRead, call });
+            out.push(ControlAction::Call { machine: StateMachine::FirstRead, call });
         }
         let has_objects =
             self.configuration.is_some() && self.objects.version(ObjectKey::TokenKeys) > 0;
@@ -159,7 +159,7 @@
     pub fn on_reply(
         &mut self,
         now: SystemTime,
-        machine: Machine,
+        machine: StateMachine,
         reply: PlatformReply,
         out: &mut Vec<ControlAction>,
     ) -> Result<bool, PolicyError> {
@@ -168,13 +168,13 @@
         }
 
         match machine {
-            Machine::FirstRead => {
+            StateMachine::FirstRead => {
                 if let Some((version, value)) = self.first_read.on_reply(now, reply) {
                     return self.on_object(ObjectKey::Configuration, version, value, out);
                 }
             }
-            Machine::Lease => self.lease_manager.on_reply(now, &reply),
-            Machine::Owners => {
+            StateMachine::Lease => self.lease_manager.on_reply(now, &reply),
+            StateMachine::Owners => {
                 if let Some(map) = self.coordinator.on_reply(now, reply) {
                     self.on_owner_map(map, out);
                 }
--- a/crates/valvestage-policy/src/control/control_roles.rs
+++ b/crates/valvestage-policy/src/control/control_roles.rs
@@ -5,7 +5,7 @@
 
 use valvestage_core::ids::{BalancerId, ServiceId};
 
-use super::control_action::{ControlAction, Installation, Machine};
+use super::control_action::{ControlAction, Installation, StateMachine};
 use super::control_policy::ControlPolicy;
 use super::owner_coordinator::{CoordinatorInputs, OwnerCandidate};
 use super::planned_stop::PlannedStop;
@@ -27,7 +27,7 @@
         if self.may_hold_lease(now)
             && let Some(call) = self.lease_manager.next_call(now)
         {
-            out.push(ControlAction::Call { machine: Machine::Lease, call });
+            out.push(ControlAction::Call { machine: StateMachine::Lease, call });
         }
 
         let grant = self.lease_manager.grant(now);
@@ -59,7 +59,7 @@
             live: self.view.members().count(),
         };
         if let Some(call) = self.coordinator.next_call(now, &inputs) {
-            out.push(ControlAction::Call { machine: Machine::Owners, call });
+            out.push(ControlAction::Call { machine: StateMachine::Owners, call });
         }
     }
 
--- a/crates/valvestage-policy/src/flows.rs
+++ b/crates/valvestage-policy/src/flows.rs
@@ -22,7 +22,7 @@
 pub use flow_hasher::FlowHasher;
 pub use flow_options::{FlowLayers, FlowOptions};
 pub use flow_packet::{
-    Binding, FlowPacket, FlowSource, FlowVerdict, HopMark, MAX_HOPS, RelayPurpose,
+    Binding, FlowPacket, FlowSource, FlowVerdict, MAX_HOPS, RelayHeader, RelayPurpose,
 };
 pub use flow_table::{FlowEntry, FlowTable};
 pub use flow_token::{FlowToken, TOKEN_BYTES};
--- a/crates/valvestage-policy/src/flows/flow_director.rs
+++ b/crates/valvestage-policy/src/flows/flow_director.rs
@@ -11,7 +11,7 @@
 use super::configuration_history::ConfigurationHistory;
 use super::flow_options::{FlowLayers, FlowOptions};
 use super::flow_packet::{
-    Binding, FlowPacket, FlowSource, FlowVerdict, HopMark, MAX_HOPS, RelayPurpose,
+    Binding, FlowPacket, FlowSource, FlowVerdict, MAX_HOPS, RelayHeader, RelayPurpose,
 };
 use super::flow_table::{FlowEntry, FlowTable};
 use super::placement::place;
@@ -193,7 +193,8 @@
     }
 
     fn relay(&self, packet: &FlowPacket, peer: BalancerId, purpose: RelayPurpose) -> FlowVerdict {
-        let hop = HopMark { count: packet.hop.count + 1, purpose, view_epoch: self.view.epoch() };
+        let hop =
+            RelayHeader { count: packet.hop.count + 1, purpose, view_epoch: self.view.epoch() };
 
         FlowVerdict::Relay { peer, hop }
     }
--- a/crates/valvestage-policy/src/flows/flow_packet.rs
+++ b/crates/valvestage-policy/src/flows/flow_packet.rs
@@ -21,7 +21,7 @@
 
 /// Header that a relayed packet carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HopMark {
+pub struct RelayHeader {
     /// Number of relays so far; 0 for a packet from the fabric.
     pub count: u8,
     /// Reason of the last relay.
@@ -30,7 +30,7 @@
     pub view_epoch: u64,
 }
 
-impl HopMark {
+impl RelayHeader {
     /// Header of a packet from the fabric, which has not been relayed.
     pub const FIRST: Self = Self { count: 0, purpose: RelayPurpose::Home, view_epoch: 0 };
 }
@@ -49,7 +49,7 @@
     /// Token that the caller echoed, if any.
     pub token: Option<FlowToken>,
     /// Relays so far, with the reason of the last one.
-    pub hop: HopMark,
+    pub hop: RelayHeader,
 }
 
 /// Layer that found the backend server.
@@ -85,7 +85,7 @@
         /// Balancer that the packet is relayed to.
         peer: BalancerId,
         /// Header that the relayed packet carries.
-        hop: HopMark,
+        hop: RelayHeader,
     },
     /// The packet is refused, and the caller is notified.
     Refuse(RefusalReason),
--- a/crates/valvestage-policy/src/requests.rs
+++ b/crates/valvestage-policy/src/requests.rs
@@ -26,7 +26,7 @@
 pub use backend_slots::BackendSlots;
 pub use claim::{Claim, ClaimState};
 pub use claim_table::ClaimTable;
-pub use exported_claim::{ExportedState, HandedClaim};
+pub use exported_claim::{ExportedClaim, ExportedState};
 pub use request::{Refusal, Request};
 pub use request_action::RequestAction;
 pub use request_options::{ChoiceRule, RequestOptions};
--- a/crates/valvestage-policy/src/requests/claim.rs
+++ b/crates/valvestage-policy/src/requests/claim.rs
@@ -14,7 +14,7 @@
     /// At least one attempt has been sent.
     Running,
     /// Runs on behalf of the previous owner of the service, which will answer it.
-    Elsewhere,
+    RunningAtPreviousOwner,
     /// Answered; the segments are kept to answer retransmissions.
     Answered(Vec<P>),
     /// Refused; every later copy gets the same refusal.
@@ -52,7 +52,7 @@
     /// Reports whether any attempt may have run.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
-        matches!(self.state, ClaimState::Elsewhere)
+        matches!(self.state, ClaimState::RunningAtPreviousOwner)
             || self.attempts.iter().any(AttemptRecord::may_have_run)
     }
 
--- a/crates/valvestage-policy/src/requests/exported_claim.rs
+++ b/crates/valvestage-policy/src/requests/exported_claim.rs
@@ -22,18 +22,18 @@
 
 /// One claim in transfer to the next owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HandedClaim<P> {
+pub struct ExportedClaim<P> {
     /// The request as the previous owner accepted it.
     pub request: Request<P>,
     /// Progress at the time of the transfer.
     pub state: ExportedState<P>,
 }
 
-impl<P: Clone> From<&Claim<P>> for HandedClaim<P> {
+impl<P: Clone> From<&Claim<P>> for ExportedClaim<P> {
     fn from(claim: &Claim<P>) -> Self {
         let state = match &claim.state {
             _ if claim.can_be_run_by_next_owner() => ExportedState::Waiting,
-            ClaimState::Waiting | ClaimState::Running | ClaimState::Elsewhere => {
+            ClaimState::Waiting | ClaimState::Running | ClaimState::RunningAtPreviousOwner => {
                 ExportedState::Running
             }
             ClaimState::Answered(segments) => ExportedState::Answered(segments.clone()),
@@ -44,14 +44,14 @@
     }
 }
 
-impl<P> HandedClaim<P> {
+impl<P> ExportedClaim<P> {
     /// Converts into a claim of the next owner, and reports whether the request waits to be run.
     #[must_use]
     pub fn into_claim(self, kept_until: SystemTime) -> (Claim<P>, bool) {
         let waits = matches!(self.state, ExportedState::Waiting);
         let state = match self.state {
             ExportedState::Waiting => ClaimState::Waiting,
-            ExportedState::Running => ClaimState::Elsewhere,
+            ExportedState::Running => ClaimState::RunningAtPreviousOwner,
             ExportedState::Answered(segments) => ClaimState::Answered(segments),
             ExportedState::Refused(refusal) => ClaimState::Refused(refusal),
         };
--- a/crates/valvestage-policy/src/requests/request_action.rs
+++ b/crates/valvestage-policy/src/requests/request_action.rs
@@ -7,7 +7,7 @@
 use valvestage_core::time::Deadline;
 
 use super::request::{Refusal, Request};
-use crate::flows::HopMark;
+use crate::flows::RelayHeader;
 
 /// One action; the driver carries actions out in the order given.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -32,7 +32,7 @@
         /// Balancer that receives the request.
         peer: BalancerId,
         /// Hop mark that the relayed request carries.
-        hop: HopMark,
+        hop: RelayHeader,
         /// The request to send on.
         request: Request<P>,
     },
--- a/crates/valvestage-policy/src/requests/service_dispatcher.rs
+++ b/crates/valvestage-policy/src/requests/service_dispatcher.rs
@@ -123,7 +123,7 @@
             ClaimState::Refused(refusal) => {
                 out.push(RequestAction::Refuse { id, service, caller, refusal: *refusal });
             }
-            ClaimState::Waiting | ClaimState::Running | ClaimState::Elsewhere => {}
+            ClaimState::Waiting | ClaimState::Running | ClaimState::RunningAtPreviousOwner => {}
         }
         true
     }
--- a/crates/valvestage-policy/src/requests/service_handover.rs
+++ b/crates/valvestage-policy/src/requests/service_handover.rs
@@ -4,7 +4,7 @@
 
 use valvestage_core::time::Deadline;
 
-use super::exported_claim::HandedClaim;
+use super::exported_claim::ExportedClaim;
 use super::request::Request;
 use super::service_dispatcher::ServiceDispatcher;
 use super::wait_queue::WaitEntry;
@@ -12,10 +12,10 @@
 impl<P: Clone> ServiceDispatcher<P> {
     /// Exports the claims for the next owner, and holds new requests back until the handover is
     /// completed or aborted.
-    pub fn start_handover(&mut self) -> Vec<HandedClaim<P>> {
+    pub fn start_handover(&mut self) -> Vec<ExportedClaim<P>> {
         self.held_requests.get_or_insert_default();
 
-        self.claims.iter().map(HandedClaim::from).collect()
+        self.claims.iter().map(ExportedClaim::from).collect()
     }
 
     /// Drops the waiting requests, which the next owner runs, and returns the requests held back
@@ -49,7 +49,7 @@
     }
 
     /// Imports the claims of the previous owner, and queues the waiting requests to run them here.
-    pub fn import(&mut self, now: SystemTime, exported: Vec<HandedClaim<P>>) {
+    pub fn import(&mut self, now: SystemTime, exported: Vec<ExportedClaim<P>>) {
         for claim in exported {
             let deadline: Deadline = claim.request.deadline;
             let class = claim.request.class;
--- a/crates/valvestage-policy/src/requests/service_replies.rs
+++ b/crates/valvestage-policy/src/requests/service_replies.rs
@@ -207,7 +207,9 @@
                 self.finish_refused(now, id, RefusalReason::ExpiredRunning, out);
             }
             // The previous owner answers; copies are past the deadline as well.
-            ClaimState::Elsewhere | ClaimState::Answered(_) | ClaimState::Refused(_) => {}
+            ClaimState::RunningAtPreviousOwner
+            | ClaimState::Answered(_)
+            | ClaimState::Refused(_) => {}
         }
     }
 
--- a/crates/valvestage-policy/src/steering.rs
+++ b/crates/valvestage-policy/src/steering.rs
@@ -39,7 +39,7 @@
 
 pub use decision::{
     AnswerTime, Decision, DroppedPacket, EvacuationPhase, FlowPlacement, IncompleteAnswer,
-    NewsSource,
+    UpdateSource,
 };
 pub use entry_policy::{EntryOptions, EntryPolicy};
 pub use keeper::keeper_action::KeeperAction;
@@ -47,7 +47,7 @@
 pub use knowledge::Knowledge;
 pub use knowledge::backend_directory::BackendDirectory;
 pub use knowledge::backend_entry::{BackendEnd, BackendEntry, BackendPhase};
-pub use knowledge::backend_name::{BackendName, BirthMillis};
+pub use knowledge::backend_name::{BackendName, StartMillis};
 pub use knowledge::cold_rate::ColdRate;
 pub use knowledge::entry_times::EntryTimes;
 pub use knowledge::evacuated_zones::EvacuationReport;
@@ -62,6 +62,6 @@
 pub use peers::peer_message::PeerMessage;
 pub use placement::cold_shares::ColdLimit;
 pub use placement::steering_options::SteeringOptions;
-pub use store::evacuation_follower::EvacuationNews;
+pub use store::evacuation_follower::EvacuationUpdate;
 pub use store::store_follower::{ListFreshness, StoreCall, StoreFollower, StoreKind, StoreReply};
-pub use store::store_link::{BackendNews, EntryChange, StoreLink};
+pub use store::store_link::{BackendUpdate, EntryChange, StoreLink};
--- a/crates/valvestage-policy/src/steering/decision.rs
+++ b/crates/valvestage-policy/src/steering/decision.rs
@@ -73,7 +73,7 @@
         service: ServiceName,
     },
     /// A backend server is avoided because another balancer reported that it avoids it.
-    AvoidedAsTold {
+    AvoidedByPeer {
         /// The avoided backend server.
         instance: InstanceId,
         /// The balancer that reported the avoidance.
@@ -108,7 +108,7 @@
         /// Number of addresses with a route.
         addresses: usize,
         /// Where the configuration came from.
-        source: NewsSource,
+        source: UpdateSource,
     },
     /// The known state of a backend server has changed.
     BackendChanged {
@@ -121,7 +121,7 @@
         /// Its new phase.
         phase: BackendPhase,
         /// Where the change came from.
-        source: NewsSource,
+        source: UpdateSource,
     },
     /// Operators have evacuated an availability zone, or ended its evacuation.
     Evacuation {
@@ -132,7 +132,7 @@
         /// Position of the store up to which evacuations are known.
         position: StorePosition,
         /// Where the change came from.
-        source: NewsSource,
+        source: UpdateSource,
         /// Time since the store last confirmed the previous state; `None` if it never did.
         age: Option<Duration>,
     },
@@ -320,7 +320,7 @@
 
 /// Where a piece of information came from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NewsSource {
+pub enum UpdateSource {
     /// It was read from the store.
     Store,
     /// Another balancer, with this address, sent it.
--- a/crates/valvestage-policy/src/steering/entry_policy.rs
+++ b/crates/valvestage-policy/src/steering/entry_policy.rs
@@ -17,9 +17,9 @@
 use crate::steering::packets::steering_policy::SteeringPolicy;
 use crate::steering::peers::peer_message::{BalancerReport, PeerMessage};
 use crate::steering::placement::steering_options::SteeringOptions;
-use crate::steering::store::evacuation_follower::EvacuationNews;
+use crate::steering::store::evacuation_follower::EvacuationUpdate;
 use crate::steering::store::store_follower::StoreReply;
-use crate::steering::store::store_link::BackendNews;
+use crate::steering::store::store_link::BackendUpdate;
 
 /// Interval at which outdated records are removed.
 const CLEANING_INTERVAL: Duration = Duration::from_secs(1);
@@ -68,7 +68,7 @@
 
 /// An interval in which the process stood still.
 #[derive(Debug, Clone, Copy)]
-struct Standstill {
+struct Stall {
     /// Time of the last tick before the interval.
     since: Instant,
     /// Time until which messages that arrived in the interval may be read; later than `since`.
@@ -90,7 +90,7 @@
     /// Whether a standstill since the last tick has been noted already.
     is_gap_noted: bool,
     /// The latest interval in which the process stood still.
-    standstill: Option<Standstill>,
+    standstill: Option<Stall>,
     /// The report to other balancers on what is seen here, as of the last tick.
     report: BalancerReport,
     /// Decisions since the last call of [`Self::take_decisions`].
@@ -227,7 +227,7 @@
     /// Handles the store's reply about backend servers.
     pub fn on_backends_reply(
         &mut self,
-        reply: StoreReply<BackendNews>,
+        reply: StoreReply<BackendUpdate>,
         now: Instant,
     ) -> Vec<KeeperAction> {
         self.keeper.on_backends_reply(&mut self.knowledge, reply, now);
@@ -238,7 +238,7 @@
     /// Handles the store's reply about evacuated availability zones.
     pub fn on_evacuations_reply(
         &mut self,
-        reply: StoreReply<EvacuationNews>,
+        reply: StoreReply<EvacuationUpdate>,
         now: Instant,
     ) -> Vec<KeeperAction> {
         self.keeper.on_evacuations_reply(&mut self.knowledge, reply, now);
@@ -320,7 +320,7 @@
 
         self.is_gap_noted = true;
         let read_until = now + TICK_INTERVAL;
-        self.standstill = Some(Standstill { since: self.last_tick, read_until });
+        self.standstill = Some(Stall { since: self.last_tick, read_until });
         self.steering.on_standstill(now);
         // After a longer gap the knowledge is outdated, so other balancers are asked at once.
         if gap >= MIN_PAUSE {
--- a/crates/valvestage-policy/src/steering/health/backend_health.rs
+++ b/crates/valvestage-policy/src/steering/health/backend_health.rs
@@ -13,8 +13,8 @@
 
 use crate::steering::decision::Decision;
 use crate::steering::packets::caller_packet::FlowAddresses;
-use crate::steering::packets::flow_record::FlowSign;
-use crate::steering::placement::flow_placer::ANSWER_TIME;
+use crate::steering::packets::flow_record::LivenessSignal;
+use crate::steering::placement::flow_placer::MAX_ANSWER_TIME;
 
 /// Number of flows that have to miss an answer before their backend server is suspected. A single
 /// flow may have lost datagrams.
@@ -67,13 +67,13 @@
         &mut self,
         instance: InstanceId,
         flow: FlowAddresses,
-        sign: FlowSign,
+        sign: LivenessSignal,
         now: Instant,
     ) -> Option<Decision> {
         match sign {
-            FlowSign::Neutral => None,
-            FlowSign::Alive(_) => self.observe_life(instance, now),
-            FlowSign::Unanswered(since) => self.observe_miss(instance, flow, since, now),
+            LivenessSignal::Neutral => None,
+            LivenessSignal::Alive(_) => self.observe_life(instance, now),
+            LivenessSignal::Unanswered(since) => self.observe_miss(instance, flow, since, now),
         }
     }
 
@@ -91,10 +91,10 @@
     /// Records that another balancer suspects a backend server.
     pub fn on_peer_suspicion(&mut self, instance: InstanceId, now: Instant) {
         /// A sign of life seen here within this time takes precedence over reports of others.
-        const LIFE_PRECEDENCE: Duration = Duration::from_millis(500);
+        const ANSWER_PRECEDENCE: Duration = Duration::from_millis(500);
 
         let record = self.records.entry(instance).or_default();
-        if record.last_life.is_none_or(|life| now - life > LIFE_PRECEDENCE) {
+        if record.last_life.is_none_or(|life| now - life > ANSWER_PRECEDENCE) {
             record.peer_suspects_until = Some(now + PEER_REPORT_TTL);
         }
     }
@@ -127,7 +127,7 @@
     ) -> Option<Decision> {
         let record = self.records.entry(instance).or_default();
         let waited = now.saturating_duration_since(since);
-        if waited < ANSWER_TIME || record.last_life.is_some_and(|life| life >= since) {
+        if waited < MAX_ANSWER_TIME || record.last_life.is_some_and(|life| life >= since) {
             return None;
         }
 
--- a/crates/valvestage-policy/src/steering/health/backend_observer.rs
+++ b/crates/valvestage-policy/src/steering/health/backend_observer.rs
@@ -14,7 +14,7 @@
 use crate::steering::decision::{AnswerTime, Decision};
 use crate::steering::knowledge::Knowledge;
 use crate::steering::packets::caller_packet::FlowAddresses;
-use crate::steering::packets::flow_record::FlowSign;
+use crate::steering::packets::flow_record::LivenessSignal;
 use crate::steering::packets::flow_tracker::{FlowObservation, FlowTracker};
 use crate::steering::peers::peer_message::HealthReport;
 
@@ -118,7 +118,7 @@
         if let Some(started) = began {
             self.judge.on_began(flow, started);
         }
-        if let FlowSign::Alive(answer) = sign
+        if let LivenessSignal::Alive(answer) = sign
             && let Some(since) = answer.since
         {
             let time = now.saturating_duration_since(since);
--- a/crates/valvestage-policy/src/steering/health/outlier_detector.rs
+++ b/crates/valvestage-policy/src/steering/health/outlier_detector.rs
@@ -42,7 +42,7 @@
 const RETURN_FACTOR: f64 = 3.0;
 
 /// Number of poor requests seen by one balancer from which on it asks others for their counts.
-const POOR_TO_ASK: f64 = 0.9;
+const POOR_TO_REQUEST_COUNTS: f64 = 0.9;
 
 /// How long a count reported by another balancer is used. In the largest reference deployment, each
 /// balancer hears two thirds of the others within this time.
@@ -96,7 +96,7 @@
         let poor = if is_poor { 1.0 } else { 0.0 };
         let one = OutcomeCount { answered: 1.0 - poor, poor, expected };
         record.own.add(&one, now);
-        if record.own.at(now).poor >= POOR_TO_ASK {
+        if record.own.at(now).poor >= POOR_TO_REQUEST_COUNTS {
             record.report_counts_until = Some(now + REPORT_PERIOD);
         }
         let none = || DecayingCount::new(OutcomeCount::default(), now);
@@ -120,7 +120,7 @@
             // decide.
             let Some(record) = self.records.get_mut(&report.instance) else { continue };
             let count = report.count();
-            if count.poor >= POOR_TO_ASK {
+            if count.poor >= POOR_TO_REQUEST_COUNTS {
                 record.report_counts_until = Some(now + REPORT_PERIOD);
             }
             if record.is_avoided(now) {
@@ -149,7 +149,7 @@
             }
             let left = Duration::from_millis((*left_ms).into()).min(MAX_PEER_AVOIDANCE);
             record.avoid_as_reported(left, self.draw.unit(), now);
-            decisions.push(Decision::AvoidedAsTold { instance: *instance, peer, left });
+            decisions.push(Decision::AvoidedByPeer { instance: *instance, peer, left });
         }
         decisions
     }
--- a/crates/valvestage-policy/src/steering/keeper/keeper_action.rs
+++ b/crates/valvestage-policy/src/steering/keeper/keeper_action.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeeperAction {
     /// Send a message to another balancer.
-    Tell(SocketAddrV4, PeerMessage),
+    Send(SocketAddrV4, PeerMessage),
     /// Call the store, and pass the reply to the `KnowledgeKeeper`.
     Call(StoreKind, StoreCall),
 }
--- a/crates/valvestage-policy/src/steering/keeper/keeper_exchange.rs
+++ b/crates/valvestage-policy/src/steering/keeper/keeper_exchange.rs
@@ -7,9 +7,9 @@
 
 use super::keeper_action::KeeperAction;
 use super::keeper_updates::KeeperUpdates;
-use crate::steering::decision::{Decision, NewsSource};
+use crate::steering::decision::{Decision, UpdateSource};
 use crate::steering::knowledge::Knowledge;
-use crate::steering::peers::answer_queue::PeerQuestion;
+use crate::steering::peers::answer_queue::PeerPull;
 use crate::steering::peers::peer_exchange::{ExchangeStep, PeerExchange};
 use crate::steering::peers::peer_message::{
     BackendsPart, BackendsPull, PeerHeartbeat, PeerMessage, RoutesPull, WalkScope,
@@ -122,9 +122,9 @@
                     now,
                 );
             }
-            PeerMessage::RoutesPull(pull) => PeerQuestion::Routes(pull),
-            PeerMessage::ChunksPull(pull) => PeerQuestion::Chunks(pull),
-            PeerMessage::BackendsPull(pull) => PeerQuestion::Backends(pull),
+            PeerMessage::RoutesPull(pull) => PeerPull::Routes(pull),
+            PeerMessage::ChunksPull(pull) => PeerPull::Chunks(pull),
+            PeerMessage::BackendsPull(pull) => PeerPull::Backends(pull),
         };
 
         self.exchange.on_question(sender, question, now);
@@ -161,7 +161,7 @@
         if step.has_routes {
             knowledge.note_caught_up();
             let routes = self.exchange.catalogue().map();
-            updates.apply_routes(knowledge, routes, NewsSource::Peer(sender));
+            updates.apply_routes(knowledge, routes, UpdateSource::Peer(sender));
         }
 
         step.ask.into_iter().map(send_action).collect()
@@ -188,14 +188,14 @@
             updates.notify_if(std::mem::take(&mut self.has_unannounced_changes));
         }
         for instance in step.changed {
-            updates.record_backend(knowledge, instance, NewsSource::Peer(sender));
+            updates.record_backend(knowledge, instance, UpdateSource::Peer(sender));
         }
         step.ask.into_iter().map(send_action).collect()
     }
 }
 
 fn send_action((peer, message): (SocketAddrV4, PeerMessage)) -> KeeperAction {
-    KeeperAction::Tell(peer, message)
+    KeeperAction::Send(peer, message)
 }
 
 /// Changes of backend servers come several times a second, so requests for them are not logged.
--- a/crates/valvestage-policy/src/steering/keeper/keeper_updates.rs
+++ b/crates/valvestage-policy/src/steering/keeper/keeper_updates.rs
@@ -4,7 +4,7 @@
 
 use valvestage_core::ids::InstanceId;
 
-use crate::steering::decision::{Decision, EvacuationPhase, NewsSource};
+use crate::steering::decision::{Decision, EvacuationPhase, UpdateSource};
 use crate::steering::knowledge::Knowledge;
 use crate::steering::knowledge::evacuated_zones::EvacuationReport;
 use crate::steering::knowledge::route_map::RouteMap;
@@ -73,7 +73,7 @@
         &mut self,
         knowledge: &Knowledge,
         instance: InstanceId,
-        source: NewsSource,
+        source: UpdateSource,
     ) {
         let Some(entry) = knowledge.directory.get(instance) else { return };
 
@@ -95,7 +95,7 @@
         &mut self,
         knowledge: &mut Knowledge,
         report: EvacuationReport,
-        source: NewsSource,
+        source: UpdateSource,
         now: Instant,
     ) {
         let as_of = report.as_of;
@@ -121,7 +121,7 @@
         &mut self,
         knowledge: &mut Knowledge,
         routes: RouteMap,
-        source: NewsSource,
+        source: UpdateSource,
     ) {
         let former = knowledge.routes.version;
 
--- a/crates/valvestage-policy/src/steering/keeper/knowledge_keeper.rs
+++ b/crates/valvestage-policy/src/steering/keeper/knowledge_keeper.rs
@@ -8,19 +8,19 @@
 use super::keeper_action::KeeperAction;
 use super::keeper_exchange::KeeperExchange;
 use super::keeper_updates::KeeperUpdates;
-use crate::steering::decision::{Decision, NewsSource};
+use crate::steering::decision::{Decision, UpdateSource};
 use crate::steering::entry_policy::EntryOptions;
 use crate::steering::knowledge::Knowledge;
 use crate::steering::knowledge::route_map::RouteMap;
 use crate::steering::peers::backend_parts::wanted_message;
 use crate::steering::peers::peer_message::{BalancerReport, PeerHeartbeat, PeerMessage};
-use crate::steering::peers::peer_table::{PeerTable, TELL_WITHIN};
+use crate::steering::peers::peer_table::{PeerTable, RECENTLY_HEARD_WITHIN};
 use crate::steering::peers::zone_members::ZoneMembers;
 use crate::steering::seeded_draw::SeededDraw;
-use crate::steering::store::evacuation_follower::EvacuationNews;
+use crate::steering::store::evacuation_follower::EvacuationUpdate;
 use crate::steering::store::store_follower::{StoreKind, StoreReply};
-use crate::steering::store::store_link::{BackendNews, StoreLink};
-use crate::steering::store::watch_role::{RoleState, WatchRole, millis_since, time_of_age};
+use crate::steering::store::store_link::{BackendUpdate, StoreLink};
+use crate::steering::store::watch_role::{RoleInputs, WatchRole, millis_since, time_of_age};
 
 /// Time between two rounds of heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
@@ -31,7 +31,7 @@
 const HEARTBEAT_FANOUT: usize = 4;
 
 /// How long a token that a heartbeat names counts as wanted: two rounds of heartbeats.
-const WANTED_TOKEN_TTL: Duration = Duration::from_millis(800);
+const UNRESOLVED_TOKEN_TTL: Duration = Duration::from_millis(800);
 
 /// Number of balancers named in a heartbeat.
 const PEERS_PER_HEARTBEAT: usize = 4;
@@ -153,11 +153,11 @@
 
     fn step_role(&mut self, knowledge: &Knowledge, now: Instant) {
         let was_watching = self.role.is_watching();
-        let state = RoleState {
+        let state = RoleInputs {
             is_answering: self.store.answering_since(now).is_some(),
             is_failing: self.store.is_try_failing(),
             is_complete: knowledge.is_complete() || knowledge.is_certain(now),
-            has_zones: knowledge.contacts.hears_others(TELL_WITHIN, now),
+            has_zones: knowledge.contacts.hears_others(RECENTLY_HEARD_WITHIN, now),
             page_time: self.store.page_time(),
             hears_complete: self.hears_complete,
             is_being_told: self.exchange.is_receiving_backends(now),
@@ -187,7 +187,7 @@
 
         self.updates.notify_if(!admitted.is_empty());
         for instance in admitted {
-            self.updates.record_backend(knowledge, instance, NewsSource::Store);
+            self.updates.record_backend(knowledge, instance, UpdateSource::Store);
         }
     }
 
@@ -209,7 +209,7 @@
             return Vec::new();
         }
 
-        let has_zones = knowledge.contacts.hears_others(TELL_WITHIN, now);
+        let has_zones = knowledge.contacts.hears_others(RECENTLY_HEARD_WITHIN, now);
         let is_staying = self.role.is_staying(has_zones);
         let calls = self.store.calls(knowledge, is_staying, packets_wait, now).into_iter();
         calls.map(|(kind, call)| KeeperAction::Call(kind, call)).collect()
@@ -229,7 +229,7 @@
 
         let chosen = self.peers.choose(HEARTBEAT_FANOUT, &mut self.draw).into_iter();
         chosen
-            .map(|peer| KeeperAction::Tell(peer, PeerMessage::Heartbeat(heartbeat.clone())))
+            .map(|peer| KeeperAction::Send(peer, PeerMessage::Heartbeat(heartbeat.clone())))
             .collect()
     }
 
@@ -315,7 +315,7 @@
         }
         let knows_evacuations = heartbeat.evacuations.is_some();
         if let Some(report) = heartbeat.evacuations.clone() {
-            self.updates.apply_evacuations(knowledge, report, NewsSource::Peer(sender), now);
+            self.updates.apply_evacuations(knowledge, report, UpdateSource::Peer(sender), now);
         }
 
         let mut actions = Vec::new();
@@ -325,13 +325,13 @@
         if heartbeat.asks && (is_new || knows_less) {
             // A balancer that has just started or resumed learns at once whom it can ask.
             let answer = self.heartbeat(knowledge, None, false, now);
-            actions.push(KeeperAction::Tell(sender, PeerMessage::Heartbeat(answer)));
+            actions.push(KeeperAction::Send(sender, PeerMessage::Heartbeat(answer)));
         }
         let wanted_entries = wanted_message(&knowledge.directory, &heartbeat.wanted, now);
         if wanted_entries.is_none() && !heartbeat.wanted.is_empty() {
-            self.wanted_elsewhere_until = Some(now + WANTED_TOKEN_TTL);
+            self.wanted_elsewhere_until = Some(now + UNRESOLVED_TOKEN_TTL);
         }
-        actions.extend(wanted_entries.map(|message| KeeperAction::Tell(sender, message)));
+        actions.extend(wanted_entries.map(|message| KeeperAction::Send(sender, message)));
         let Self { exchange, updates, .. } = self;
         if exchange.knows_more(knowledge, heartbeat) {
             knowledge.note_behind(now);
@@ -344,7 +344,7 @@
         }
 
         let compares = exchange.compare(knowledge, (sender, heartbeat), now);
-        actions.extend(compares.map(|message| KeeperAction::Tell(sender, message)));
+        actions.extend(compares.map(|message| KeeperAction::Send(sender, message)));
         // Nothing has changed after what is known here, so it is complete as far as the peer's
         // knowledge is.
         let directory = &mut knowledge.directory;
@@ -371,7 +371,7 @@
 
         self.record_link_state(StoreKind::Configuration, was_failing);
         for routes in updates {
-            self.updates.apply_routes(knowledge, routes, NewsSource::Store);
+            self.updates.apply_routes(knowledge, routes, UpdateSource::Store);
         }
         self.confirm(knowledge);
     }
@@ -380,7 +380,7 @@
     pub fn on_evacuations_reply(
         &mut self,
         knowledge: &mut Knowledge,
-        reply: StoreReply<EvacuationNews>,
+        reply: StoreReply<EvacuationUpdate>,
         now: Instant,
     ) {
         let was_failing = self.store.is_kind_failing(StoreKind::Evacuations);
@@ -388,7 +388,7 @@
 
         self.record_link_state(StoreKind::Evacuations, was_failing);
         if let Some(report) = report {
-            self.updates.apply_evacuations(knowledge, report, NewsSource::Store, now);
+            self.updates.apply_evacuations(knowledge, report, UpdateSource::Store, now);
         }
         self.confirm(knowledge);
     }
@@ -416,7 +416,7 @@
     pub fn on_backends_reply(
         &mut self,
         knowledge: &mut Knowledge,
-        reply: StoreReply<BackendNews>,
+        reply: StoreReply<BackendUpdate>,
         now: Instant,
     ) {
         let was_complete = knowledge.directory.is_complete();
@@ -432,7 +432,7 @@
         let is_new_era = knowledge.directory.changed_at().era > era;
         self.updates.notify_if(is_complete_now || is_new_era || !changed.is_empty());
         for instance in changed {
-            self.updates.record_backend(knowledge, instance, NewsSource::Store);
+            self.updates.record_backend(knowledge, instance, UpdateSource::Store);
         }
         self.confirm(knowledge);
     }
--- a/crates/valvestage-policy/src/steering/knowledge/backend_directory.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/backend_directory.rs
@@ -9,7 +9,7 @@
 use super::backend_entry::{BackendEnd, BackendEntry, BackendPhase};
 use super::backend_name::BackendName;
 use super::entry_table::EntryTable;
-pub use super::entry_table::LivingDigest;
+pub use super::entry_table::LiveDigest;
 use super::entry_times::EntryTimes;
 use super::lapse::RETURN_TIME;
 use super::ready_backends::ReadyBackends;
@@ -105,7 +105,7 @@
     /// Returns a digest of the incarnations that are not gone, regardless of their positions. Two
     /// balancers that know all changes up to the same revision should have the same digest.
     #[must_use]
-    pub fn living_digest(&self) -> LivingDigest {
+    pub fn living_digest(&self) -> LiveDigest {
         self.entries.living_digest()
     }
 
--- a/crates/valvestage-policy/src/steering/knowledge/backend_name.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/backend_name.rs
@@ -10,10 +10,10 @@
 
 /// Start time of a backend server by its own clock, in milliseconds since 1970. The clock may jump
 /// back between two starts, so this shows only whether two starts are the same.
-pub type BirthMillis = u64;
+pub type StartMillis = u64;
 
 /// 24-bit digest that distinguishes the incarnations of one name.
-pub type BirthDigest = u32;
+pub type IncarnationDigest = u32;
 
 /// Number of low bits of an incarnation's id that show the backend server's number: ten hex digits.
 const NUMBER_BITS: u32 = 40;
@@ -51,29 +51,29 @@
     /// the name, for readers of logs. Two starts of one name share the other digits once in 16
     /// million.
     #[must_use]
-    pub fn incarnation(self, started_at: Option<BirthMillis>) -> InstanceId {
+    pub fn incarnation(self, started_at: Option<StartMillis>) -> InstanceId {
         let mut hasher = SipHasher13::new();
         hasher.write_u32(self.digest);
         hasher.write_u64(started_at.unwrap_or(0));
 
         // Only the upper bits are left after the shift.
         #[allow(clippy::cast_possible_truncation)]
-        let incarnation_digest = (hasher.finish() >> NUMBER_BITS) as BirthDigest;
+        let incarnation_digest = (hasher.finish() >> NUMBER_BITS) as IncarnationDigest;
         self.born(incarnation_digest)
     }
 
     /// Returns the id of the incarnation of this name that has the given digest.
     #[must_use]
-    pub fn born(self, incarnation_digest: BirthDigest) -> InstanceId {
+    pub fn born(self, incarnation_digest: IncarnationDigest) -> InstanceId {
         self.number ^ (u64::from(incarnation_digest) << NUMBER_BITS)
     }
 
     /// Returns the digest that distinguishes an incarnation of this name from the others.
     #[must_use]
-    pub fn birth_of(self, instance: InstanceId) -> BirthDigest {
+    pub fn birth_of(self, instance: InstanceId) -> IncarnationDigest {
         // Only 24 bits are left after the shift.
         #[allow(clippy::cast_possible_truncation)]
-        let incarnation_digest = ((instance ^ self.number) >> NUMBER_BITS) as BirthDigest;
+        let incarnation_digest = ((instance ^ self.number) >> NUMBER_BITS) as IncarnationDigest;
         incarnation_digest
     }
 }
--- a/crates/valvestage-policy/src/steering/knowledge/entry_table.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/entry_table.rs
@@ -16,7 +16,7 @@
 use crate::rendezvous::mix;
 
 /// Digest of a set of backend servers, the same at every balancer.
-pub type LivingDigest = u64;
+pub type LiveDigest = u64;
 
 /// The entries by incarnation, with their indexes.
 #[derive(Debug, Default)]
@@ -33,7 +33,7 @@
     /// Backend servers that take new flows.
     ready: ReadyBackends,
     /// Exclusive or of a hash of each incarnation that is not gone.
-    living: LivingDigest,
+    living: LiveDigest,
     /// Number of entries that were visited one by one, in total.
     visits: Cell<u64>,
 }
@@ -112,7 +112,7 @@
     }
 
     /// Returns a digest of the incarnations that are not gone.
-    pub(super) fn living_digest(&self) -> LivingDigest {
+    pub(super) fn living_digest(&self) -> LiveDigest {
         self.living
     }
 
--- a/crates/valvestage-policy/src/steering/knowledge/lapse.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/lapse.rs
@@ -19,7 +19,7 @@
 pub(in crate::steering) const RETURN_TIME: Duration = Duration::from_millis(2_300);
 
 /// Distinguishes lapsed entries from ended backend servers, by what is known at one moment.
-pub(in crate::steering) struct LapseJudge<'a> {
+pub(in crate::steering) struct LapseDetector<'a> {
     /// Availability zone of this balancer.
     pub own_zone: &'a ZoneName,
     /// The known entries, and the last confirmation by the store.
@@ -30,7 +30,7 @@
     pub now: Instant,
 }
 
-impl LapseJudge<'_> {
+impl LapseDetector<'_> {
     /// Reports whether the entry of a backend server is gone.
     pub(in crate::steering) fn is_gone(&self, instance: InstanceId) -> bool {
         self.knowledge.directory.get(instance).is_some_and(BackendEntry::is_gone)
--- a/crates/valvestage-policy/src/steering/packets.rs
+++ b/crates/valvestage-policy/src/steering/packets.rs
@@ -8,7 +8,7 @@
 //! | `flow_ends` | whether the flow of a packet has ended |
 //! | `flow_backend` | the backend server of an open flow |
 //! | [`held_packets`] | packets held until enough is known to decide about them |
-//! | [`wanted_tokens`] | unresolved tokens that other balancers are asked about |
+//! | [`unresolved_tokens`] | unresolved tokens that other balancers are asked about |
 //! | `packet_verdicts` | verdicts that several steps share |
 //! | [`flow_record`] | the state of one flow, as seen in its packets |
 //! | [`flow_tracker`] | the records of all known flows |
@@ -26,4 +26,4 @@
 pub(in crate::steering) mod packet_verdicts;
 pub(in crate::steering) mod reset_scheduler;
 pub mod steering_policy;
-pub mod wanted_tokens;
+pub mod unresolved_tokens;
--- a/crates/valvestage-policy/src/steering/packets/flow_ends.rs
+++ b/crates/valvestage-policy/src/steering/packets/flow_ends.rs
@@ -7,7 +7,7 @@
 use super::caller_packet::{CallerPacket, ResetReason};
 use super::steering_policy::SteeringPolicy;
 use crate::steering::knowledge::Knowledge;
-use crate::steering::knowledge::lapse::LapseJudge;
+use crate::steering::knowledge::lapse::LapseDetector;
 use crate::steering::knowledge::zone_contacts::ZoneReach;
 
 impl SteeringPolicy {
@@ -28,7 +28,7 @@
     ) -> Option<ResetReason> {
         let zone = &knowledge.directory.get(instance)?.zone;
         let health = self.backends.health();
-        let judge = LapseJudge { own_zone: &self.options.zone, knowledge, health, now };
+        let judge = LapseDetector { own_zone: &self.options.zone, knowledge, health, now };
         let reach = judge.reach(zone);
         let not_before = match reach {
             ZoneReach::Since(joined_at) => Some(joined_at),
--- a/crates/valvestage-policy/src/steering/packets/flow_record.rs
+++ b/crates/valvestage-policy/src/steering/packets/flow_record.rs
@@ -7,7 +7,7 @@
 use super::caller_packet::{CallerPacket, FlowAddresses};
 use super::flow_reset::FlowReset;
 use crate::steering::health::flow_request::{EndedRequest, FlowRequest};
-use crate::steering::placement::flow_placer::ANSWER_TIME;
+use crate::steering::placement::flow_placer::MAX_ANSWER_TIME;
 
 /// Time without a packet after which an answer that has begun is considered complete: several round
 /// trips.
@@ -42,9 +42,9 @@
 
 /// What a packet shows about the liveness of the backend server of its flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum FlowSign {
+pub enum LivenessSignal {
     /// The backend server has answered since the packet before.
-    Alive(AnswerSign),
+    Alive(AnswerSignal),
     /// The caller retransmits: an answer is missing since the time given.
     Unanswered(Instant),
     /// The packet shows nothing about the backend server.
@@ -53,7 +53,7 @@
 
 /// What an answer of a backend server shows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AnswerSign {
+pub struct AnswerSignal {
     /// Whether the answer is to an opening packet; otherwise it is to a request.
     pub opening: bool,
     /// Since when the answer was awaited; `None` if more data came than was asked for.
@@ -96,7 +96,7 @@
     }
 
     /// Updates the record with a further packet, and returns what the packet shows.
-    pub fn observe(&mut self, packet: &CallerPacket, now: Instant) -> FlowSign {
+    pub fn observe(&mut self, packet: &CallerPacket, now: Instant) -> LivenessSignal {
         self.last_packet = now;
         if packet.opening {
             return self.observe_opening();
@@ -109,19 +109,19 @@
     }
 
     /// Handles a copy of the opening packet, which shows that no earlier copy was answered so far.
-    fn observe_opening(&mut self) -> FlowSign {
+    fn observe_opening(&mut self) -> LivenessSignal {
         match self.waiting_since {
-            Some(since) if !self.open => FlowSign::Unanswered(since),
-            _ => FlowSign::Neutral,
+            Some(since) if !self.open => LivenessSignal::Unanswered(since),
+            _ => LivenessSignal::Neutral,
         }
     }
 
     /// Returns what the acknowledgement number shows about answers since the packet before.
-    fn observe_answer(&mut self, packet: &CallerPacket) -> FlowSign {
+    fn observe_answer(&mut self, packet: &CallerPacket) -> LivenessSignal {
         let opened = !self.open;
         let advanced = opened || is_after(packet.acknowledged, self.acknowledged);
         if !advanced {
-            return FlowSign::Neutral;
+            return LivenessSignal::Neutral;
         }
 
         if opened {
@@ -135,13 +135,18 @@
         self.probed_at = None;
         self.acknowledged = packet.acknowledged;
         if is_stale {
-            return FlowSign::Neutral;
+            return LivenessSignal::Neutral;
         }
-        FlowSign::Alive(AnswerSign { opening: opened, since: self.waiting_since.take() })
+        LivenessSignal::Alive(AnswerSignal { opening: opened, since: self.waiting_since.take() })
     }
 
     /// Handles the data of a packet, whether new or retransmitted.
-    fn observe_data(&mut self, packet: &CallerPacket, sign: FlowSign, now: Instant) -> FlowSign {
+    fn observe_data(
+        &mut self,
+        packet: &CallerPacket,
+        sign: LivenessSignal,
+        now: Instant,
+    ) -> LivenessSignal {
         if packet.data_length == 0 {
             return sign;
         }
@@ -154,10 +159,10 @@
             }
             return sign;
         }
-        if matches!(sign, FlowSign::Alive(_)) {
+        if matches!(sign, LivenessSignal::Alive(_)) {
             return sign;
         }
-        self.waiting_since.map_or(FlowSign::Neutral, FlowSign::Unanswered)
+        self.waiting_since.map_or(LivenessSignal::Neutral, LivenessSignal::Unanswered)
     }
 
     /// Returns the request that a packet ends, because the caller starts another one or ends the
@@ -205,7 +210,7 @@
     }
 
     /// Handles a packet as a probe of a suspected backend server, if the packet asks for an answer.
-    /// Returns true if an earlier probe is still unanswered after `ANSWER_TIME`. A probe sent at or
+    /// Returns true if an earlier probe is still unanswered after `MAX_ANSWER_TIME`. A probe sent at or
     /// before `not_before` does not count, since it may have been lost in a network partition.
     pub fn has_failed_probe(
         &mut self,
@@ -220,7 +225,7 @@
 
         let counts = |at: &Instant| not_before.is_none_or(|from| *at > from);
         match self.probed_at.filter(counts) {
-            Some(at) => now.saturating_duration_since(at) >= ANSWER_TIME,
+            Some(at) => now.saturating_duration_since(at) >= MAX_ANSWER_TIME,
             None => {
                 self.probed_at = Some(now);
                 false
--- a/crates/valvestage-policy/src/steering/packets/flow_tracker.rs
+++ b/crates/valvestage-policy/src/steering/packets/flow_tracker.rs
@@ -6,7 +6,7 @@
 use valvestage_core::ids::InstanceId;
 
 use super::caller_packet::{CallerPacket, FlowAddresses};
-use super::flow_record::{FlowRecord, FlowSign};
+use super::flow_record::{FlowRecord, LivenessSignal};
 use super::flow_reset::FlowReset;
 use crate::steering::health::flow_request::EndedRequest;
 use crate::steering::placement::backend_load::BackendLoad;
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FlowObservation {
     /// What the packet shows about the liveness of the backend server.
-    pub sign: FlowSign,
+    pub sign: LivenessSignal,
     /// Request that the packet ends, if any.
     pub ended: Option<EndedRequest>,
     /// Start of the request that the packet begins, if any.
@@ -32,7 +32,7 @@
 impl FlowObservation {
     /// Returns the observation for a packet of an unknown flow.
     fn neutral() -> Self {
-        Self { sign: FlowSign::Neutral, ended: None, began: None }
+        Self { sign: LivenessSignal::Neutral, ended: None, began: None }
     }
 }
 
--- a/crates/valvestage-policy/src/steering/packets/opening_packets.rs
+++ b/crates/valvestage-policy/src/steering/packets/opening_packets.rs
@@ -5,14 +5,14 @@
 use valvestage_core::ids::InstanceId;
 
 use super::caller_packet::{CallerPacket, DropReason, FlowAddresses, PacketVerdict};
-use super::flow_record::{FlowRecord, FlowSign};
+use super::flow_record::{FlowRecord, LivenessSignal};
 use super::packet_verdicts::{forward, hash_flow, no_route_verdict};
 use super::steering_policy::SteeringPolicy;
 use crate::steering::decision::Decision;
 use crate::steering::knowledge::Knowledge;
 use crate::steering::knowledge::backend_entry::BackendPhase;
 use crate::steering::placement::cold_shares::ColdShares;
-use crate::steering::placement::flow_placer::{ANSWER_TIME, FlowPlacer};
+use crate::steering::placement::flow_placer::{FlowPlacer, MAX_ANSWER_TIME};
 
 impl SteeringPolicy {
     /// Decides about a packet that asks to open a flow.
@@ -74,10 +74,10 @@
 
     /// Reports whether an answer is overdue, and the backend server has answered no other caller
     /// meanwhile.
-    fn is_unanswered(&self, instance: InstanceId, sign: FlowSign, now: Instant) -> bool {
+    fn is_unanswered(&self, instance: InstanceId, sign: LivenessSignal, now: Instant) -> bool {
         match sign {
-            FlowSign::Unanswered(since) => {
-                now.saturating_duration_since(since) >= ANSWER_TIME
+            LivenessSignal::Unanswered(since) => {
+                now.saturating_duration_since(since) >= MAX_ANSWER_TIME
                     && !self.backends.health().shows_life_since(instance, since)
             }
             _ => false,
--- a/crates/valvestage-policy/src/steering/packets/reset_scheduler.rs
+++ b/crates/valvestage-policy/src/steering/packets/reset_scheduler.rs
@@ -14,7 +14,7 @@
 use super::caller_packet::{FlowAddresses, ResetReason};
 use super::flow_reset::FlowReset;
 use super::flow_tracker::{EndedBackend, FlowSelection, FlowTracker};
-use crate::steering::knowledge::lapse::LapseJudge;
+use crate::steering::knowledge::lapse::LapseDetector;
 
 /// Maximum number of resets per round of 100 ms. At the design size a balancer has 6,200 flows,
 /// some 900 of them in one availability zone: if the whole zone is lost, they are reset within 1.5
@@ -69,7 +69,7 @@
     pub(in crate::steering) fn take_due(
         &mut self,
         flows: &mut FlowTracker,
-        judge: &LapseJudge<'_>,
+        judge: &LapseDetector<'_>,
     ) -> Vec<PendingReset> {
         self.collect_gone(flows, judge);
         self.collect_silent(flows);
@@ -84,7 +84,7 @@
 
     /// Queues resets for the flows of the gone backend servers that have ended, and drops those
     /// backend servers whose entries have returned.
-    fn collect_gone(&mut self, flows: &mut FlowTracker, judge: &LapseJudge<'_>) {
+    fn collect_gone(&mut self, flows: &mut FlowTracker, judge: &LapseDetector<'_>) {
         self.gone.retain(|instance| judge.is_gone(*instance));
         let ended = self.gone.extract_if(.., |instance| judge.has_ended(*instance));
         let ended: Vec<_> = ended.map(|instance| judge.ended(instance)).collect();
--- a/crates/valvestage-policy/src/steering/packets/steering_policy.rs
+++ b/crates/valvestage-policy/src/steering/packets/steering_policy.rs
@@ -7,16 +7,16 @@
 
 use super::caller_packet::{CallerPacket, DropReason, PacketVerdict};
 use super::flow_backend::{current_incarnation, instance_of};
-use super::flow_record::{FlowRecord, FlowSign};
+use super::flow_record::{FlowRecord, LivenessSignal};
 use super::flow_reset::FlowReset;
 use super::flow_tracker::FlowTracker;
 use super::packet_verdicts::{forward, no_route_verdict};
 use super::reset_scheduler::{PendingReset, ResetScheduler};
-use super::wanted_tokens::WantedTokens;
+use super::unresolved_tokens::UnresolvedTokens;
 use crate::steering::decision::{AnswerTime, Decision, DroppedPacket};
 use crate::steering::health::backend_observer::BackendObserver;
 use crate::steering::knowledge::Knowledge;
-use crate::steering::knowledge::lapse::LapseJudge;
+use crate::steering::knowledge::lapse::LapseDetector;
 use crate::steering::peers::peer_message::{BalancerReport, HealthReport, ServiceDemand};
 use crate::steering::peers::peer_table::FORGET_AFTER;
 use crate::steering::peers::zone_members::ZoneMembers;
@@ -33,7 +33,7 @@
     pub(super) demand: FleetDemand,
     pub(super) cold: ColdShares,
     pub(super) reset_scheduler: ResetScheduler,
-    wanted: WantedTokens,
+    wanted: UnresolvedTokens,
     /// Decisions since the last call of [`Self::take_decisions`].
     pub(super) decisions: Vec<Decision>,
     /// Proactive resets since the last call of [`Self::take_resets`].
@@ -51,7 +51,7 @@
             demand: FleetDemand::default(),
             cold: ColdShares::default(),
             reset_scheduler: ResetScheduler::default(),
-            wanted: WantedTokens::default(),
+            wanted: UnresolvedTokens::default(),
             decisions: Vec::new(),
             resets: Vec::new(),
         }
@@ -148,7 +148,7 @@
     /// be called ten times a second.
     pub fn end_flows(&mut self, knowledge: &mut Knowledge, now: Instant) {
         self.reset_scheduler.on_gone(knowledge.directory.take_newly_gone());
-        let judge = LapseJudge {
+        let judge = LapseDetector {
             own_zone: &self.options.zone,
             knowledge,
             health: self.backends.health(),
@@ -363,7 +363,7 @@
         instance: InstanceId,
         packet: &CallerPacket,
         now: Instant,
-    ) -> FlowSign {
+    ) -> LivenessSignal {
         let flow = packet.flow;
         let observation = self.flows.observe(packet, now);
         // The first request of a flow is counted with its opening packet; each further request is
--- a/crates/valvestage-policy/src/steering/packets/wanted_tokens.rs
+++ b/crates/valvestage-policy/src/steering/packets/unresolved_tokens.rs
@@ -12,26 +12,26 @@
 
 /// Maximum number of tokens asked about at once. The packets of further tokens are held; their
 /// tokens are asked about when earlier ones are resolved or have expired.
-const MAX_WANTED: usize = 8;
+const MAX_UNRESOLVED: usize = 8;
 
 /// Time for which a token is asked about after its last packet, the same as the hold time of
 /// packets: five rounds of heartbeats to four balancers each.
-const WANTED_TTL: Duration = Duration::from_secs(2);
+const UNRESOLVED_TTL: Duration = Duration::from_secs(2);
 
 /// Unresolved tokens that other balancers are asked about.
 #[derive(Debug, Default)]
-pub struct WantedTokens {
+pub struct UnresolvedTokens {
     /// Each token with the time until which it is asked about; no token occurs twice.
     tokens: Vec<(ShortToken, Instant)>,
 }
 
-impl WantedTokens {
+impl UnresolvedTokens {
     /// Adds an unknown token, or extends its time. A new token is not added while the maximum
     /// number is asked about.
     pub fn add(&mut self, token: ShortToken, now: Instant) {
         self.tokens.retain(|(wanted, _)| *wanted != token);
-        if self.tokens.len() < MAX_WANTED {
-            self.tokens.push((token, now + WANTED_TTL));
+        if self.tokens.len() < MAX_UNRESOLVED {
+            self.tokens.push((token, now + UNRESOLVED_TTL));
         }
     }
 
--- a/crates/valvestage-policy/src/steering/peers/answer_queue.rs
+++ b/crates/valvestage-policy/src/steering/peers/answer_queue.rs
@@ -31,7 +31,7 @@
 
 /// What another balancer asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(in crate::steering) enum PeerQuestion {
+pub(in crate::steering) enum PeerPull {
     /// The index of a newer configuration.
     Routes(RoutesPull),
     /// Some chunks of a configuration.
@@ -40,7 +40,7 @@
     Backends(BackendsPull),
 }
 
-impl PeerQuestion {
+impl PeerPull {
     /// Reports whether the answer is a whole window of datagrams, after which more are asked for.
     fn is_large(&self) -> bool {
         match self {
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 struct WaitingPull {
     peer: SocketAddrV4,
-    pull: PeerQuestion,
+    pull: PeerPull,
     until: Instant,
 }
 
@@ -94,12 +94,7 @@
     }
 
     /// Adds a pull, or replaces a waiting one of the same peer and kind of knowledge.
-    pub(in crate::steering) fn push(
-        &mut self,
-        peer: SocketAddrV4,
-        pull: PeerQuestion,
-        now: Instant,
-    ) {
+    pub(in crate::steering) fn push(&mut self, peer: SocketAddrV4, pull: PeerPull, now: Instant) {
         let until = now + PULL_TTL;
         let same = self
             .waiting
@@ -119,10 +114,7 @@
     /// A balancer that has received some of an answer goes before one that has received none: it
     /// completes sooner and can then answer others. If all balancers took turns, all would complete
     /// at the same late moment.
-    pub(in crate::steering) fn pop(
-        &mut self,
-        now: Instant,
-    ) -> Option<(SocketAddrV4, PeerQuestion)> {
+    pub(in crate::steering) fn pop(&mut self, now: Instant) -> Option<(SocketAddrV4, PeerPull)> {
         self.waiting.retain(|waiting| waiting.until >= now);
         if self.busy_until.is_some_and(|until| until > now + self.burst_time()) {
             return None;
--- a/crates/valvestage-policy/src/steering/peers/backend_parts.rs
+++ b/crates/valvestage-policy/src/steering/peers/backend_parts.rs
@@ -7,8 +7,8 @@
 
 use super::name_list::index_of_name;
 use super::peer_message::{
-    ANSWER_WINDOW, BackendChange, BackendRecord, BackendStanding, BackendsPart, BackendsPull,
-    MAX_MESSAGE_BYTES, MessagePart, PeerMessage, WalkScope,
+    ANSWER_WINDOW, BackendChange, BackendRecord, BackendsPart, BackendsPull, MAX_MESSAGE_BYTES,
+    MessagePart, PeerMessage, RecordedPhase, WalkScope,
 };
 use crate::steering::knowledge::backend_directory::BackendDirectory;
 use crate::steering::knowledge::backend_entry::{BackendEnd, BackendEntry, BackendPhase};
@@ -83,7 +83,7 @@
     (!changes.is_empty()).then(|| {
         PeerMessage::Backends(BackendsPart {
             part: MessagePart { index: 0, count: 1 },
-            scope: WalkScope::Wanted,
+            scope: WalkScope::UnresolvedTokens,
             after: StorePosition::START,
             told_until: None,
             complete_until: directory.complete_until(),
@@ -112,13 +112,13 @@
 fn change_of(entry: &BackendEntry, names: &mut Vec<String>, now: Instant) -> BackendChange {
     let cold_until = entry.cold_until.unwrap_or(now);
     let standing = match entry.phase {
-        BackendPhase::Ready => BackendStanding::Ready,
-        BackendPhase::Draining => BackendStanding::Draining,
-        BackendPhase::Unusable => BackendStanding::Unusable,
+        BackendPhase::Ready => RecordedPhase::Ready,
+        BackendPhase::Draining => RecordedPhase::Draining,
+        BackendPhase::Unusable => RecordedPhase::Unusable,
         BackendPhase::Gone { since, end: BackendEnd::Lapsed | BackendEnd::LapsedUnseen } => {
-            BackendStanding::Lapsed { ago_ms: millis_since(since, now) }
+            RecordedPhase::Lapsed { ago_ms: millis_since(since, now) }
         }
-        BackendPhase::Gone { .. } => BackendStanding::Gone,
+        BackendPhase::Gone { .. } => RecordedPhase::Gone,
     };
 
     BackendChange {
@@ -148,11 +148,11 @@
     let BackendChange { name, birth, position, record } = change;
     let cold_for = Duration::from_millis(record.cold_for_ms.into());
     let phase = match record.standing {
-        BackendStanding::Ready => BackendPhase::Ready,
-        BackendStanding::Draining => BackendPhase::Draining,
-        BackendStanding::Unusable => BackendPhase::Unusable,
-        BackendStanding::Gone => BackendPhase::Gone { since: now, end: BackendEnd::Left },
-        BackendStanding::Lapsed { ago_ms } => {
+        RecordedPhase::Ready => BackendPhase::Ready,
+        RecordedPhase::Draining => BackendPhase::Draining,
+        RecordedPhase::Unusable => BackendPhase::Unusable,
+        RecordedPhase::Gone => BackendPhase::Gone { since: now, end: BackendEnd::Left },
+        RecordedPhase::Lapsed { ago_ms } => {
             let since = now.checked_sub(Duration::from_millis(ago_ms.into())).unwrap_or(now);
             BackendPhase::Gone { since, end: BackendEnd::LapsedUnseen }
         }
--- a/crates/valvestage-policy/src/steering/peers/peer_exchange.rs
+++ b/crates/valvestage-policy/src/steering/peers/peer_exchange.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddrV4;
 use std::time::Instant;
 
-use super::answer_queue::{AnswerQueue, PeerQuestion};
+use super::answer_queue::{AnswerQueue, PeerPull};
 use super::backend_parts::backends_messages;
 use super::backend_walk::{BackendWalk, WalkUpdate};
 use super::peer_message::{
@@ -210,7 +210,7 @@
     pub(in crate::steering) fn on_question(
         &mut self,
         peer: SocketAddrV4,
-        question: PeerQuestion,
+        question: PeerPull,
         now: Instant,
     ) {
         self.queue.push(peer, question, now);
@@ -226,9 +226,9 @@
         let (peer, question) = self.queue.pop(now)?;
 
         let messages = match question {
-            PeerQuestion::Routes(pull) => self.answer_routes(knowledge, pull),
-            PeerQuestion::Chunks(pull) => self.answer_chunks(knowledge, &pull),
-            PeerQuestion::Backends(pull) => answer_backends(knowledge, pull, now),
+            PeerPull::Routes(pull) => self.answer_routes(knowledge, pull),
+            PeerPull::Chunks(pull) => self.answer_chunks(knowledge, &pull),
+            PeerPull::Backends(pull) => answer_backends(knowledge, pull, now),
         };
         self.queue.record_sent(messages.iter().map(PeerMessage::bytes).sum(), now);
         Some((peer, messages))
--- a/crates/valvestage-policy/src/steering/peers/peer_message.rs
+++ b/crates/valvestage-policy/src/steering/peers/peer_message.rs
@@ -18,8 +18,8 @@
 
 use super::route_chunk::{ChunkDigest, RouteChunk};
 use crate::steering::health::outcome_count::OutcomeCount;
-use crate::steering::knowledge::backend_directory::LivingDigest;
-use crate::steering::knowledge::backend_name::{BackendName, BirthDigest};
+use crate::steering::knowledge::backend_directory::LiveDigest;
+use crate::steering::knowledge::backend_name::{BackendName, IncarnationDigest};
 use crate::steering::knowledge::evacuated_zones::EvacuationReport;
 
 /// Maximum payload of one datagram in bytes, so that none is fragmented on an Ethernet link.
@@ -85,7 +85,7 @@
     /// The store's position when it was first listed in its present era.
     pub era_head: StorePosition,
     /// Digest of the backend servers that it counts as living.
-    pub living: LivingDigest,
+    pub living: LiveDigest,
     /// Time since the store confirmed this state to the sender or to the balancer that reported it,
     /// in milliseconds.
     pub age_ms: u32,
@@ -295,7 +295,7 @@
     /// All of them, so that those that are missing from the answer are known to be gone.
     Everything,
     /// Those of the tokens that a heartbeat names.
-    Wanted,
+    UnresolvedTokens,
 }
 
 /// Number of a datagram among those that belong together.
@@ -333,7 +333,7 @@
     /// The name of its entry.
     pub name: BackendName,
     /// Digest that distinguishes the incarnations of that name.
-    pub birth: BirthDigest,
+    pub birth: IncarnationDigest,
     /// The store's position at the change.
     pub position: StorePosition,
     /// The entry after the change.
@@ -354,12 +354,12 @@
     /// Remaining time of its slow start, in milliseconds; 0 if it is over.
     pub cold_for_ms: u32,
     /// Its phase.
-    pub standing: BackendStanding,
+    pub standing: RecordedPhase,
 }
 
 /// [`crate::steering::BackendPhase`] without a time of the sender's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum BackendStanding {
+pub enum RecordedPhase {
     /// It accepts new flows.
     Ready,
     /// It accepts no new flows.
--- a/crates/valvestage-policy/src/steering/peers/peer_table.rs
+++ b/crates/valvestage-policy/src/steering/peers/peer_table.rs
@@ -17,7 +17,7 @@
 const MAX_PEERS: usize = 2_048;
 
 /// Balancers that were heard within this time are named to others.
-pub(in crate::steering) const TELL_WITHIN: Duration = Duration::from_secs(3);
+pub(in crate::steering) const RECENTLY_HEARD_WITHIN: Duration = Duration::from_secs(3);
 
 /// Number of rounds in which a balancer sends heartbeats to all others before they count as knowing
 /// it, since a datagram may be lost.
@@ -68,7 +68,8 @@
 
 impl PeerSighting {
     fn is_recent(&self, now: Instant) -> bool {
-        self.directly_heard_at.is_some_and(|at| now.saturating_duration_since(at) < TELL_WITHIN)
+        self.directly_heard_at
+            .is_some_and(|at| now.saturating_duration_since(at) < RECENTLY_HEARD_WITHIN)
     }
 }
 
@@ -154,7 +155,7 @@
     }
 
     fn hears_anyone(&self, now: Instant) -> bool {
-        self.heard_at.is_some_and(|at| now.saturating_duration_since(at) < TELL_WITHIN)
+        self.heard_at.is_some_and(|at| now.saturating_duration_since(at) < RECENTLY_HEARD_WITHIN)
     }
 
     /// Returns the balancers of an availability zone to which this balancer belongs.
--- a/crates/valvestage-policy/src/steering/store/evacuation_follower.rs
+++ b/crates/valvestage-policy/src/steering/store/evacuation_follower.rs
@@ -14,7 +14,7 @@
 
 /// A change of the evacuation of one availability zone, as reported by the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EvacuationNews {
+pub struct EvacuationUpdate {
     /// The availability zone.
     pub zone: ZoneName,
     /// The store's position at the change.
@@ -73,7 +73,7 @@
     pub fn on_reply(
         &mut self,
         known: &EvacuatedZones,
-        reply: StoreReply<EvacuationNews>,
+        reply: StoreReply<EvacuationUpdate>,
         now: Instant,
     ) -> Option<EvacuationReport> {
         let FollowerUpdate { mut objects, completes } = self.follower.on_reply(reply, now);
@@ -101,7 +101,7 @@
         }
     }
 
-    fn add_listed(&mut self, objects: Vec<EvacuationNews>) {
+    fn add_listed(&mut self, objects: Vec<EvacuationUpdate>) {
         let asked = objects.into_iter().filter(|change| change.is_asked);
 
         self.listed.extend(asked.map(|change| change.zone));
@@ -112,7 +112,7 @@
 /// since they are already included.
 fn apply_changes(
     known: &EvacuatedZones,
-    changes: &[EvacuationNews],
+    changes: &[EvacuationUpdate],
     until: StorePosition,
 ) -> Option<EvacuationReport> {
     let mut zones = known.zones().clone();
--- a/crates/valvestage-policy/src/steering/store/store_link.rs
+++ b/crates/valvestage-policy/src/steering/store/store_link.rs
@@ -6,7 +6,7 @@
 use valvestage_core::StorePosition;
 use valvestage_core::ids::{InstanceId, StoreEra, ZoneName};
 
-use super::evacuation_follower::{EvacuationFollower, EvacuationNews};
+use super::evacuation_follower::{EvacuationFollower, EvacuationUpdate};
 use super::store_follower::{
     Completeness, FollowerUpdate, StoreCall, StoreFollower, StoreKind, StoreReply,
 };
@@ -27,7 +27,7 @@
 
 /// Delay after the end of a contest at which watches that have to confirm it end. Waits are sent in
 /// whole milliseconds, so a watch that ends exactly at that time could end too early.
-const CONTEST_END_DELAY: Duration = Duration::from_millis(20);
+const CONFLICT_RESOLUTION_DELAY: Duration = Duration::from_millis(20);
 
 /// Period after the start in which a balancer leaves watches to others: two rounds of heartbeats to
 /// learn which balancers follow the store, and a margin.
@@ -35,7 +35,7 @@
 
 /// A change of the entry of one backend server, as reported by the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BackendNews {
+pub struct BackendUpdate {
     /// The name of the entry.
     pub name: BackendName,
     /// The store's position at the change.
@@ -222,7 +222,8 @@
             self.routes.delay_watch(held_until);
             self.backends.delay_watch(held_until);
         }
-        let contests_end = knowledge.directory.contests_end_at().map(|at| at + CONTEST_END_DELAY);
+        let contests_end =
+            knowledge.directory.contests_end_at().map(|at| at + CONFLICT_RESOLUTION_DELAY);
         self.routes.end_watches_at(contests_end);
         self.backends.end_watches_at(contests_end);
         let routes = self.routes.next_call(StorePosition::START, now);
@@ -287,7 +288,7 @@
     pub fn on_evacuations_reply(
         &mut self,
         knowledge: &Knowledge,
-        reply: StoreReply<EvacuationNews>,
+        reply: StoreReply<EvacuationUpdate>,
         now: Instant,
     ) -> Option<EvacuationReport> {
         self.note_reply(&reply, now);
@@ -306,7 +307,7 @@
     pub fn on_backends_reply(
         &mut self,
         knowledge: &mut Knowledge,
-        reply: StoreReply<BackendNews>,
+        reply: StoreReply<BackendUpdate>,
         now: Instant,
     ) -> Vec<InstanceId> {
         self.note_reply(&reply, now);
@@ -338,11 +339,11 @@
     fn apply_backend_update(
         &self,
         knowledge: &mut Knowledge,
-        update: BackendNews,
+        update: BackendUpdate,
         now: Instant,
     ) -> Vec<InstanceId> {
         let directory = &mut knowledge.directory;
-        let BackendNews { name, position, change } = update;
+        let BackendUpdate { name, position, change } = update;
         let mut living = directory.living(name);
         let contested = match &change {
             EntryChange::Deleted => {
--- a/crates/valvestage-policy/src/steering/store/watch_role.rs
+++ b/crates/valvestage-policy/src/steering/store/watch_role.rs
@@ -20,7 +20,7 @@
 use crate::steering::peers::peer_message::WatcherSighting;
 
 /// Number of balancers that follow the store, so that one may fail or be cut off without a gap.
-const WANTED_WATCHERS: usize = 2;
+const REQUIRED_WATCHERS: usize = 2;
 
 /// A balancer counts as a follower for so long after the store last answered it: one watch of
 /// 1.5 s, plus the time for the report of its end to spread.
@@ -83,7 +83,7 @@
 
 /// Inputs of the decision other than what is known of other followers.
 #[derive(Debug, Clone, Copy)]
-pub struct RoleState {
+pub struct RoleInputs {
     /// Whether the store answers this balancer.
     pub is_answering: bool,
     /// Whether calls of this balancer have failed since it began to follow the store and since the
@@ -290,7 +290,7 @@
     }
 
     /// Updates the decision whether this balancer follows the store.
-    pub fn step(&mut self, state: RoleState, now: Instant) {
+    pub fn step(&mut self, state: RoleInputs, now: Instant) {
         self.sightings.retain(|_, sighting| sighting.is_alive(now));
         if state.is_answering {
             self.attempt_until = None;
@@ -310,7 +310,7 @@
 
     /// Stops following the store if others provide what is missing, or once the attempt deadline
     /// has passed, so that another balancer can try.
-    fn retry_or_yield(&mut self, state: RoleState, now: Instant) {
+    fn retry_or_yield(&mut self, state: RoleInputs, now: Instant) {
         if !state.is_complete && (state.is_being_told || self.is_outranked(state)) {
             self.watching = false;
             return;
@@ -332,7 +332,7 @@
 
     /// Begins to follow the store after the pause, unless enough others are trying or this balancer
     /// backs off.
-    fn consider_following(&mut self, state: RoleState, now: Instant) {
+    fn consider_following(&mut self, state: RoleInputs, now: Instant) {
         let wanted =
             if state.is_complete { MAX_CONCURRENT_ATTEMPTS } else { MAX_CONCURRENT_READERS };
         let trying = self.sightings.values().filter(|sighting| !sighting.is_answered).count();
@@ -356,7 +356,7 @@
     /// Reports whether enough balancers with a better rank are reading what no balancer knows yet.
     /// A long list takes longer to read than any pause before the next balancers begin, and all
     /// that read it share the store's link.
-    fn is_outranked(&self, state: RoleState) -> bool {
+    fn is_outranked(&self, state: RoleInputs) -> bool {
         let own = reader_rank(state.page_time.map(whole_millis), self.own);
         let is_before = |(peer, sighting): &(&SocketAddrV4, &Sighting)| {
             sighting.page_ms.is_some() && reader_rank(sighting.page_ms, **peer) < own
@@ -368,14 +368,14 @@
 
     /// Reports whether the store answers enough other balancers: two, in different availability
     /// zones where there is more than one.
-    fn has_enough(&self, state: RoleState) -> bool {
+    fn has_enough(&self, state: RoleInputs) -> bool {
         let answered = self.answered();
         let mut zones: Vec<&ZoneName> = answered.iter().map(|(_, zone)| *zone).collect();
         zones.sort_unstable();
         zones.dedup();
 
-        let wanted_zones = if state.has_zones { WANTED_WATCHERS } else { 1 };
-        answered.len() >= WANTED_WATCHERS && zones.len() >= wanted_zones
+        let wanted_zones = if state.has_zones { REQUIRED_WATCHERS } else { 1 };
+        answered.len() >= REQUIRED_WATCHERS && zones.len() >= wanted_zones
     }
 
     /// Returns the other balancers that the store answers, ordered by address.
--- a/crates/valvestage-policy/tests/control.rs
+++ b/crates/valvestage-policy/tests/control.rs
@@ -7,8 +7,8 @@
 use valvestage_core::ids::BalancerId;
 use valvestage_policy::control::{
     ControlAction, ControlOptions, ControlPolicy, CoordinatorInputs, Installation, LeaseManager,
-    LeaseOptions, LeaseRecord, Machine, ObjectKey, ObjectValue, OwnerCandidate, OwnerCoordinator,
-    PlatformCall, PlatformReply,
+    LeaseOptions, LeaseRecord, ObjectKey, ObjectValue, OwnerCandidate, OwnerCoordinator,
+    PlatformCall, PlatformReply, StateMachine,
 };
 use valvestage_policy::flows::RawTokenKeys;
 use valvestage_policy::membership::{PeerRecord, PeerState};
@@ -47,7 +47,7 @@
 }
 
 /// Returns the calls of one state machine among the actions of a step.
-fn calls(policy: &mut ControlPolicy, now: SystemTime, wanted: Machine) -> Vec<PlatformCall> {
+fn calls(policy: &mut ControlPolicy, now: SystemTime, wanted: StateMachine) -> Vec<PlatformCall> {
     let mut actions = Vec::new();
     policy.step(now, &mut actions);
 
@@ -66,14 +66,14 @@
     // The watch shows version 5; version 9 was in force here before the restart.
     policy.on_object(ObjectKey::TokenKeys, 2, keys(), &mut out).unwrap();
     policy.on_object(ObjectKey::Configuration, 5, configuration("old"), &mut out).unwrap();
-    let first_read = calls(&mut policy, start(), Machine::FirstRead);
+    let first_read = calls(&mut policy, start(), StateMachine::FirstRead);
     assert_eq!(first_read, [PlatformCall::Read { key: ObjectKey::Configuration }]);
     assert!(!policy.is_serving());
 
     // The first read of the object shows version 9.
     let reply = PlatformReply::Found { version: 9, value: configuration("new") };
-    policy.on_reply(start(), Machine::FirstRead, reply, &mut out).unwrap();
-    calls(&mut policy, start(), Machine::FirstRead);
+    policy.on_reply(start(), StateMachine::FirstRead, reply, &mut out).unwrap();
+    calls(&mut policy, start(), StateMachine::FirstRead);
     assert!(policy.is_serving());
     assert_eq!(policy.configuration().unwrap().version, 9);
 }
@@ -88,14 +88,16 @@
 
     let mut now = start();
     while now < start() + options.join_without_platform_after {
-        for _ in calls(&mut policy, now, Machine::FirstRead) {
-            policy.on_reply(now, Machine::FirstRead, PlatformReply::Unknown, &mut out).unwrap();
+        for _ in calls(&mut policy, now, StateMachine::FirstRead) {
+            policy
+                .on_reply(now, StateMachine::FirstRead, PlatformReply::Unknown, &mut out)
+                .unwrap();
         }
         assert!(!policy.is_serving());
         now += Duration::from_millis(100);
     }
 
-    calls(&mut policy, now, Machine::FirstRead);
+    calls(&mut policy, now, StateMachine::FirstRead);
     assert!(policy.is_serving());
 }
 
--- a/crates/valvestage-policy/tests/fault_matrix/scenario.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/scenario.rs
@@ -6,7 +6,7 @@
 use valvestage_core::ids::{BackendId, BalancerId, ObjectVersion, RequestId, ServiceId};
 use valvestage_core::{Backend, BackendState, RawConfiguration, RequestClass, Service};
 use valvestage_policy::control::{ObjectKey, ObjectValue, PlatformCall};
-use valvestage_policy::flows::{HopMark, RawTokenKeys};
+use valvestage_policy::flows::{RawTokenKeys, RelayHeader};
 use valvestage_policy::requests::Request;
 
 use crate::backend::FakeBackend;
@@ -250,7 +250,7 @@
         let opening = state.backend.is_none();
         let token = state.token.filter(|_| state.echoes);
         if state.broken.is_none() {
-            self.spray(None, NodeEvent::Flow { flow, opening, token, hop: HopMark::FIRST });
+            self.spray(None, NodeEvent::Flow { flow, opening, token, hop: RelayHeader::FIRST });
         }
         self.schedule(FLOW_PAUSE, Event::Timer(Timer::SendFlow(flow)));
     }
@@ -314,7 +314,7 @@
             class: if request.repeatable { RequestClass::Bulk } else { RequestClass::Urgent },
             payload: Payload { id, segment: 0 },
         };
-        self.spray(zone, NodeEvent::Request { request: packet, hop: HopMark::FIRST });
+        self.spray(zone, NodeEvent::Request { request: packet, hop: RelayHeader::FIRST });
         self.schedule(RESEND_PAUSE, Event::Timer(Timer::Resend(id)));
     }
 
--- a/crates/valvestage-policy/tests/fault_matrix/strikes.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/strikes.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use valvestage_core::ids::BalancerId;
-use valvestage_policy::flows::{FlowToken, HopMark};
+use valvestage_policy::flows::{FlowToken, RelayHeader};
 
 use crate::faults::Fault;
 use crate::node::{LEASE, Life, Node};
@@ -248,7 +248,7 @@
             let service = if number % 2 == 0 { 1 } else { 2 };
             let caller = 50_000 + u32::try_from(number).unwrap_or(0);
             let flow = self.add_flow(caller, service, false);
-            let hop = HopMark::FIRST;
+            let hop = RelayHeader::FIRST;
             self.flows[flow].is_intruder = true;
             self.spray(None, NodeEvent::Flow { flow, opening: false, token: Some(token), hop });
         }
--- a/crates/valvestage-policy/tests/fault_matrix/world.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/world.rs
@@ -7,15 +7,15 @@
 use valvestage_core::ids::{Attempt, BackendId, BalancerId, ObjectVersion, RequestId, ServiceId};
 use valvestage_core::{Backend, PacketKind, RefusalReason, Segment};
 use valvestage_policy::control::{
-    ControlAction, Installation, Machine, ObjectKey, ObjectValue, PlannedStop, PlatformCall,
-    PlatformReply, StopStep,
+    ControlAction, Installation, ObjectKey, ObjectValue, PlannedStop, PlatformCall, PlatformReply,
+    StateMachine, StopStep,
 };
 use valvestage_policy::flows::{
-    Binding, ExceptionFinder, FlowPacket, FlowToken, FlowVerdict, HopMark, MAX_HOPS,
+    Binding, ExceptionFinder, FlowPacket, FlowToken, FlowVerdict, MAX_HOPS, RelayHeader,
 };
 use valvestage_policy::membership::HeartbeatMessage;
 use valvestage_policy::rendezvous::mix;
-use valvestage_policy::requests::{BackendReply, HandedClaim, Refusal, Request, RequestAction};
+use valvestage_policy::requests::{BackendReply, ExportedClaim, Refusal, Request, RequestAction};
 
 use crate::backend::{Admission, FakeBackend, Work};
 use crate::caller::{self, Ending, Flow};
@@ -38,26 +38,69 @@
 /// Whose platform call it is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Who {
-    Machine(Machine),
+    Machine(StateMachine),
     Stop,
 }
 
 /// What arrives at a balancer.
 #[derive(Debug, Clone)]
 pub enum NodeEvent {
-    Flow { flow: usize, opening: bool, token: Option<FlowToken>, hop: HopMark },
+    Flow {
+        flow: usize,
+        opening: bool,
+        token: Option<FlowToken>,
+        hop: RelayHeader,
+    },
     Binding(Binding),
-    Request { request: Request<Payload>, hop: HopMark },
-    Answer { service: ServiceId, reply: BackendReply, place: Segment, payload: Payload },
-    Refused { service: ServiceId, reply: BackendReply, reason: RefusalReason },
-    BackendFlow { flow: usize, backend: Backend, opening: bool },
-    FlowRefused { flow: usize, backend: BackendId, reason: RefusalReason },
-    PlatformReply { who: Who, reply: PlatformReply },
-    Heartbeat { from: BalancerId, message: HeartbeatMessage },
+    Request {
+        request: Request<Payload>,
+        hop: RelayHeader,
+    },
+    Answer {
+        service: ServiceId,
+        reply: BackendReply,
+        place: Segment,
+        payload: Payload,
+    },
+    Refused {
+        service: ServiceId,
+        reply: BackendReply,
+        reason: RefusalReason,
+    },
+    BackendFlow {
+        flow: usize,
+        backend: Backend,
+        opening: bool,
+    },
+    FlowRefused {
+        flow: usize,
+        backend: BackendId,
+        reason: RefusalReason,
+    },
+    PlatformReply {
+        who: Who,
+        reply: PlatformReply,
+    },
+    Heartbeat {
+        from: BalancerId,
+        message: HeartbeatMessage,
+    },
     HeartbeatAnswer(HeartbeatMessage),
-    Fetch { from: BalancerId, key: ObjectKey },
-    Object { key: ObjectKey, version: ObjectVersion, value: ObjectValue },
-    Offer { from: BalancerId, service: ServiceId, handover: u64, claims: Vec<HandedClaim<Payload>> },
+    Fetch {
+        from: BalancerId,
+        key: ObjectKey,
+    },
+    Object {
+        key: ObjectKey,
+        version: ObjectVersion,
+        value: ObjectValue,
+    },
+    Offer {
+        from: BalancerId,
+        service: ServiceId,
+        handover: u64,
+        claims: Vec<ExportedClaim<Payload>>,
+    },
     Offered(bool),
     Bindings(Vec<Binding>),
     CopyExceptions,
@@ -557,7 +600,7 @@
         flow: usize,
         opening: bool,
         token: Option<FlowToken>,
-        hop: HopMark,
+        hop: RelayHeader,
     ) {
         let now = self.now;
         let (caller, service) = (self.flows[flow].caller, self.flows[flow].service);
@@ -643,7 +686,7 @@
             let key = keys.hasher().key(caller, service);
             let until = now + Duration::from_secs(1);
             node.policy.director_mut().on_connections_full(key, backend, until);
-            let hop = HopMark { count: MAX_HOPS, ..HopMark::FIRST };
+            let hop = RelayHeader { count: MAX_HOPS, ..RelayHeader::FIRST };
             self.on_flow(id, flow, true, None, hop);
         }
     }
--- a/crates/valvestage-policy/tests/simulation/store.rs
+++ b/crates/valvestage-policy/tests/simulation/store.rs
@@ -5,7 +5,7 @@
 use valvestage_core::StorePosition;
 use valvestage_core::ids::{InstanceId, StoreEra};
 use valvestage_policy::steering::{
-    BackendEntry, BackendNews, BackendPhase, EntryChange, EvacuationNews, RouteMap, StoreCall,
+    BackendEntry, BackendPhase, BackendUpdate, EntryChange, EvacuationUpdate, RouteMap, StoreCall,
     StoreKind, StoreReply,
 };
 
@@ -47,8 +47,8 @@
 /// The answer to a call.
 pub enum StoreAnswer {
     Routes(StoreReply<RouteMap>),
-    Backends(StoreReply<BackendNews>),
-    Evacuations(StoreReply<EvacuationNews>),
+    Backends(StoreReply<BackendUpdate>),
+    Evacuations(StoreReply<EvacuationUpdate>),
 }
 
 /// A time without an entry.
@@ -69,9 +69,9 @@
     /// The last time in which the store had no entry of a backend server that had had one.
     absences: BTreeMap<InstanceId, Absence>,
     route_changes: Vec<(u64, RouteMap)>,
-    entry_changes: Vec<BackendNews>,
+    entry_changes: Vec<BackendUpdate>,
     pub evacuated: BTreeSet<String>,
-    evacuation_changes: Vec<EvacuationNews>,
+    evacuation_changes: Vec<EvacuationUpdate>,
     forgotten: u64,
     /// When each revision was given out.
     changed_at: Vec<(u64, Millis)>,
@@ -140,7 +140,7 @@
             entry.phase = BackendPhase::Ready;
         }
         let (name, position) = (entry.name, self.position());
-        self.entry_changes.push(BackendNews {
+        self.entry_changes.push(BackendUpdate {
             name,
             position,
             change: EntryChange::Written(entry),
@@ -157,7 +157,7 @@
         }
         let (zone, position) = (zone.to_owned(), self.position());
         if !self.hides_evacuations {
-            self.evacuation_changes.push(EvacuationNews { zone, position, is_asked });
+            self.evacuation_changes.push(EvacuationUpdate { zone, position, is_asked });
         }
     }
 
@@ -169,7 +169,7 @@
         entry.position = StorePosition::new(self.era, self.revision);
         entry.phase = BackendPhase::Unusable;
         let (name, position) = (entry.name, entry.position);
-        self.entry_changes.push(BackendNews { name, position, change: EntryChange::Unusable });
+        self.entry_changes.push(BackendUpdate { name, position, change: EntryChange::Unusable });
     }
 
     /// The last time in which the store had no entry of a backend server; none if it always had one.
@@ -183,7 +183,7 @@
         self.absences.insert(instance, Absence { since: now, until: None });
         self.revision += 1;
         let (name, position) = (entry.name, self.position());
-        self.entry_changes.push(BackendNews { name, position, change: EntryChange::Deleted });
+        self.entry_changes.push(BackendUpdate { name, position, change: EntryChange::Deleted });
     }
 
     fn position(&self) -> StorePosition {
@@ -251,7 +251,7 @@
     }
 
     /// Takes a change of an entry in that was there before.
-    fn replay(&mut self, news: BackendNews) {
+    fn replay(&mut self, news: BackendUpdate) {
         let former = self.entries.values().find(|entry| entry.name == news.name).cloned();
         self.entries.retain(|_, entry| entry.name != news.name);
 
@@ -327,7 +327,7 @@
                 StoreAnswer::Routes(StoreReply::Changes { objects, position })
             }
             (StoreKind::Backends, None) => {
-                let objects = self.entries.values().map(|entry| BackendNews {
+                let objects = self.entries.values().map(|entry| BackendUpdate {
                     name: entry.name,
                     position: entry.position,
                     change: match entry.phase {
@@ -340,7 +340,7 @@
             }
             (StoreKind::Evacuations, None) => {
                 let shown = self.evacuated.iter().filter(|_| !self.hides_evacuations).cloned();
-                let objects = shown.map(|zone| EvacuationNews { zone, position, is_asked: true });
+                let objects = shown.map(|zone| EvacuationUpdate { zone, position, is_asked: true });
                 let objects = objects.collect();
                 StoreAnswer::Evacuations(StoreReply::Page { objects, next_after: None, position })
             }
--- a/crates/valvestage-policy/tests/simulation/world/knowledge.rs
+++ b/crates/valvestage-policy/tests/simulation/world/knowledge.rs
@@ -85,7 +85,7 @@
 
     fn carry_out(&mut self, balancer: BalancerNumber, action: KeeperAction) {
         match action {
-            KeeperAction::Tell(peer, message) => {
+            KeeperAction::Send(peer, message) => {
                 let repeats = if self.mutation == Some(Mutation::RepeatMessages) { 10 } else { 1 };
                 for _ in 0..repeats {
                     self.tell(balancer, peer, message.clone());
--- a/crates/valvestage-policy/tests/steering/backend_health.rs
+++ b/crates/valvestage-policy/tests/steering/backend_health.rs
@@ -1,14 +1,14 @@
 //! Detection of backend servers that seem dead.
 
 use valvestage_policy::steering::health::backend_health::BackendHealth;
-use valvestage_policy::steering::packets::flow_record::{AnswerSign, FlowSign};
+use valvestage_policy::steering::packets::flow_record::{AnswerSignal, LivenessSignal};
 
 use crate::fixtures::{flow, millis, start};
 
 const SERVER: u64 = 7;
 
 /// An answer to a request.
-const ALIVE: FlowSign = FlowSign::Alive(AnswerSign { opening: false, since: None });
+const ALIVE: LivenessSignal = LivenessSignal::Alive(AnswerSignal { opening: false, since: None });
 
 #[test]
 fn one_flow_without_an_answer_is_no_evidence() {
@@ -16,7 +16,7 @@
 
     for copy in 1..4 {
         let at = now + millis(200 * copy);
-        assert!(health.observe(SERVER, flow(1), FlowSign::Unanswered(now), at).is_none());
+        assert!(health.observe(SERVER, flow(1), LivenessSignal::Unanswered(now), at).is_none());
     }
     assert!(!health.is_suspect(SERVER, now + millis(600)));
 }
@@ -25,9 +25,11 @@
 fn two_flows_without_an_answer_raise_a_suspicion() {
     let (mut health, now) = (BackendHealth::default(), start());
 
-    health.observe(SERVER, flow(1), FlowSign::Unanswered(now), now + millis(200));
+    health.observe(SERVER, flow(1), LivenessSignal::Unanswered(now), now + millis(200));
     assert!(
-        health.observe(SERVER, flow(2), FlowSign::Unanswered(now), now + millis(210)).is_some()
+        health
+            .observe(SERVER, flow(2), LivenessSignal::Unanswered(now), now + millis(210))
+            .is_some()
     );
     assert!(health.is_suspect(SERVER, now + millis(220)));
     assert_eq!(health.suspects(now + millis(220)), [SERVER]);
@@ -38,8 +40,8 @@
     let (mut health, now) = (BackendHealth::default(), start());
 
     health.observe(SERVER, flow(3), ALIVE, now + millis(100));
-    health.observe(SERVER, flow(1), FlowSign::Unanswered(now), now + millis(200));
-    health.observe(SERVER, flow(2), FlowSign::Unanswered(now), now + millis(210));
+    health.observe(SERVER, flow(1), LivenessSignal::Unanswered(now), now + millis(200));
+    health.observe(SERVER, flow(2), LivenessSignal::Unanswered(now), now + millis(210));
     assert!(!health.is_suspect(SERVER, now + millis(220)));
 }
 
@@ -49,21 +51,21 @@
     for instance in 1..=20 {
         for port in [1, 2] {
             let at = now + millis(200 + 10 * instance);
-            health.observe(instance, flow(port), FlowSign::Unanswered(now), at);
+            health.observe(instance, flow(port), LivenessSignal::Unanswered(now), at);
         }
     }
     let latest: Vec<_> = (1..=20).rev().collect();
     assert_eq!(health.suspects(now + millis(500)), latest);
 
-    health.observe(1, flow(3), FlowSign::Unanswered(now), now + millis(600));
+    health.observe(1, flow(3), LivenessSignal::Unanswered(now), now + millis(600));
     assert_eq!(health.suspects(now + millis(700)), latest);
 }
 
 #[test]
 fn an_answer_ends_the_suspicion() {
     let (mut health, now) = (BackendHealth::default(), start());
-    health.observe(SERVER, flow(1), FlowSign::Unanswered(now), now + millis(200));
-    health.observe(SERVER, flow(2), FlowSign::Unanswered(now), now + millis(210));
+    health.observe(SERVER, flow(1), LivenessSignal::Unanswered(now), now + millis(200));
+    health.observe(SERVER, flow(2), LivenessSignal::Unanswered(now), now + millis(210));
 
     health.observe(SERVER, flow(3), ALIVE, now + millis(300));
     assert!(!health.is_suspect(SERVER, now + millis(301)));
@@ -72,8 +74,8 @@
 #[test]
 fn a_suspicion_ends_by_itself_so_that_a_returned_server_is_tried() {
     let (mut health, now) = (BackendHealth::default(), start());
-    health.observe(SERVER, flow(1), FlowSign::Unanswered(now), now + millis(200));
-    health.observe(SERVER, flow(2), FlowSign::Unanswered(now), now + millis(210));
+    health.observe(SERVER, flow(1), LivenessSignal::Unanswered(now), now + millis(200));
+    health.observe(SERVER, flow(2), LivenessSignal::Unanswered(now), now + millis(210));
 
     assert!(!health.is_suspect(SERVER, now + millis(10_000)));
 }
@@ -103,10 +105,10 @@
     let (mut health, now) = (BackendHealth::default(), start());
 
     for port in 1..=2 {
-        health.observe(SERVER, flow(port), FlowSign::Unanswered(now), now + millis(200));
+        health.observe(SERVER, flow(port), LivenessSignal::Unanswered(now), now + millis(200));
     }
     assert!(!health.is_given_up(SERVER, now + millis(201)));
-    health.observe(SERVER, flow(3), FlowSign::Unanswered(now), now + millis(202));
+    health.observe(SERVER, flow(3), LivenessSignal::Unanswered(now), now + millis(202));
     assert!(health.is_given_up(SERVER, now + millis(203)));
     health.observe(SERVER, flow(4), ALIVE, now + millis(204));
     assert!(!health.is_given_up(SERVER, now + millis(205)));
@@ -121,7 +123,7 @@
         !health.is_given_up(SERVER, now + millis(191)),
         "a report of another balancer alone ends no flow"
     );
-    health.observe(SERVER, flow(1), FlowSign::Unanswered(now), now + millis(200));
+    health.observe(SERVER, flow(1), LivenessSignal::Unanswered(now), now + millis(200));
     assert!(health.is_given_up(SERVER, now + millis(211)));
 }
 
@@ -130,7 +132,7 @@
     let (mut health, now) = (BackendHealth::default(), start());
 
     for port in 1..=5 {
-        health.observe(SERVER, flow(port), FlowSign::Unanswered(now), now + millis(2));
+        health.observe(SERVER, flow(port), LivenessSignal::Unanswered(now), now + millis(2));
     }
     assert!(!health.is_suspect(SERVER, now + millis(3)));
 }
--- a/crates/valvestage-policy/tests/steering/rebirths.rs
+++ b/crates/valvestage-policy/tests/steering/backend_restarts.rs
@@ -12,7 +12,9 @@
     PacketVerdict, PeerMessage, ResetReason, SteeringOptions, SteeringPolicy,
 };
 
-use crate::fixtures::{HOME, at, backend, data, flow, knowledge, millis, name_of, opening, start};
+use crate::fixtures::{
+    OWN_ZONE, at, backend, data, flow, knowledge, millis, name_of, opening, start,
+};
 
 /// The number in the name that all incarnations share, which their packets carry.
 const NAME: u64 = 7;
@@ -22,7 +24,7 @@
 const SECOND: u64 = NAME | 2 << 40;
 
 fn incarnation(instance: u64, revision: u64) -> BackendEntry {
-    let entry = backend(NAME, "core", HOME);
+    let entry = backend(NAME, "core", OWN_ZONE);
 
     BackendEntry { instance, position: at(revision), ..entry }
 }
@@ -56,7 +58,7 @@
 fn a_new_incarnation_at_another_address_for_another_service_ends_the_one_before_it() {
     let mut directory = directory();
     let elsewhere = BackendEntry {
-        address: backend(9, "core", HOME).address,
+        address: backend(9, "core", OWN_ZONE).address,
         service: "photos".to_owned(),
         ..incarnation(SECOND, 1_100)
     };
@@ -137,7 +139,7 @@
 impl Site {
     /// Creates a balancer with an open flow on the first incarnation.
     fn with_open_flow() -> Self {
-        let options = SteeringOptions { zone: HOME.to_owned(), ..Default::default() };
+        let options = SteeringOptions { zone: OWN_ZONE.to_owned(), ..Default::default() };
         let mut site = Self {
             policy: SteeringPolicy::new(options, 1),
             known: knowledge(&[incarnation(FIRST, 500)]),
@@ -259,7 +261,7 @@
     let mut directory = directory();
     let mut other = incarnation(SECOND, 1_100);
     other.name = BackendName { digest: 1, ..other.name };
-    other.address = backend(9, "core", HOME).address;
+    other.address = backend(9, "core", OWN_ZONE).address;
 
     directory.admit(other, start());
     assert_eq!(directory.get(FIRST).unwrap().phase, BackendPhase::Ready);
--- a/crates/valvestage-policy/tests/steering/cold_backends.rs
+++ b/crates/valvestage-policy/tests/steering/cold_backends.rs
@@ -14,7 +14,9 @@
     SteeringOptions, SteeringPolicy,
 };
 
-use crate::fixtures::{AWAY, HOME, backend, data, flow, knowledge, millis, opening, seeded, start};
+use crate::fixtures::{
+    OTHER_ZONE, OWN_ZONE, backend, data, flow, knowledge, millis, opening, seeded, start,
+};
 
 /// How far operators allow the rate to be exceeded.
 const LIMIT: ColdLimit = ColdLimit { over: 1.5, slack: 5.0 };
@@ -61,8 +63,11 @@
 }
 
 fn policy(seed: u64) -> SteeringPolicy {
-    let options =
-        SteeringOptions { zone: HOME.to_owned(), cold_limit: Some(LIMIT), ..Default::default() };
+    let options = SteeringOptions {
+        zone: OWN_ZONE.to_owned(),
+        cold_limit: Some(LIMIT),
+        ..Default::default()
+    };
 
     SteeringPolicy::new(options, seed)
 }
@@ -70,7 +75,7 @@
 impl ColdZone {
     fn new(balancers: usize, per_second: f64) -> Self {
         let now = start();
-        let servers: Vec<_> = (1..=SERVERS).map(|instance| cold(instance, HOME, now)).collect();
+        let servers: Vec<_> = (1..=SERVERS).map(|instance| cold(instance, OWN_ZONE, now)).collect();
         let mut known = knowledge(&servers);
         rates(&mut known, per_second);
 
@@ -240,7 +245,7 @@
 #[test]
 fn backend_servers_of_other_zones_get_nothing_while_they_are_cold() {
     let now = start();
-    let mut known = knowledge(&[cold(1, AWAY, now)]);
+    let mut known = knowledge(&[cold(1, OTHER_ZONE, now)]);
     rates(&mut known, 50.0);
     let mut policy = policy(1);
 
@@ -252,7 +257,7 @@
 #[test]
 fn without_a_rate_cold_backend_servers_are_not_limited() {
     let now = start();
-    let known = knowledge(&[cold(1, AWAY, now)]);
+    let known = knowledge(&[cold(1, OTHER_ZONE, now)]);
     let mut policy = policy(1);
 
     policy.look_at_members(&known, &view(0, 3), now);
@@ -277,7 +282,7 @@
 /// second.
 fn sole_balancer() -> (SteeringPolicy, Knowledge, Instant) {
     let now = start();
-    let mut known = knowledge(&[cold(1, HOME, now)]);
+    let mut known = knowledge(&[cold(1, OWN_ZONE, now)]);
     rates(&mut known, 5.0);
     let mut policy = policy(1);
 
--- a/crates/valvestage-policy/tests/steering/comparisons.rs
+++ b/crates/valvestage-policy/tests/steering/comparisons.rs
@@ -13,13 +13,13 @@
 };
 
 use crate::deployment::{Deployment, node_address};
-use crate::fixtures::{HOME, at, backend, millis, routes, start};
+use crate::fixtures::{OWN_ZONE, at, backend, millis, routes, start};
 
 fn settled(count: usize) -> Deployment {
     let mut deployment = Deployment::new(count);
     deployment.store.put_routes(routes(3, &[(443, "core")]));
     for instance in 1..=4 {
-        deployment.store.put_backend(backend(instance, "core", HOME));
+        deployment.store.put_backend(backend(instance, "core", OWN_ZONE));
     }
 
     deployment.run(millis(4_000));
@@ -33,7 +33,7 @@
     let now = deployment.now;
     let revision = deployment.node(node).knowledge().directory.complete_until();
     let mut sender = BackendDirectory::default();
-    sender.put(backend(instance, "core", HOME));
+    sender.put(backend(instance, "core", OWN_ZONE));
     sender.complete(revision);
     sender.mark_gone(instance, revision, now);
 
@@ -61,7 +61,7 @@
     let now = deployment.now;
     let known = deployment.node(node).knowledge();
     let heartbeat = PeerHeartbeat {
-        zone: HOME.to_owned(),
+        zone: OWN_ZONE.to_owned(),
         asks: false,
         version: known.routes.version,
         complete_until: sender.complete_until(),
@@ -129,8 +129,8 @@
 fn directories_with_the_same_live_incarnations_have_the_same_digest() {
     let (mut one, mut other) = (BackendDirectory::default(), BackendDirectory::default());
     for instance in 1..=3 {
-        one.put(backend(instance, "core", HOME));
-        other.put(BackendEntry { position: at(50), ..backend(4 - instance, "core", HOME) });
+        one.put(backend(instance, "core", OWN_ZONE));
+        other.put(BackendEntry { position: at(50), ..backend(4 - instance, "core", OWN_ZONE) });
     }
 
     assert_eq!(one.living_digest(), other.living_digest());
@@ -143,7 +143,7 @@
 #[test]
 fn a_lapsed_entry_that_returns_unusable_is_not_gone() {
     let mut directory = BackendDirectory::default();
-    directory.put(backend(1, "core", HOME));
+    directory.put(backend(1, "core", OWN_ZONE));
     directory.mark_gone(1, at(13), start());
 
     assert!(directory.mark_unusable(1, at(28)));
@@ -153,7 +153,7 @@
 #[test]
 fn a_backend_server_that_has_left_does_not_return_unusable() {
     let mut directory = BackendDirectory::default();
-    directory.put(BackendEntry { phase: BackendPhase::Draining, ..backend(1, "core", HOME) });
+    directory.put(BackendEntry { phase: BackendPhase::Draining, ..backend(1, "core", OWN_ZONE) });
     directory.mark_gone(1, at(13), start());
 
     assert!(!directory.mark_unusable(1, at(28)));
@@ -164,14 +164,16 @@
 #[test]
 fn a_peer_entry_that_was_absent_when_the_store_was_read_is_missing() {
     let mut directory = BackendDirectory::default();
-    directory.put(backend(1, "core", HOME));
+    directory.put(backend(1, "core", OWN_ZONE));
     directory.complete(at(20));
     directory.mark_missing(1, start() + millis(2_000));
     directory.complete(at(54));
 
-    directory.admit_told(BackendEntry { position: at(23), ..backend(7, "core", HOME) }, start());
+    directory
+        .admit_told(BackendEntry { position: at(23), ..backend(7, "core", OWN_ZONE) }, start());
     assert!(directory.get(7).is_some_and(|entry| entry.missing_until.is_some()));
-    directory.admit_told(BackendEntry { position: at(60), ..backend(8, "core", HOME) }, start());
+    directory
+        .admit_told(BackendEntry { position: at(60), ..backend(8, "core", OWN_ZONE) }, start());
     assert!(directory.get(8).is_some_and(|entry| entry.missing_until.is_none()));
 }
 
@@ -180,7 +182,7 @@
 fn directory_with_obsolete_entry(instance: u64, read_until: u64) -> BackendDirectory {
     let mut directory = BackendDirectory::default();
     directory.complete(at(read_until));
-    directory.admit_obsolete(backend(instance, "core", HOME), start());
+    directory.admit_obsolete(backend(instance, "core", OWN_ZONE), start());
     directory
 }
 
@@ -202,7 +204,7 @@
 fn an_end_at_the_position_of_the_entry_is_learned_from_a_peer_that_knows_as_much() {
     let mut directory = BackendDirectory::default();
     for instance in 1..=3 {
-        directory.put(backend(instance, "core", HOME));
+        directory.put(backend(instance, "core", OWN_ZONE));
     }
     directory.complete(at(9));
 
@@ -215,7 +217,7 @@
 #[test]
 fn an_end_at_the_position_of_the_entry_waits_while_the_entry_may_return() {
     let mut directory = BackendDirectory::default();
-    directory.put(backend(2, "core", HOME));
+    directory.put(backend(2, "core", OWN_ZONE));
     directory.complete(at(9));
 
     directory.end_told(&[2].into(), at(9), Some(start() + millis(2_000)), start());
--- a/crates/valvestage-policy/tests/steering/cut_zones.rs
+++ b/crates/valvestage-policy/tests/steering/cut_zones.rs
@@ -14,7 +14,9 @@
     ResetReason, SteeringOptions, SteeringPolicy, ZoneContacts, ZoneReach,
 };
 
-use crate::fixtures::{AWAY, HOME, at, backend, data, flow, knowledge, millis, opening, start};
+use crate::fixtures::{
+    OTHER_ZONE, OWN_ZONE, at, backend, data, flow, knowledge, millis, opening, start,
+};
 
 /// Third zone, which stays reachable.
 const THIRD: &str = "zone-c";
@@ -39,12 +41,12 @@
     /// Returns a balancer that reaches both other zones, with a flow on the only backend server
     /// that was answered just now.
     fn with_flow_in(zone: &str) -> Self {
-        let options = SteeringOptions { zone: HOME.to_owned(), ..Default::default() };
+        let options = SteeringOptions { zone: OWN_ZONE.to_owned(), ..Default::default() };
         let mut site = Self {
             policy: SteeringPolicy::new(options, 1),
             known: knowledge(&[backend(1, "core", zone)]),
             now: start(),
-            reachable_zones: vec![AWAY, THIRD],
+            reachable_zones: vec![OTHER_ZONE, THIRD],
             is_confirmed: true,
         };
 
@@ -94,7 +96,7 @@
     }
 
     fn heal(&mut self) {
-        self.reachable_zones = vec![AWAY, THIRD];
+        self.reachable_zones = vec![OTHER_ZONE, THIRD];
     }
 }
 
@@ -110,7 +112,7 @@
 
 #[test]
 fn flows_that_may_go_on_at_the_other_side_of_a_cut_are_not_reset() {
-    let mut site = Site::with_flow_in(AWAY);
+    let mut site = Site::with_flow_in(OTHER_ZONE);
 
     assert_eq!(site.cut_off_other_zone(), []);
     site.heal();
@@ -119,7 +121,7 @@
 
 #[test]
 fn flows_are_reset_after_the_return_time_of_their_entry_since_the_cut() {
-    let mut site = Site::with_flow_in(AWAY);
+    let mut site = Site::with_flow_in(OTHER_ZONE);
 
     site.cut_off_other_zone();
     site.heal();
@@ -128,7 +130,7 @@
 
 #[test]
 fn flows_are_not_reset_while_the_store_confirms_nothing() {
-    let mut site = Site::with_flow_in(AWAY);
+    let mut site = Site::with_flow_in(OTHER_ZONE);
 
     site.cut_off_other_zone();
     site.heal();
@@ -138,18 +140,20 @@
 
 #[test]
 fn flows_are_not_reset_if_their_entry_returns() {
-    let mut site = Site::with_flow_in(AWAY);
+    let mut site = Site::with_flow_in(OTHER_ZONE);
 
     site.cut_off_other_zone();
     site.heal();
     site.advance(millis(800));
-    site.known.directory.put(BackendEntry { position: at(2_500), ..backend(1, "core", AWAY) });
+    site.known
+        .directory
+        .put(BackendEntry { position: at(2_500), ..backend(1, "core", OTHER_ZONE) });
     assert_eq!(site.advance(millis(6_000)), []);
 }
 
 #[test]
 fn flows_are_not_reset_in_a_zone_that_was_cut_off_itself() {
-    let mut site = Site::with_flow_in(HOME);
+    let mut site = Site::with_flow_in(OWN_ZONE);
 
     site.reachable_zones = Vec::new();
     site.is_confirmed = false;
@@ -163,7 +167,7 @@
 
 #[test]
 fn a_flow_that_comes_after_a_cut_gets_one_packet_to_its_backend_server() {
-    let mut site = Site::with_flow_in(AWAY);
+    let mut site = Site::with_flow_in(OTHER_ZONE);
 
     site.cut_off_other_zone();
     site.heal();
@@ -175,7 +179,7 @@
 
 #[test]
 fn a_packet_sent_during_the_cut_shows_nothing() {
-    let mut site = Site::with_flow_in(AWAY);
+    let mut site = Site::with_flow_in(OTHER_ZONE);
 
     site.cut_off_other_zone();
     assert_forwarded(site.request(2));
@@ -188,7 +192,7 @@
 
 #[test]
 fn an_acknowledgement_asks_for_no_answer() {
-    let mut site = Site::with_flow_in(AWAY);
+    let mut site = Site::with_flow_in(OTHER_ZONE);
     let acknowledgement = data(flow(2), BackendDirectory::token_of(1), 2_001, 0, 900);
 
     site.cut_off_other_zone();
@@ -202,7 +206,7 @@
 
 #[test]
 fn an_answer_shows_that_the_backend_server_is_alive() {
-    let mut site = Site::with_flow_in(AWAY);
+    let mut site = Site::with_flow_in(OTHER_ZONE);
 
     site.cut_off_other_zone();
     site.heal();
@@ -217,7 +221,7 @@
 /// Flows are ended without delay if the zone was reachable all the time.
 #[test]
 fn without_a_cut_a_lapse_after_silence_resets_flows_at_once() {
-    let mut site = Site::with_flow_in(AWAY);
+    let mut site = Site::with_flow_in(OTHER_ZONE);
 
     site.advance(millis(3_000));
     assert!(site.known.directory.mark_gone(1, at(2_000), site.now));
@@ -227,7 +231,7 @@
 /// Three flows miss answers, and their zone is unreachable: idle flows may go on at the other side.
 #[test]
 fn idle_flows_of_a_silent_zone_are_not_reset_with_the_others() {
-    let mut site = Site::with_flow_in(AWAY);
+    let mut site = Site::with_flow_in(OTHER_ZONE);
     let mut resets = Vec::new();
     let mut verdicts = Vec::new();
 
@@ -245,7 +249,7 @@
 #[test]
 fn a_zone_is_silent_after_a_timeout_and_rejoins_with_its_next_heartbeat() {
     let mut contacts = ZoneContacts::default();
-    let (zone, began) = (AWAY.to_owned(), start());
+    let (zone, began) = (OTHER_ZONE.to_owned(), start());
     assert_eq!(contacts.reach(&zone, began), ZoneReach::Unknown);
 
     contacts.on_heard(&zone, began);
--- a/crates/valvestage-policy/tests/steering/deployment.rs
+++ b/crates/valvestage-policy/tests/steering/deployment.rs
@@ -6,7 +6,7 @@
 
 use valvestage_core::StorePosition;
 use valvestage_policy::steering::{
-    BackendEntry, BackendNews, EntryChange, EntryOptions, EntryPolicy, EvacuationNews,
+    BackendEntry, BackendUpdate, EntryChange, EntryOptions, EntryPolicy, EvacuationUpdate,
     KeeperAction, PeerMessage, RouteMap, SteeringOptions, StoreCall, StoreKind, StoreReply,
 };
 
@@ -33,10 +33,10 @@
     pub revision: u64,
     pub routes: Option<RouteMap>,
     pub backends: BTreeMap<u64, BackendEntry>,
-    history: Vec<(u64, StoreKind, Option<RouteMap>, Option<BackendNews>)>,
+    history: Vec<(u64, StoreKind, Option<RouteMap>, Option<BackendUpdate>)>,
     /// Zones that the operator has evacuated.
     pub evacuated: BTreeSet<String>,
-    evacuations: Vec<EvacuationNews>,
+    evacuations: Vec<EvacuationUpdate>,
     /// Changes up to this revision are compacted.
     pub forgotten: u64,
     pub calls: usize,
@@ -57,7 +57,7 @@
         entry.position = self.position(self.revision);
         let (name, revision, position) = (entry.name, self.revision, self.position(self.revision));
         self.backends.insert(entry.instance, entry.clone());
-        let news = BackendNews { name, position, change: EntryChange::Written(entry) };
+        let news = BackendUpdate { name, position, change: EntryChange::Written(entry) };
         self.history.push((revision, StoreKind::Backends, None, Some(news)));
     }
 
@@ -65,7 +65,7 @@
         self.revision += 1;
         self.backends.remove(&instance);
         let (name, position) = (name_of(instance), self.position(self.revision));
-        let news = BackendNews { name, position, change: EntryChange::Deleted };
+        let news = BackendUpdate { name, position, change: EntryChange::Deleted };
         self.history.push((self.revision, StoreKind::Backends, None, Some(news)));
     }
 
@@ -130,7 +130,7 @@
             self.evacuated.remove(zone);
         }
         let (zone, position) = (zone.to_owned(), self.position(self.revision));
-        self.evacuations.push(EvacuationNews { zone, position, is_asked });
+        self.evacuations.push(EvacuationUpdate { zone, position, is_asked });
     }
 
     /// Returns the number of calls for a kind of objects; only calls for evacuations are counted
@@ -142,13 +142,13 @@
         }
     }
 
-    fn answer_evacuations(&self, call: &StoreCall) -> Option<StoreReply<EvacuationNews>> {
+    fn answer_evacuations(&self, call: &StoreCall) -> Option<StoreReply<EvacuationUpdate>> {
         let revision = self.revision;
         Some(match call {
             StoreCall::List { .. } => {
                 let zones = self.evacuated.iter().cloned();
                 let position = self.position(revision);
-                let objects = zones.map(|zone| EvacuationNews { zone, position, is_asked: true });
+                let objects = zones.map(|zone| EvacuationUpdate { zone, position, is_asked: true });
                 StoreReply::Page {
                     objects: objects.collect(),
                     next_after: None,
@@ -187,10 +187,10 @@
         })
     }
 
-    fn answer_backends(&self, call: &StoreCall) -> Option<StoreReply<BackendNews>> {
+    fn answer_backends(&self, call: &StoreCall) -> Option<StoreReply<BackendUpdate>> {
         Some(match call {
             StoreCall::List { .. } => {
-                let objects = self.backends.values().map(|entry| BackendNews {
+                let objects = self.backends.values().map(|entry| BackendUpdate {
                     name: entry.name,
                     position: entry.position,
                     change: EntryChange::Written(entry.clone()),
@@ -218,7 +218,7 @@
         &self,
         after: u64,
         kind: StoreKind,
-    ) -> impl Iterator<Item = &(u64, StoreKind, Option<RouteMap>, Option<BackendNews>)> {
+    ) -> impl Iterator<Item = &(u64, StoreKind, Option<RouteMap>, Option<BackendUpdate>)> {
         let until = self.watched_until.unwrap_or(u64::MAX);
 
         self.history
@@ -476,7 +476,7 @@
     fn perform(&mut self, node: usize, actions: Vec<KeeperAction>) {
         for action in actions {
             match action {
-                KeeperAction::Tell(peer, message) => {
+                KeeperAction::Send(peer, message) => {
                     let to = (0..self.nodes.len()).find(|other| node_address(*other) == peer);
                     self.messages += 1;
                     if let Some(to) = to {
--- a/crates/valvestage-policy/tests/steering/directory.rs
+++ b/crates/valvestage-policy/tests/steering/directory.rs
@@ -4,13 +4,13 @@
 
 use valvestage_policy::steering::{BackendDirectory, BackendEnd, BackendEntry, BackendPhase};
 
-use crate::fixtures::{AWAY, HOME, at, backend, millis, seeded, start};
+use crate::fixtures::{OTHER_ZONE, OWN_ZONE, at, backend, millis, seeded, start};
 
 fn draining(instance: u64, revision: u64) -> BackendEntry {
     BackendEntry {
         position: at(revision),
         phase: BackendPhase::Draining,
-        ..backend(instance, "core", HOME)
+        ..backend(instance, "core", OWN_ZONE)
     }
 }
 
@@ -19,14 +19,14 @@
     let mut directory = BackendDirectory::default();
     directory.put(draining(5, 9));
 
-    assert!(!directory.put(backend(5, "core", HOME)));
+    assert!(!directory.put(backend(5, "core", OWN_ZONE)));
     assert_eq!(directory.get(5).unwrap().phase, BackendPhase::Draining);
 }
 
 #[test]
 fn an_older_change_does_not_bring_a_gone_entry_back() {
     let (mut directory, now) = (BackendDirectory::default(), start());
-    directory.put(backend(5, "core", HOME));
+    directory.put(backend(5, "core", OWN_ZONE));
     directory.mark_gone(5, at(20), now);
 
     assert!(!directory.put(draining(5, 19)));
@@ -36,10 +36,10 @@
 #[test]
 fn an_entry_that_returns_is_no_longer_gone() {
     let (mut directory, now) = (BackendDirectory::default(), start());
-    directory.put(backend(5, "core", HOME));
+    directory.put(backend(5, "core", OWN_ZONE));
     directory.mark_gone(5, at(20), now);
 
-    assert!(directory.put(BackendEntry { position: at(25), ..backend(5, "core", HOME) }));
+    assert!(directory.put(BackendEntry { position: at(25), ..backend(5, "core", OWN_ZONE) }));
     assert!(!directory.get(5).unwrap().is_gone());
 }
 
@@ -47,13 +47,13 @@
 fn a_peer_entry_that_was_removed_long_ago_is_obsolete() {
     let (mut directory, now) = (BackendDirectory::default(), start());
     directory.complete(at(1));
-    directory.put(backend(5, "core", HOME));
+    directory.put(backend(5, "core", OWN_ZONE));
     directory.mark_gone(5, at(20), now);
     directory.complete(at(30));
     directory.forget_gone(now + millis(1));
 
-    assert!(directory.is_obsolete(&backend(5, "core", HOME), start()));
-    assert!(!directory.is_obsolete(&backend(31, "core", HOME), start()));
+    assert!(directory.is_obsolete(&backend(5, "core", OWN_ZONE), start()));
+    assert!(!directory.is_obsolete(&backend(31, "core", OWN_ZONE), start()));
     assert!(!directory.remembers(at(19)), "a removal after 19 was forgotten");
     assert!(directory.remembers(at(20)));
 }
@@ -61,8 +61,8 @@
 #[test]
 fn entries_missing_after_an_outage_may_return() {
     let (mut directory, now) = (BackendDirectory::default(), start());
-    directory.put(backend(5, "core", HOME));
-    directory.put(backend(6, "core", HOME));
+    directory.put(backend(5, "core", OWN_ZONE));
+    directory.put(backend(6, "core", OWN_ZONE));
     directory.complete(at(10));
 
     directory.retain_listed(&HashSet::new(), at(40), Some(now + millis(2_000)), now);
@@ -71,7 +71,7 @@
     assert_eq!(directory.complete_until(), at(10), "not complete while entries are missing");
 
     // One returns under the same id, the other does not.
-    directory.put(BackendEntry { position: at(41), ..backend(5, "core", HOME) });
+    directory.put(BackendEntry { position: at(41), ..backend(5, "core", OWN_ZONE) });
     assert_eq!(directory.expire_missing(now + millis(2_000)), [6]);
     assert!(!directory.get(5).unwrap().is_gone());
     assert!(directory.get(6).unwrap().is_gone());
@@ -82,8 +82,8 @@
 #[test]
 fn entries_absent_without_an_outage_are_gone_at_once() {
     let (mut directory, now) = (BackendDirectory::default(), start());
-    directory.put(backend(5, "core", HOME));
-    directory.put(backend(50, "core", HOME));
+    directory.put(backend(5, "core", OWN_ZONE));
+    directory.put(backend(50, "core", OWN_ZONE));
 
     directory.retain_listed(&HashSet::new(), at(40), None, now);
     assert!(directory.get(5).unwrap().is_gone());
@@ -93,8 +93,8 @@
 #[test]
 fn a_token_names_one_incarnation() {
     let mut directory = BackendDirectory::default();
-    directory.put(backend(5, "core", HOME));
-    directory.put(backend(6, "photos", AWAY));
+    directory.put(backend(5, "core", OWN_ZONE));
+    directory.put(backend(6, "photos", OTHER_ZONE));
 
     let token = BackendDirectory::token_of(6);
     assert_eq!(directory.by_token(token).unwrap().service, "photos");
@@ -108,7 +108,8 @@
 
     for (instance, revision, leaves) in changes {
         let (instance, revision) = (u64::from(instance % 8) + 1, u64::from(*revision) + 1);
-        let mut entry = BackendEntry { position: at(revision), ..backend(instance, "core", HOME) };
+        let mut entry =
+            BackendEntry { position: at(revision), ..backend(instance, "core", OWN_ZONE) };
         if *leaves {
             entry.phase = BackendPhase::Gone { since: now, end: BackendEnd::Left };
         }
@@ -143,7 +144,7 @@
 #[test]
 fn removals_before_the_first_list_are_not_known() {
     let mut directory = BackendDirectory::default();
-    directory.put(backend(5, "core", HOME));
+    directory.put(backend(5, "core", OWN_ZONE));
     directory.complete(at(40));
 
     assert!(!directory.remembers(at(39)), "peers may know an entry that was removed before 40");
@@ -153,17 +154,17 @@
 #[test]
 fn a_peer_that_does_not_know_that_an_entry_went_does_not_bring_it_back() {
     let (mut directory, now) = (BackendDirectory::default(), start());
-    directory.put(backend(1, "core", HOME));
+    directory.put(backend(1, "core", OWN_ZONE));
     directory.complete(at(1));
     directory.mark_missing(1, now + millis(2_300));
 
-    assert!(directory.admit_told(backend(1, "core", HOME), now).is_empty());
+    assert!(directory.admit_told(backend(1, "core", OWN_ZONE), now).is_empty());
     assert!(directory.has_missing());
     // The store shows it again at the same position: it was never removed. Later a peer reports
     // that it has returned.
-    assert_eq!(directory.admit(backend(1, "core", HOME), now), [1]);
+    assert_eq!(directory.admit(backend(1, "core", OWN_ZONE), now), [1]);
     directory.mark_missing(1, now + millis(2_300));
-    let returned = BackendEntry { position: at(9), ..backend(1, "core", HOME) };
+    let returned = BackendEntry { position: at(9), ..backend(1, "core", OWN_ZONE) };
     assert_eq!(directory.admit_told(returned, now), [1]);
     assert!(!directory.has_missing());
 }
@@ -171,14 +172,14 @@
 #[test]
 fn a_peer_that_is_behind_what_was_read_does_not_bring_a_missing_entry_back() {
     let (mut directory, now) = (BackendDirectory::default(), start());
-    directory.put(backend(1, "core", HOME));
+    directory.put(backend(1, "core", OWN_ZONE));
     directory.complete(at(1));
     // It lapsed, returned and was removed again while this balancer read nothing. The list of
     // revision 9 does not have it.
     directory.mark_missing(1, now + millis(2_300));
     directory.complete(at(9));
 
-    let peer_entry = BackendEntry { position: at(6), ..backend(1, "core", HOME) };
+    let peer_entry = BackendEntry { position: at(6), ..backend(1, "core", OWN_ZONE) };
     directory.admit_told(peer_entry, now);
     assert!(directory.has_missing());
     assert_eq!(directory.get(1).unwrap().position, at(6));
--- a/crates/valvestage-policy/tests/steering/ended_flows.rs
+++ b/crates/valvestage-policy/tests/steering/ended_flows.rs
@@ -15,7 +15,7 @@
 };
 
 use crate::fixtures::{
-    AWAY, HOME, at, backend, data, flow, knowledge, millis, opening, seeded, start,
+    OTHER_ZONE, OWN_ZONE, at, backend, data, flow, knowledge, millis, opening, seeded, start,
 };
 
 /// Time between two rounds of resets.
@@ -30,8 +30,8 @@
 impl Site {
     fn with_backends(count: u64) -> Self {
         let servers: Vec<BackendEntry> =
-            (1..=count).map(|instance| backend(instance, "core", HOME)).collect();
-        let options = SteeringOptions { zone: HOME.to_owned(), ..Default::default() };
+            (1..=count).map(|instance| backend(instance, "core", OWN_ZONE)).collect();
+        let options = SteeringOptions { zone: OWN_ZONE.to_owned(), ..Default::default() };
 
         Self { policy: SteeringPolicy::new(options, 1), known: knowledge(&servers), now: start() }
     }
@@ -153,7 +153,7 @@
 
     site.known.directory.mark_gone(1, at(2_000), site.now);
     assert_eq!(site.resets_in(10), []);
-    site.known.directory.put(BackendEntry { position: at(2_500), ..backend(1, "core", HOME) });
+    site.known.directory.put(BackendEntry { position: at(2_500), ..backend(1, "core", OWN_ZONE) });
     assert_eq!(site.resets_in(40), []);
 }
 
@@ -244,7 +244,7 @@
             if !resets.is_empty() {
                 return TestResult::error(format!("turn {turn}: flows reset: {resets:?}"));
             }
-            let entry = backend(lapsed, "core", HOME);
+            let entry = backend(lapsed, "core", OWN_ZONE);
             site.known.directory.put(BackendEntry { position: at(revision + 1), ..entry });
         }
         TestResult::passed()
@@ -281,7 +281,7 @@
 
 #[test]
 fn flows_of_a_suspected_backend_server_in_the_own_zone_are_reset_at_once() {
-    let verdict = retransmit_third(&mut before_third_retransmission_in(HOME));
+    let verdict = retransmit_third(&mut before_third_retransmission_in(OWN_ZONE));
 
     assert_eq!(verdict, PacketVerdict::Reset(ResetReason::BackendSilent));
 }
@@ -289,7 +289,7 @@
 /// A zone is cut off for a second, and callers retransmit just after that.
 #[test]
 fn a_suspected_backend_server_in_another_zone_is_probed_on_each_flow() {
-    let mut site = before_third_retransmission_in(AWAY);
+    let mut site = before_third_retransmission_in(OTHER_ZONE);
 
     assert!(matches!(retransmit_third(&mut site), PacketVerdict::Forward { .. }));
     site.now += millis(400);
@@ -299,7 +299,7 @@
 
 #[test]
 fn an_answered_probe_keeps_the_flow() {
-    let mut site = before_third_retransmission_in(AWAY);
+    let mut site = before_third_retransmission_in(OTHER_ZONE);
     let token = BackendDirectory::token_of(1);
 
     retransmit_third(&mut site);
--- a/crates/valvestage-policy/tests/steering/fixtures.rs
+++ b/crates/valvestage-policy/tests/steering/fixtures.rs
@@ -11,10 +11,10 @@
 };
 
 /// Availability zone of the balancer under test.
-pub const HOME: &str = "zone-a";
+pub const OWN_ZONE: &str = "zone-a";
 
 /// Another availability zone.
-pub const AWAY: &str = "zone-b";
+pub const OTHER_ZONE: &str = "zone-b";
 
 pub fn millis(count: u64) -> Duration {
     Duration::from_millis(count)
--- a/crates/valvestage-policy/tests/steering/held_packets.rs
+++ b/crates/valvestage-policy/tests/steering/held_packets.rs
@@ -13,7 +13,7 @@
     SteeringOptions, SteeringPolicy,
 };
 
-use crate::fixtures::{HOME, at, backend, data, flow, knowledge, millis, opening, start};
+use crate::fixtures::{OWN_ZONE, at, backend, data, flow, knowledge, millis, opening, start};
 
 /// Returns a request on a flow of backend server 9.
 fn request(port: u16) -> CallerPacket {
@@ -22,12 +22,12 @@
 
 /// Returns a policy, and a held packet for a backend server that the policy does not know.
 fn policy_with_held_packet() -> (SteeringPolicy, HeldPackets<u16>, Instant) {
-    let options = SteeringOptions { zone: HOME.to_owned(), ..Default::default() };
+    let options = SteeringOptions { zone: OWN_ZONE.to_owned(), ..Default::default() };
     let mut policy = SteeringPolicy::new(options, 1);
     let mut held = HeldPackets::default();
     let now = start();
 
-    let verdict = policy.on_packet(&knowledge(&[backend(1, "core", HOME)]), &request(1), now);
+    let verdict = policy.on_packet(&knowledge(&[backend(1, "core", OWN_ZONE)]), &request(1), now);
     let PacketVerdict::Drop(reason) = verdict else { panic!("packet not dropped: {verdict:?}") };
     assert!(reason.may_pass());
     assert!(held.hold(request(1), 1, now));
@@ -37,10 +37,10 @@
 #[test]
 fn a_packet_waits_until_its_backend_server_is_known() {
     let (mut policy, mut held, now) = policy_with_held_packet();
-    let mut known = knowledge(&[backend(1, "core", HOME)]);
+    let mut known = knowledge(&[backend(1, "core", OWN_ZONE)]);
 
     assert!(held.take_decidable(|packet| policy.can_decide(&known, packet)).is_empty());
-    known.directory.put(BackendEntry { position: at(2_000), ..backend(9, "core", HOME) });
+    known.directory.put(BackendEntry { position: at(2_000), ..backend(9, "core", OWN_ZONE) });
     let released = held.take_decidable(|packet| policy.can_decide(&known, packet));
     assert_eq!(released.len(), 1);
     let verdict = policy.on_packet(&known, &released[0].packet, now + millis(300));
@@ -51,7 +51,7 @@
 #[test]
 fn decisions_report_a_hold_and_its_expiry() {
     let (mut policy, mut held, now) = policy_with_held_packet();
-    let known = knowledge(&[backend(1, "core", HOME)]);
+    let known = knowledge(&[backend(1, "core", OWN_ZONE)]);
     let decisions = policy.take_decisions();
     assert!(matches!(&decisions[..], [Decision::Held(_)]), "{decisions:?}");
 
@@ -81,12 +81,12 @@
 
 #[test]
 fn opening_packets_wait_only_until_the_knowledge_is_complete() {
-    let options = SteeringOptions { zone: HOME.to_owned(), ..Default::default() };
+    let options = SteeringOptions { zone: OWN_ZONE.to_owned(), ..Default::default() };
     let policy = SteeringPolicy::new(options, 1);
     let packet = opening(flow(1), 0);
 
     assert!(!policy.can_decide(&Default::default(), &packet));
-    assert!(policy.can_decide(&knowledge(&[backend(1, "core", HOME)]), &packet));
+    assert!(policy.can_decide(&knowledge(&[backend(1, "core", OWN_ZONE)]), &packet));
 }
 
 #[test]
--- a/crates/valvestage-policy/tests/steering/keepers.rs
+++ b/crates/valvestage-policy/tests/steering/keepers.rs
@@ -3,14 +3,14 @@
 use valvestage_policy::steering::{BackendEntry, BackendPhase, Decision, EntryPolicy};
 
 use crate::deployment::Deployment;
-use crate::fixtures::{HOME, backend, millis, routes};
+use crate::fixtures::{OWN_ZONE, backend, millis, routes};
 
 /// Creates a deployment in which every balancer knows a configuration and four backend servers.
 fn settled(count: usize) -> Deployment {
     let mut deployment = Deployment::new(count);
     deployment.store.put_routes(routes(3, &[(443, "core")]));
     for instance in 1..=4 {
-        deployment.store.put_backend(backend(instance, "core", HOME));
+        deployment.store.put_backend(backend(instance, "core", OWN_ZONE));
     }
 
     deployment.run(millis(4_000));
@@ -64,7 +64,7 @@
 fn a_drain_is_everywhere_within_a_moment() {
     let mut deployment = settled(30);
 
-    let mut draining = backend(2, "core", HOME);
+    let mut draining = backend(2, "core", OWN_ZONE);
     draining.phase = BackendPhase::Draining;
     deployment.store.put_backend(draining);
     let took = deployment.run_until(|now| {
@@ -143,7 +143,7 @@
         }
     }
     for instance in 1..=2 {
-        deployment.store.put_backend(backend(instance, "core", HOME));
+        deployment.store.put_backend(backend(instance, "core", OWN_ZONE));
     }
     deployment.run(millis(4_000));
     for node in deployment.nodes.iter().flatten() {
@@ -163,7 +163,7 @@
 
     deployment.store.delete_backend(1);
     deployment.run(millis(700));
-    deployment.store.put_backend(backend(1, "core", HOME));
+    deployment.store.put_backend(backend(1, "core", OWN_ZONE));
     for _ in 0..3_000 {
         deployment.run(millis(1));
         for node in deployment.nodes.iter().flatten() {
@@ -198,7 +198,7 @@
         deployment.run(millis(1));
         assert_not_gone(&deployment, 1);
     }
-    deployment.store.put_backend(backend(1, "core", HOME));
+    deployment.store.put_backend(backend(1, "core", OWN_ZONE));
     for _ in 0..4_000 {
         deployment.run(millis(1));
         assert_not_gone(&deployment, 1);
@@ -215,7 +215,7 @@
     let isolated = 5;
     deployment.cut_from_store = vec![isolated];
     deployment.cut_from_peers = vec![isolated];
-    deployment.store.put_backend(backend(1, "core", HOME));
+    deployment.store.put_backend(backend(1, "core", OWN_ZONE));
     for _ in 0..6_000 {
         deployment.run(millis(1));
         assert_not_gone(&deployment, 1);
@@ -234,7 +234,7 @@
     deployment.run(millis(1_500));
 
     // It returns in time, and watches show it much later.
-    deployment.store.put_backend(backend(1, "core", HOME));
+    deployment.store.put_backend(backend(1, "core", OWN_ZONE));
     for _ in 0..6_000 {
         deployment.run(millis(1));
         assert_not_gone(&deployment, 1);
@@ -408,7 +408,7 @@
     // One returns while the others are missing: each balancer knows a change, and none knows all.
     let before = deployment.messages;
     deployment.run(millis(1_000));
-    deployment.store.put_backend(backend(1, "core", HOME));
+    deployment.store.put_backend(backend(1, "core", OWN_ZONE));
     deployment.run(millis(4_000));
     let rate = (deployment.messages - before) / 30 / 5;
     assert!(rate <= 40, "{rate} messages a second from each balancer");
@@ -419,7 +419,7 @@
     let mut deployment = Deployment::new(60);
     deployment.store.put_routes(routes(3, &[(443, "core")]));
     for instance in 1..=1_500 {
-        deployment.store.put_backend(backend(instance, "core", HOME));
+        deployment.store.put_backend(backend(instance, "core", OWN_ZONE));
     }
     deployment.run(millis(3_000));
     for node in 0..60 {
@@ -440,7 +440,7 @@
     let mut deployment = Deployment::across_zones(COUNT, 3);
     deployment.store.put_routes(routes(3, &[(443, "core")]));
     for instance in 1..=1_500 {
-        deployment.store.put_backend(backend(instance, "core", HOME));
+        deployment.store.put_backend(backend(instance, "core", OWN_ZONE));
     }
     deployment.run(millis(6_000));
     for node in 0..COUNT {
@@ -478,7 +478,7 @@
             assert!(!node.knowledge().directory.get(1).unwrap().is_gone());
         }
     }
-    deployment.store.put_backend(backend(1, "core", HOME));
+    deployment.store.put_backend(backend(1, "core", OWN_ZONE));
     deployment.run(millis(6_000));
     assert!(all_know_gone(&deployment, 2), "entry 2 did not return and should be gone");
     for node in deployment.nodes.iter().flatten() {
--- a/crates/valvestage-policy/tests/steering/lapses.rs
+++ b/crates/valvestage-policy/tests/steering/lapses.rs
@@ -13,7 +13,9 @@
     PacketVerdict, PeerMessage, ResetReason, SteeringOptions, SteeringPolicy,
 };
 
-use crate::fixtures::{AWAY, HOME, at, backend, data, flow, knowledge, millis, opening, start};
+use crate::fixtures::{
+    OTHER_ZONE, OWN_ZONE, at, backend, data, flow, knowledge, millis, opening, start,
+};
 
 /// Longer than entries take to return.
 const RETURNED_AFTER: Duration = Duration::from_millis(2_400);
@@ -30,7 +32,7 @@
 impl Site {
     /// Creates a balancer with one open flow, answered just now, on the only backend server.
     fn with_open_flow(zone: &str) -> Self {
-        let options = SteeringOptions { zone: HOME.to_owned(), ..Default::default() };
+        let options = SteeringOptions { zone: OWN_ZONE.to_owned(), ..Default::default() };
         let mut site = Self {
             policy: SteeringPolicy::new(options, 1),
             known: knowledge(&[backend(1, "core", zone)]),
@@ -73,7 +75,7 @@
 
 #[test]
 fn flows_of_a_backend_server_that_showed_life_survive_its_lapse() {
-    let mut site = Site::with_open_flow(HOME);
+    let mut site = Site::with_open_flow(OWN_ZONE);
 
     site.wait(millis(500));
     site.lapse();
@@ -83,7 +85,7 @@
 
 #[test]
 fn flows_end_if_the_entry_does_not_return_in_time() {
-    let mut site = Site::with_open_flow(HOME);
+    let mut site = Site::with_open_flow(OWN_ZONE);
 
     site.lapse();
     site.wait(RETURNED_AFTER);
@@ -92,18 +94,18 @@
 
 #[test]
 fn flows_stay_if_the_entry_returns() {
-    let mut site = Site::with_open_flow(HOME);
+    let mut site = Site::with_open_flow(OWN_ZONE);
 
     site.lapse();
     site.wait(millis(1_500));
-    site.known.directory.put(BackendEntry { position: at(2_500), ..backend(1, "core", HOME) });
+    site.known.directory.put(BackendEntry { position: at(2_500), ..backend(1, "core", OWN_ZONE) });
     site.wait(RETURNED_AFTER);
     assert_stays(site.request());
 }
 
 #[test]
 fn flows_of_a_backend_server_that_was_silent_before_its_lapse_end_at_once() {
-    let mut site = Site::with_open_flow(HOME);
+    let mut site = Site::with_open_flow(OWN_ZONE);
 
     for _ in 0..2 {
         site.wait(SILENT_BEFORE_LAPSE / 2);
@@ -116,11 +118,11 @@
 
 #[test]
 fn flows_of_a_draining_backend_server_end_at_once_with_its_entry() {
-    let mut site = Site::with_open_flow(HOME);
+    let mut site = Site::with_open_flow(OWN_ZONE);
     let draining = BackendEntry {
         position: at(1_500),
         phase: BackendPhase::Draining,
-        ..backend(1, "core", HOME)
+        ..backend(1, "core", OWN_ZONE)
     };
     site.known.directory.put(draining);
 
@@ -140,7 +142,7 @@
 
 #[test]
 fn a_lapse_in_a_partitioned_zone_ends_no_flow_on_its_own_backend_servers() {
-    let mut site = after_partition(HOME);
+    let mut site = after_partition(OWN_ZONE);
 
     site.lapse();
     site.wait(millis(50));
@@ -154,7 +156,7 @@
 
 #[test]
 fn a_lapse_in_a_partition_that_is_learned_after_the_confirmation_ends_no_flow() {
-    let mut site = after_partition(HOME);
+    let mut site = after_partition(OWN_ZONE);
 
     site.known.confirm(Some(site.now));
     site.wait(millis(100));
@@ -164,7 +166,7 @@
 
 #[test]
 fn flows_to_the_other_side_of_a_partition_end_at_once() {
-    let mut site = after_partition(AWAY);
+    let mut site = after_partition(OTHER_ZONE);
 
     site.lapse();
     site.wait(millis(50));
@@ -173,7 +175,7 @@
 
 #[test]
 fn the_time_to_return_does_not_run_while_the_store_is_away() {
-    let mut site = Site::with_open_flow(HOME);
+    let mut site = Site::with_open_flow(OWN_ZONE);
 
     site.wait(millis(500));
     site.lapse();
@@ -190,8 +192,8 @@
 /// Lets the entry of a backend server lapse that this balancer has had no packets from, followed by
 /// a store outage.
 fn after_an_unseen_lapse() -> Site {
-    let mut site = Site::with_open_flow(HOME);
-    site.known.directory.put(backend(3, "core", AWAY));
+    let mut site = Site::with_open_flow(OWN_ZONE);
+    site.known.directory.put(backend(3, "core", OTHER_ZONE));
 
     site.known.directory.mark_gone(3, at(2_000), site.now);
     site.wait(millis(2_000));
@@ -230,10 +232,10 @@
 
 /// Creates a balancer that has just started and receives an entry that lapsed the given time ago.
 fn lapse_reported_at_start(ago: Duration) -> Site {
-    let mut site = Site::with_open_flow(HOME);
+    let mut site = Site::with_open_flow(OWN_ZONE);
     let mut sender = BackendDirectory::default();
-    let mut lapsed = backend(9, "core", HOME);
-    lapsed.address = backend(2, "core", HOME).address;
+    let mut lapsed = backend(9, "core", OWN_ZONE);
+    lapsed.address = backend(2, "core", OWN_ZONE).address;
     sender.put(lapsed);
     sender.complete(at(1_000));
     sender.mark_gone(9, at(2_000), site.now);
@@ -262,8 +264,8 @@
 /// Creates a balancer that has just started and reads an entry in the store, which lapses 600 ms
 /// later. It had no time to see whether the backend server shows life.
 fn lapsed_after_start() -> Site {
-    let mut site = Site::with_open_flow(HOME);
-    site.known.directory.put(backend(3, "core", AWAY));
+    let mut site = Site::with_open_flow(OWN_ZONE);
+    site.known.directory.put(backend(3, "core", OTHER_ZONE));
     site.known.see_from(site.now);
 
     site.wait(millis(600));
@@ -293,8 +295,8 @@
 
 #[test]
 fn a_balancer_that_has_run_for_long_takes_silence_for_an_end() {
-    let mut site = Site::with_open_flow(HOME);
-    site.known.directory.put(backend(3, "core", AWAY));
+    let mut site = Site::with_open_flow(OWN_ZONE);
+    site.known.directory.put(backend(3, "core", OTHER_ZONE));
     site.known.see_from(site.now);
 
     site.wait(SILENT_BEFORE_LAPSE);
@@ -306,7 +308,7 @@
 /// A request is answered after the lapse: the entry cannot return, but the flow goes on.
 #[test]
 fn a_backend_server_that_answers_after_its_lapse_keeps_its_flows() {
-    let mut site = Site::with_open_flow(HOME);
+    let mut site = Site::with_open_flow(OWN_ZONE);
 
     site.lapse();
     site.wait(millis(1_000));
@@ -321,7 +323,7 @@
 /// others know more, and the entry may have returned.
 #[test]
 fn a_balancer_that_is_behind_its_peers_ends_no_flow() {
-    let mut site = Site::with_open_flow(HOME);
+    let mut site = Site::with_open_flow(OWN_ZONE);
 
     site.lapse();
     site.wait(millis(1_000));
@@ -339,7 +341,7 @@
 /// Creates a balancer whose backend server was silent for a share of the time in which its entry
 /// lapses.
 fn silent_for(heartbeat_ms: u64, share: f64) -> Site {
-    let mut site = Site::with_open_flow(HOME);
+    let mut site = Site::with_open_flow(OWN_ZONE);
     let times = EntryTimes::new(millis(heartbeat_ms));
     site.known.set_entry_times(times);
 
--- a/crates/valvestage-policy/tests/steering/large_answers.rs
+++ b/crates/valvestage-policy/tests/steering/large_answers.rs
@@ -15,7 +15,7 @@
 use valvestage_policy::steering::{BackendEntry, BackendPhase, EntryPolicy, RouteMap};
 
 use crate::deployment::Deployment;
-use crate::fixtures::{HOME, backend, millis, routes, target};
+use crate::fixtures::{OWN_ZONE, backend, millis, routes, target};
 use crate::links::{LinkLimits, SLOW_LINK};
 
 /// A service name of the usual length.
@@ -45,7 +45,7 @@
     let [.., high, low] = instance.to_be_bytes();
     let address = SocketAddrV4::new(Ipv4Addr::new(10, 1, high, low), 8_080);
 
-    BackendEntry { address, ..backend(instance, SERVICE, HOME) }
+    BackendEntry { address, ..backend(instance, SERVICE, OWN_ZONE) }
 }
 
 /// Returns balancers in three availability zones, with the given links, that know a configuration
@@ -54,7 +54,7 @@
     let mut deployment = Deployment::over_links(count, 3, Some(limits));
     deployment.store.put_routes(routes(3, &[(443, "core")]));
     for instance in 1..=4 {
-        deployment.store.put_backend(backend(instance, "core", HOME));
+        deployment.store.put_backend(backend(instance, "core", OWN_ZONE));
     }
 
     deployment.run(millis(6_000));
@@ -136,7 +136,7 @@
     deployment.store.put_routes(large_routes(8, 4_245));
     deployment.run(millis(50));
 
-    let mut leaving = backend(2, "core", HOME);
+    let mut leaving = backend(2, "core", OWN_ZONE);
     leaving.phase = BackendPhase::Draining;
     deployment.store.put_backend(leaving);
     let took = deployment.run_until(|now| {
--- a/crates/valvestage-policy/tests/steering/late_messages.rs
+++ b/crates/valvestage-policy/tests/steering/late_messages.rs
@@ -11,7 +11,7 @@
     EntryOptions, EntryPolicy, KeeperAction, PeerMessage, SteeringOptions,
 };
 
-use crate::fixtures::{AWAY, HOME, address, at, millis, start};
+use crate::fixtures::{OTHER_ZONE, OWN_ZONE, address, at, millis, start};
 
 /// How long the balancer is paused.
 const PAUSE: Duration = Duration::from_millis(1_500);
@@ -22,14 +22,14 @@
 fn heartbeat() -> PeerHeartbeat {
     let follower = WatcherSighting {
         peer: address(3, 7_400),
-        zone: AWAY.to_owned(),
+        zone: OTHER_ZONE.to_owned(),
         age_ms: SENT_AGE_MS,
         is_answered: true,
         page_ms: None,
     };
 
     PeerHeartbeat {
-        zone: AWAY.to_owned(),
+        zone: OTHER_ZONE.to_owned(),
         asks: false,
         version: 0,
         complete_until: at(0),
@@ -49,7 +49,7 @@
 
 fn balancer(now: Instant) -> EntryPolicy {
     let options = EntryOptions {
-        steering: SteeringOptions { zone: HOME.to_owned(), ..Default::default() },
+        steering: SteeringOptions { zone: OWN_ZONE.to_owned(), ..Default::default() },
         peer_address: address(1, 7_400),
         seeds: Vec::new(),
         link_mbps: 10.0,
@@ -71,7 +71,7 @@
     }
     let actions = actions.into_iter();
     let watchers = actions.filter_map(|action| match action {
-        KeeperAction::Tell(_, PeerMessage::Heartbeat(heartbeat)) => Some(heartbeat.watchers),
+        KeeperAction::Send(_, PeerMessage::Heartbeat(heartbeat)) => Some(heartbeat.watchers),
         _ => None,
     });
     let reported: Vec<_> =
--- a/crates/valvestage-policy/tests/steering/main.rs
+++ b/crates/valvestage-policy/tests/steering/main.rs
@@ -1,6 +1,7 @@
 //! Tests of the steering of packets whose contents only the two endpoints of a flow can read.
 
 mod backend_health;
+mod backend_restarts;
 mod cold_backends;
 mod comparisons;
 mod cut_zones;
@@ -24,7 +25,6 @@
 mod pauses;
 mod peers;
 mod quiet_work;
-mod rebirths;
 mod regions;
 mod requests;
 mod restarts;
@@ -32,6 +32,6 @@
 mod silent_connections;
 mod slow_store;
 mod successors;
-mod wanted_tokens;
+mod unresolved_tokens;
 mod watch_role;
 mod zone_shares;
--- a/crates/valvestage-policy/tests/steering/outliers.rs
+++ b/crates/valvestage-policy/tests/steering/outliers.rs
@@ -9,7 +9,7 @@
     BackendDirectory, Decision, Knowledge, SteeringOptions, SteeringPolicy,
 };
 
-use crate::fixtures::{HOME, address, backend, data, flow, knowledge, millis, opening, start};
+use crate::fixtures::{OWN_ZONE, address, backend, data, flow, knowledge, millis, opening, start};
 use crate::requests::{FixedAnswers, RequestRun};
 
 const SERVER: u64 = 7;
@@ -256,7 +256,7 @@
 #[test]
 fn requests_under_way_during_a_pause_do_not_count() {
     let now = start();
-    let known = knowledge(&[backend(1, "core", HOME)]);
+    let known = knowledge(&[backend(1, "core", OWN_ZONE)]);
     let mut policy = SteeringPolicy::new(options(), 1);
     unanswered_after_answered(&mut policy, &known, now);
     policy.on_pause();
@@ -267,7 +267,7 @@
 #[test]
 fn requests_that_wait_for_much_longer_than_usual_count() {
     let now = start();
-    let known = knowledge(&[backend(1, "core", HOME)]);
+    let known = knowledge(&[backend(1, "core", OWN_ZONE)]);
     let mut policy = SteeringPolicy::new(options(), 1);
 
     unanswered_after_answered(&mut policy, &known, now);
@@ -305,5 +305,5 @@
 }
 
 fn options() -> SteeringOptions {
-    SteeringOptions { zone: HOME.to_owned(), ..Default::default() }
+    SteeringOptions { zone: OWN_ZONE.to_owned(), ..Default::default() }
 }
--- a/crates/valvestage-policy/tests/steering/pace.rs
+++ b/crates/valvestage-policy/tests/steering/pace.rs
@@ -7,7 +7,7 @@
     BackendDirectory, Decision, Knowledge, PacketVerdict, SteeringOptions, SteeringPolicy,
 };
 
-use crate::fixtures::{HOME, backend, data, flow, knowledge, millis, opening, start};
+use crate::fixtures::{OWN_ZONE, backend, data, flow, knowledge, millis, opening, start};
 
 /// The backend server whose pace changes.
 const SLOW: u64 = 1;
@@ -32,8 +32,8 @@
 
 impl Site {
     fn new() -> Self {
-        let servers: Vec<_> = (1..=SERVERS).map(|id| backend(id, "core", HOME)).collect();
-        let options = SteeringOptions { zone: HOME.to_owned(), ..Default::default() };
+        let servers: Vec<_> = (1..=SERVERS).map(|id| backend(id, "core", OWN_ZONE)).collect();
+        let options = SteeringOptions { zone: OWN_ZONE.to_owned(), ..Default::default() };
 
         Self {
             policy: SteeringPolicy::new(options, 1),
--- a/crates/valvestage-policy/tests/steering/packets.rs
+++ b/crates/valvestage-policy/tests/steering/packets.rs
@@ -8,11 +8,12 @@
 };
 
 use crate::fixtures::{
-    AWAY, HOME, at, backend, data, flow, front, knowledge, millis, opening, routes, start, target,
+    OTHER_ZONE, OWN_ZONE, at, backend, data, flow, front, knowledge, millis, opening, routes,
+    start, target,
 };
 
 fn policy() -> SteeringPolicy {
-    SteeringPolicy::new(SteeringOptions { zone: HOME.to_owned(), ..Default::default() }, 1)
+    SteeringPolicy::new(SteeringOptions { zone: OWN_ZONE.to_owned(), ..Default::default() }, 1)
 }
 
 /// Returns a policy, its knowledge of the given backend servers, and the time.
@@ -25,7 +26,7 @@
     let leaving = BackendEntry {
         position: at(2_000),
         phase: BackendPhase::Draining,
-        ..backend(server, "core", HOME)
+        ..backend(server, "core", OWN_ZONE)
     };
 
     known.directory.put(leaving);
@@ -58,7 +59,7 @@
 #[test]
 fn a_flow_stays_at_its_backend_server_through_any_balancer() {
     let now = start();
-    let known = knowledge(&[backend(1, "core", HOME), backend(2, "core", HOME)]);
+    let known = knowledge(&[backend(1, "core", OWN_ZONE), backend(2, "core", OWN_ZONE)]);
     let mut policies: Vec<_> = (0..3).map(|_| policy()).collect();
 
     for port in 1..50 {
@@ -72,7 +73,8 @@
 
 #[test]
 fn a_draining_backend_server_keeps_its_flows_and_gets_no_new_ones() {
-    let (mut policy, mut known, now) = site(&[backend(1, "core", HOME), backend(2, "core", HOME)]);
+    let (mut policy, mut known, now) =
+        site(&[backend(1, "core", OWN_ZONE), backend(2, "core", OWN_ZONE)]);
     let server = open(&mut policy, &known, 1, now);
 
     drain(&mut known, server);
@@ -84,7 +86,8 @@
 
 #[test]
 fn a_copy_of_an_opening_packet_leaves_a_backend_server_that_is_draining_by_now() {
-    let (mut policy, mut known, now) = site(&[backend(1, "core", HOME), backend(2, "core", HOME)]);
+    let (mut policy, mut known, now) =
+        site(&[backend(1, "core", OWN_ZONE), backend(2, "core", OWN_ZONE)]);
     let server = instance(policy.on_packet(&known, &opening(flow(1), 0), now));
 
     drain(&mut known, server);
@@ -94,7 +97,8 @@
 
 #[test]
 fn copies_read_together_go_to_one_backend_server() {
-    let (mut policy, known, now) = site(&[backend(1, "core", HOME), backend(2, "core", HOME)]);
+    let (mut policy, known, now) =
+        site(&[backend(1, "core", OWN_ZONE), backend(2, "core", OWN_ZONE)]);
 
     // The balancer was slow: the packet and its copy were both queued to be read.
     let first = instance(policy.on_packet(&known, &opening(flow(1), 0), now));
@@ -104,7 +108,8 @@
 
 #[test]
 fn a_copy_leaves_a_backend_server_that_does_not_answer() {
-    let (mut policy, known, now) = site(&[backend(1, "core", HOME), backend(2, "core", HOME)]);
+    let (mut policy, known, now) =
+        site(&[backend(1, "core", OWN_ZONE), backend(2, "core", OWN_ZONE)]);
 
     let first = instance(policy.on_packet(&known, &opening(flow(1), 0), now));
     let copy = policy.on_packet(&known, &opening(flow(1), 1), now + millis(200));
@@ -113,7 +118,7 @@
 
 #[test]
 fn a_copy_stays_with_a_backend_server_that_answers_others() {
-    let (mut policy, known, now) = site(&[backend(1, "core", HOME)]);
+    let (mut policy, known, now) = site(&[backend(1, "core", OWN_ZONE)]);
     let first = instance(policy.on_packet(&known, &opening(flow(1), 0), now));
 
     open(&mut policy, &known, 2, now + millis(50));
@@ -123,7 +128,8 @@
 
 #[test]
 fn the_token_decides_which_of_two_backend_servers_has_the_flow() {
-    let (mut policy, known, now) = site(&[backend(1, "core", HOME), backend(2, "core", HOME)]);
+    let (mut policy, known, now) =
+        site(&[backend(1, "core", OWN_ZONE), backend(2, "core", OWN_ZONE)]);
     let first = instance(policy.on_packet(&known, &opening(flow(1), 0), now));
     let second = instance(policy.on_packet(&known, &opening(flow(1), 1), now + millis(200)));
     assert_ne!(first, second);
@@ -140,7 +146,7 @@
 #[test]
 fn new_flows_spread_by_load() {
     let now = start();
-    let servers: Vec<_> = (1..=4).map(|number| backend(number, "core", HOME)).collect();
+    let servers: Vec<_> = (1..=4).map(|number| backend(number, "core", OWN_ZONE)).collect();
     let known = knowledge(&servers);
     let mut policy = policy();
 
@@ -155,8 +161,9 @@
 #[test]
 fn a_cold_backend_server_gets_less() {
     let now = start();
-    let cold = BackendEntry { cold_until: Some(now + millis(2_000)), ..backend(1, "core", HOME) };
-    let known = knowledge(&[cold, backend(2, "core", HOME)]);
+    let cold =
+        BackendEntry { cold_until: Some(now + millis(2_000)), ..backend(1, "core", OWN_ZONE) };
+    let known = knowledge(&[cold, backend(2, "core", OWN_ZONE)]);
     let mut policy = policy();
 
     let servers = (0..40).map(|port| policy.on_packet(&known, &opening(flow(port), 0), now));
@@ -166,7 +173,8 @@
 
 #[test]
 fn the_own_zone_comes_first_and_overflows() {
-    let (mut policy, known, now) = site(&[backend(1, "core", HOME), backend(2, "core", AWAY)]);
+    let (mut policy, known, now) =
+        site(&[backend(1, "core", OWN_ZONE), backend(2, "core", OTHER_ZONE)]);
 
     let first = (0..3).map(|port| policy.on_packet(&known, &opening(flow(port), 0), now));
     assert!(first.map(instance).all(|server| server == 1));
@@ -178,10 +186,10 @@
 fn zones_of_the_own_region_come_before_those_of_another() {
     const FAR: &str = "zone-c";
     let now = start();
-    let known = knowledge(&[backend(1, "core", AWAY), backend(2, "core", FAR)]);
+    let known = knowledge(&[backend(1, "core", OTHER_ZONE), backend(2, "core", FAR)]);
     let mut policy = SteeringPolicy::new(
         SteeringOptions {
-            zone: HOME.to_owned(),
+            zone: OWN_ZONE.to_owned(),
             far_zones: [FAR.to_owned()].into(),
             ..Default::default()
         },
@@ -197,7 +205,7 @@
 #[test]
 fn a_missing_route_is_refused_at_once() {
     let now = start();
-    let known = knowledge(&[backend(1, "core", HOME)]);
+    let known = knowledge(&[backend(1, "core", OWN_ZONE)]);
     let mut packet = opening(flow(1), 0);
     packet.flow.service = front(9_999);
 
@@ -208,7 +216,7 @@
 #[test]
 fn an_outdated_configuration_refuses_nothing() {
     let now = start();
-    let known = knowledge(&[backend(1, "core", HOME)]);
+    let known = knowledge(&[backend(1, "core", OWN_ZONE)]);
     let mut packet = opening(flow(1), 0);
     packet.flow.service = front(9_999);
 
@@ -219,7 +227,8 @@
 
 #[test]
 fn a_port_that_a_caller_uses_again_is_a_new_flow() {
-    let (mut policy, mut known, now) = site(&[backend(1, "core", HOME), backend(2, "core", HOME)]);
+    let (mut policy, mut known, now) =
+        site(&[backend(1, "core", OWN_ZONE), backend(2, "core", OWN_ZONE)]);
     let server = open(&mut policy, &known, 1, now);
 
     drain(&mut known, server);
@@ -230,7 +239,7 @@
 #[test]
 fn a_service_without_backend_servers_is_refused_at_once() {
     let now = start();
-    let known = knowledge(&[backend(1, "photos", HOME)]);
+    let known = knowledge(&[backend(1, "photos", OWN_ZONE)]);
 
     let verdict = policy().on_packet(&known, &opening(flow(1), 0), now);
     assert_eq!(verdict, PacketVerdict::Reset(ResetReason::NoBackend));
@@ -238,7 +247,7 @@
 
 #[test]
 fn flows_of_a_gone_backend_server_are_reset_at_once() {
-    let (mut policy, mut known, now) = site(&[backend(1, "core", HOME)]);
+    let (mut policy, mut known, now) = site(&[backend(1, "core", OWN_ZONE)]);
     // Opened through another balancer: this one has seen no packet of it.
     assert_eq!(instance(policy.on_packet(&known, &request(1, 1), now)), 1);
 
@@ -249,7 +258,7 @@
 
 #[test]
 fn flows_of_a_missing_backend_server_stay() {
-    let (mut policy, mut known, now) = site(&[backend(1, "core", HOME)]);
+    let (mut policy, mut known, now) = site(&[backend(1, "core", OWN_ZONE)]);
     open(&mut policy, &known, 1, now);
 
     let until = Some(now + millis(2_000));
@@ -260,7 +269,7 @@
 #[test]
 fn an_unknown_token_is_never_guessed() {
     let now = start();
-    let known = knowledge(&[backend(1, "core", HOME)]);
+    let known = knowledge(&[backend(1, "core", OWN_ZONE)]);
 
     let verdict = policy().on_packet(&known, &request(1, 99), now);
     assert_eq!(verdict, PacketVerdict::Drop(DropReason::UnknownToken));
@@ -269,7 +278,7 @@
 #[test]
 fn an_open_flow_outlives_a_configuration_that_sends_new_ones_elsewhere() {
     let (mut policy, mut known, now) =
-        site(&[backend(1, "core", HOME), backend(2, "photos", HOME)]);
+        site(&[backend(1, "core", OWN_ZONE), backend(2, "photos", OWN_ZONE)]);
     open(&mut policy, &known, 1, now);
 
     known.replace_routes(routes(2, &[(443, "photos")]));
@@ -299,7 +308,7 @@
 
 #[test]
 fn idle_flows_are_forgotten() {
-    let (mut policy, mut known, now) = site(&[backend(1, "core", HOME)]);
+    let (mut policy, mut known, now) = site(&[backend(1, "core", OWN_ZONE)]);
     open(&mut policy, &known, 1, now);
     policy.on_packet(&known, &opening(flow(2), 0), now);
 
@@ -321,7 +330,7 @@
 
 #[test]
 fn open_flows_of_a_silent_backend_server_are_reset() {
-    let (mut policy, known, now) = site(&[backend(1, "core", HOME)]);
+    let (mut policy, known, now) = site(&[backend(1, "core", OWN_ZONE)]);
     unanswered_requests(&mut policy, &known, now);
 
     // The callers retransmit their requests. The third retransmission shows that the cause is not a
@@ -336,7 +345,7 @@
 
 #[test]
 fn open_flows_of_a_slow_backend_server_stay() {
-    let (mut policy, known, now) = site(&[backend(1, "core", HOME)]);
+    let (mut policy, known, now) = site(&[backend(1, "core", OWN_ZONE)]);
     unanswered_requests(&mut policy, &known, now);
 
     // The backend server answers one request late; the others are retransmitted repeatedly.
--- a/crates/valvestage-policy/tests/steering/pauses.rs
+++ b/crates/valvestage-policy/tests/steering/pauses.rs
@@ -4,12 +4,12 @@
 use std::time::{Duration, Instant};
 
 use valvestage_policy::steering::{
-    BackendDirectory, BackendNews, Decision, EntryChange, EntryOptions, EntryPolicy, PacketVerdict,
-    SteeringOptions, StoreReply,
+    BackendDirectory, BackendUpdate, Decision, EntryChange, EntryOptions, EntryPolicy,
+    PacketVerdict, SteeringOptions, StoreReply,
 };
 
 use crate::fixtures::{
-    HOME, address, at, backend, data, flow, millis, name_of, opening, routes, start,
+    OWN_ZONE, address, at, backend, data, flow, millis, name_of, opening, routes, start,
 };
 
 /// Backend server with requests under way.
@@ -50,7 +50,7 @@
     fn ready(servers: &[u64]) -> Self {
         let now = start();
         let options = EntryOptions {
-            steering: SteeringOptions { zone: HOME.to_owned(), ..Default::default() },
+            steering: SteeringOptions { zone: OWN_ZONE.to_owned(), ..Default::default() },
             peer_address: address(1, 7_400),
             seeds: Vec::new(),
             link_mbps: 10.0,
@@ -59,10 +59,10 @@
             seed: 1,
         };
         let mut policy = EntryPolicy::new(options, now);
-        let news = servers.iter().map(|instance| BackendNews {
+        let news = servers.iter().map(|instance| BackendUpdate {
             name: name_of(*instance),
             position: at(*instance),
-            change: EntryChange::Written(backend(*instance, "core", HOME)),
+            change: EntryChange::Written(backend(*instance, "core", OWN_ZONE)),
         });
 
         // The balancer starts to follow the store within its first few 100 ms.
@@ -184,7 +184,7 @@
     balancer.answer_at(SERVER, 1..=5, millis(40));
     balancer.tick_after(millis(100));
     let lapsed =
-        BackendNews { name: name_of(SERVER), position: at(11), change: EntryChange::Deleted };
+        BackendUpdate { name: name_of(SERVER), position: at(11), change: EntryChange::Deleted };
     let news = StoreReply::Changes { objects: vec![lapsed], position: at(11) };
     balancer.policy.on_backends_reply(news, balancer.now);
 
--- a/crates/valvestage-policy/tests/steering/peers.rs
+++ b/crates/valvestage-policy/tests/steering/peers.rs
@@ -10,7 +10,7 @@
 use valvestage_policy::steering::seeded_draw::SeededDraw;
 use valvestage_policy::steering::{BackendDirectory, RouteMap};
 
-use crate::fixtures::{HOME, address, at, backend, front, millis, start, target};
+use crate::fixtures::{OWN_ZONE, address, at, backend, front, millis, start, target};
 
 #[test]
 fn every_balancer_has_its_turn() {
@@ -161,7 +161,7 @@
     let (mut directory, now) = (BackendDirectory::default(), start());
     directory.complete(at(1));
     for instance in 1..=9 {
-        directory.put(backend(instance, "core", HOME));
+        directory.put(backend(instance, "core", OWN_ZONE));
     }
     directory.complete(at(9));
     let reported_count = |directory: &BackendDirectory, after| {
--- a/crates/valvestage-policy/tests/steering/regions.rs
+++ b/crates/valvestage-policy/tests/steering/regions.rs
@@ -7,18 +7,18 @@
 };
 
 use crate::fixtures::{
-    AWAY, HOME, at, backend, flow, front, knowledge, opening, routes, start, target,
+    OTHER_ZONE, OWN_ZONE, at, backend, flow, front, knowledge, opening, routes, start, target,
 };
 
 /// Returns a balancer in the region west. There is one backend server in that region and one in the
 /// region east.
 fn balancer() -> SteeringPolicy {
     let options = SteeringOptions {
-        zone: HOME.to_owned(),
-        zone_regions: [(HOME, "west"), (AWAY, "east")]
+        zone: OWN_ZONE.to_owned(),
+        zone_regions: [(OWN_ZONE, "west"), (OTHER_ZONE, "east")]
             .map(|(zone, region)| (zone.to_owned(), region.to_owned()))
             .into(),
-        far_zones: [AWAY.to_owned()].into(),
+        far_zones: [OTHER_ZONE.to_owned()].into(),
         ..Default::default()
     };
 
@@ -26,7 +26,7 @@
 }
 
 fn with_regions(regions: &[&str]) -> Knowledge {
-    let mut known = knowledge(&[backend(1, "core", HOME), backend(2, "core", AWAY)]);
+    let mut known = knowledge(&[backend(1, "core", OWN_ZONE), backend(2, "core", OTHER_ZONE)]);
     let regions = regions.iter().map(|region| (*region).to_owned());
 
     known.routes.allowed_regions.insert(front(443), regions.collect());
@@ -51,7 +51,7 @@
 #[test]
 fn flows_without_a_backend_server_in_their_regions_are_refused_at_once() {
     let (mut policy, mut known, now) = (balancer(), with_regions(&["east"]), start());
-    let mut leaving = backend(2, "core", AWAY);
+    let mut leaving = backend(2, "core", OTHER_ZONE);
     (leaving.phase, leaving.position) = (BackendPhase::Draining, at(900));
     known.directory.put(leaving);
 
@@ -74,7 +74,7 @@
 
 #[test]
 fn a_zone_whose_region_is_not_known_gets_nothing_of_such_an_address() {
-    let options = SteeringOptions { zone: HOME.to_owned(), ..Default::default() };
+    let options = SteeringOptions { zone: OWN_ZONE.to_owned(), ..Default::default() };
     let (mut policy, known) = (SteeringPolicy::new(options, 1), with_regions(&["west"]));
 
     let verdict = policy.on_packet(&known, &opening(flow(1), 0), start());
--- a/crates/valvestage-policy/tests/steering/requests.rs
+++ b/crates/valvestage-policy/tests/steering/requests.rs
@@ -6,7 +6,7 @@
     BackendDirectory, FlowAddresses, Knowledge, PacketVerdict, SteeringPolicy,
 };
 
-use crate::fixtures::{HOME, backend, data, flow, knowledge, millis, opening, start};
+use crate::fixtures::{OWN_ZONE, backend, data, flow, knowledge, millis, opening, start};
 
 /// The backend server that answers differently.
 const BAD: u64 = 1;
@@ -37,7 +37,7 @@
 impl RequestRun {
     /// Sends a request every 10 ms, and returns where they went.
     pub fn play(mut policy: SteeringPolicy, answers: FixedAnswers) -> Self {
-        let servers: Vec<_> = (1..=SERVERS).map(|id| backend(id, "core", HOME)).collect();
+        let servers: Vec<_> = (1..=SERVERS).map(|id| backend(id, "core", OWN_ZONE)).collect();
         let known = knowledge(&servers);
         let began = start();
         let mut at_bad_late = 0;
--- a/crates/valvestage-policy/tests/steering/restarts.rs
+++ b/crates/valvestage-policy/tests/steering/restarts.rs
@@ -12,17 +12,18 @@
 };
 
 use crate::fixtures::{
-    AWAY, HOME, at, backend, data, flow, front, knowledge, millis, opening, routes, seeded, start,
+    OTHER_ZONE, OWN_ZONE, at, backend, data, flow, front, knowledge, millis, opening, routes,
+    seeded, start,
 };
 
 fn restarted() -> SteeringPolicy {
-    SteeringPolicy::new(SteeringOptions { zone: HOME.to_owned(), ..Default::default() }, 1)
+    SteeringPolicy::new(SteeringOptions { zone: OWN_ZONE.to_owned(), ..Default::default() }, 1)
 }
 
 /// Returns the knowledge of a balancer that started after port 443 was moved from `core` to
 /// `photos`.
 fn known_after_move() -> Knowledge {
-    let mut known = knowledge(&[backend(1, "core", HOME), backend(2, "photos", HOME)]);
+    let mut known = knowledge(&[backend(1, "core", OWN_ZONE), backend(2, "photos", OWN_ZONE)]);
 
     known.replace_routes(routes(9, &[(443, "photos"), (80, "photos")]));
     let mut fresh = Knowledge::default();
@@ -66,9 +67,9 @@
 fn a_later_packet_goes_to_the_backend_server_of_its_token_or_nowhere() {
     fn holds(token: u32, named: u8, is_named: bool) -> TestResult {
         let now = start();
-        let servers = [backend(1, "core", HOME), backend(2, "photos", AWAY)];
+        let servers = [backend(1, "core", OWN_ZONE), backend(2, "photos", OTHER_ZONE)];
         let mut known = knowledge(&servers);
-        known.directory.put(backend(3, "core", HOME));
+        known.directory.put(backend(3, "core", OWN_ZONE));
         known.directory.mark_gone(3, at(2_000), now);
         let instance = u64::from(named % 5);
         let token = if is_named { BackendDirectory::token_of(instance) } else { token };
@@ -102,7 +103,7 @@
     let leaving = valvestage_policy::steering::BackendEntry {
         position: at(2_000),
         phase: valvestage_policy::steering::BackendPhase::Draining,
-        ..backend(1, "core", HOME)
+        ..backend(1, "core", OWN_ZONE)
     };
     known.directory.put(leaving);
     let mut policy = restarted();
--- a/crates/valvestage-policy/tests/steering/restored_store.rs
+++ b/crates/valvestage-policy/tests/steering/restored_store.rs
@@ -12,7 +12,7 @@
 use valvestage_policy::steering::{BackendEntry, BackendPhase};
 
 use crate::deployment::Deployment;
-use crate::fixtures::{AWAY, HOME, backend, millis, routes};
+use crate::fixtures::{OTHER_ZONE, OWN_ZONE, backend, millis, routes};
 
 /// Within this time a draining backend server gets no new flows any more, and a new configuration
 /// is in force.
@@ -25,7 +25,7 @@
 const VERSION: u64 = 30;
 
 fn draining(instance: u64) -> BackendEntry {
-    BackendEntry { phase: BackendPhase::Draining, ..backend(instance, "core", HOME) }
+    BackendEntry { phase: BackendPhase::Draining, ..backend(instance, "core", OWN_ZONE) }
 }
 
 /// Creates balancers that know six backend servers, and after those four configurations.
@@ -33,7 +33,7 @@
     let mut deployment = Deployment::across_zones(count, 3);
     deployment.store.put_routes(routes(3, &[(443, "core")]));
     for instance in 1..=6 {
-        deployment.store.put_backend(backend(instance, "core", HOME));
+        deployment.store.put_backend(backend(instance, "core", OWN_ZONE));
     }
     deployment.run(millis(4_000));
     assert!(deployment.nodes.iter().flatten().all(|node| node.is_ready()));
@@ -146,7 +146,7 @@
 #[test]
 fn a_backend_server_that_a_backup_lacks_is_used_until_it_is_gone() {
     let mut deployment = settled(8);
-    deployment.store.put_backend(backend(7, "core", AWAY));
+    deployment.store.put_backend(backend(7, "core", OTHER_ZONE));
     deployment.run(millis(2_000));
 
     restore(&mut deployment, 1);
@@ -154,7 +154,7 @@
         deployment.run(millis(10));
         assert!((0..8).all(|node| phase_of(&deployment, node, 7) == Some(BackendPhase::Ready)));
     }
-    deployment.store.put_backend(backend(7, "core", AWAY));
+    deployment.store.put_backend(backend(7, "core", OTHER_ZONE));
     deployment.run(millis(6_000));
     for node in 0..8 {
         let entry = deployment.node(node).knowledge().directory.get(7);
@@ -240,7 +240,7 @@
 #[test]
 fn a_balancer_that_was_paused_during_a_restore_brings_nothing_back() {
     let mut deployment = settled(8);
-    deployment.store.put_backend(backend(7, "core", AWAY));
+    deployment.store.put_backend(backend(7, "core", OTHER_ZONE));
     deployment.run(millis(1_000));
 
     deployment.paused = vec![5];
@@ -264,27 +264,29 @@
         deployment.start(node);
     }
     deployment.store.put_routes(routes(3, &[(443, "core")]));
-    deployment.store.put_backend(backend(1, "core", HOME));
+    deployment.store.put_backend(backend(1, "core", OWN_ZONE));
     deployment.run(millis(4_000));
-    deployment.store.evacuate(HOME, true);
+    deployment.store.evacuate(OWN_ZONE, true);
     deployment.run(millis(2_000));
 
     restore(&mut deployment, 1);
     for _ in 0..200 {
         deployment.run(millis(10));
-        let holds = |node: usize| deployment.node(node).knowledge().evacuated.holds(HOME);
+        let holds = |node: usize| deployment.node(node).knowledge().evacuated.holds(OWN_ZONE);
         assert!((0..8).all(holds));
     }
-    deployment.store.evacuate(HOME, true);
+    deployment.store.evacuate(OWN_ZONE, true);
     deployment.run(millis(6_000));
-    assert!((0..8).all(|node| deployment.node(node).knowledge().evacuated.zones().contains(HOME)));
+    assert!(
+        (0..8).all(|node| deployment.node(node).knowledge().evacuated.zones().contains(OWN_ZONE))
+    );
 
     // The evacuation was lifted, which the backup lacks until the operator lifts it again.
-    deployment.store.evacuate(HOME, false);
+    deployment.store.evacuate(OWN_ZONE, false);
     deployment.run(millis(6_000));
     restore(&mut deployment, 1);
     deployment.run(millis(2_000));
-    deployment.store.evacuate(HOME, false);
+    deployment.store.evacuate(OWN_ZONE, false);
     deployment.run(millis(6_000));
-    assert!((0..8).all(|node| !deployment.node(node).knowledge().evacuated.holds(HOME)));
+    assert!((0..8).all(|node| !deployment.node(node).knowledge().evacuated.holds(OWN_ZONE)));
 }
--- a/crates/valvestage-policy/tests/steering/silent_connections.rs
+++ b/crates/valvestage-policy/tests/steering/silent_connections.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use crate::deployment::Deployment;
-use crate::fixtures::{HOME, backend, millis, routes};
+use crate::fixtures::{OWN_ZONE, backend, millis, routes};
 
 /// Time within which a configuration has to be in force.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(3);
@@ -17,7 +17,7 @@
 fn ready_deployment(count: usize, zones: usize) -> Deployment {
     let mut deployment = Deployment::across_zones(count, zones);
     deployment.store.put_routes(routes(3, &[(443, "core")]));
-    deployment.store.put_backend(backend(1, "core", HOME));
+    deployment.store.put_backend(backend(1, "core", OWN_ZONE));
 
     deployment.run(millis(4_000));
     assert!(deployment.nodes.iter().flatten().all(|node| node.is_ready()));
--- a/crates/valvestage-policy/tests/steering/slow_store.rs
+++ b/crates/valvestage-policy/tests/steering/slow_store.rs
@@ -11,7 +11,7 @@
 use valvestage_policy::steering::EntryPolicy;
 
 use crate::deployment::Deployment;
-use crate::fixtures::{HOME, backend, millis, routes};
+use crate::fixtures::{OWN_ZONE, backend, millis, routes};
 
 /// Time to read a configuration of 5,500 addresses, some 1 MB, over 10 Mbit/s.
 const READ_TIME: Duration = Duration::from_millis(800);
@@ -31,7 +31,7 @@
     let mut deployment = Deployment::across_zones(count, 3);
     deployment.configuration_time = READ_TIME;
     deployment.store.put_routes(routes(3, &[(443, "core")]));
-    deployment.store.put_backend(backend(1, "core", HOME));
+    deployment.store.put_backend(backend(1, "core", OWN_ZONE));
 
     deployment.run(millis(8_000));
     assert!(deployment.nodes.iter().flatten().all(EntryPolicy::is_ready));
--- a/crates/valvestage-policy/tests/steering/successors.rs
+++ b/crates/valvestage-policy/tests/steering/successors.rs
@@ -7,11 +7,13 @@
 use std::time::Instant;
 
 use valvestage_policy::steering::{
-    BackendDirectory, BackendEntry, BackendNews, BackendPhase, EntryChange, Knowledge,
+    BackendDirectory, BackendEntry, BackendPhase, BackendUpdate, EntryChange, Knowledge,
     PacketVerdict, ResetReason, SteeringOptions, SteeringPolicy, StoreLink, StoreReply,
 };
 
-use crate::fixtures::{HOME, at, backend, data, flow, knowledge, millis, name_of, opening, start};
+use crate::fixtures::{
+    OWN_ZONE, at, backend, data, flow, knowledge, millis, name_of, opening, start,
+};
 
 /// Backend server whose address is given to another one.
 const FORMER: u64 = 1;
@@ -22,15 +24,20 @@
 fn successor() -> BackendEntry {
     let name = name_of(SUCCESSOR);
 
-    BackendEntry { instance: SUCCESSOR, name, position: at(2_000), ..backend(FORMER, "core", HOME) }
+    BackendEntry {
+        instance: SUCCESSOR,
+        name,
+        position: at(2_000),
+        ..backend(FORMER, "core", OWN_ZONE)
+    }
 }
 
 fn site() -> (Knowledge, Instant) {
-    (knowledge(&[backend(FORMER, "core", HOME), backend(2, "core", HOME)]), start())
+    (knowledge(&[backend(FORMER, "core", OWN_ZONE), backend(2, "core", OWN_ZONE)]), start())
 }
 
 fn policy() -> SteeringPolicy {
-    SteeringPolicy::new(SteeringOptions { zone: HOME.to_owned(), ..Default::default() }, 1)
+    SteeringPolicy::new(SteeringOptions { zone: OWN_ZONE.to_owned(), ..Default::default() }, 1)
 }
 
 /// Returns a policy with a flow at the former backend server, which was answered 20 ms after `now`.
@@ -103,7 +110,7 @@
     let mut known = Knowledge::default();
     let now = start();
 
-    known.directory.admit(backend(FORMER, "core", HOME), now);
+    known.directory.admit(backend(FORMER, "core", OWN_ZONE), now);
     known.directory.admit(successor(), now);
     assert!(!is_gone(&known));
 }
@@ -111,7 +118,7 @@
 #[test]
 fn a_change_of_an_entry_ends_no_backend_server() {
     let (mut known, now) = site();
-    let leaving = BackendEntry { phase: BackendPhase::Draining, ..backend(2, "core", HOME) };
+    let leaving = BackendEntry { phase: BackendPhase::Draining, ..backend(2, "core", OWN_ZONE) };
 
     known.directory.admit(BackendEntry { position: at(2_000), ..leaving }, now);
     assert!(known.directory.iter().all(|entry| !entry.is_gone()));
@@ -122,7 +129,7 @@
     let (mut known, now) = site();
     known.directory.admit(successor(), now);
 
-    assert_eq!(known.directory.admit(backend(FORMER, "core", HOME), now), []);
+    assert_eq!(known.directory.admit(backend(FORMER, "core", OWN_ZONE), now), []);
     assert!(is_gone(&known));
 }
 
@@ -135,7 +142,7 @@
     known.directory.admit(successor(), now);
     link.on_backends_reply(&mut known, StoreReply::Failed, now);
 
-    let news = |instance| BackendNews {
+    let news = |instance| BackendUpdate {
         name: name_of(instance),
         position: at(2_500),
         change: EntryChange::Deleted,
--- a/crates/valvestage-policy/tests/steering/wanted_tokens.rs
+++ b/crates/valvestage-policy/tests/steering/unresolved_tokens.rs
@@ -12,7 +12,7 @@
 };
 
 use crate::deployment::Deployment;
-use crate::fixtures::{HOME, backend, data, flow, millis, routes, start};
+use crate::fixtures::{OWN_ZONE, backend, data, flow, millis, routes, start};
 
 /// Backend server whose entry lapses.
 const LAPSED: u64 = 1;
@@ -28,7 +28,7 @@
     let mut deployment = Deployment::across_zones(3, 3);
     deployment.store.put_routes(routes(3, &[(443, "core")]));
     for instance in 1..=4 {
-        deployment.store.put_backend(backend(instance, "core", HOME));
+        deployment.store.put_backend(backend(instance, "core", OWN_ZONE));
     }
     deployment.run(millis(4_000));
 
@@ -100,7 +100,8 @@
 
 #[test]
 fn wanted_tokens_are_limited_in_number_and_time() {
-    let mut wanted = valvestage_policy::steering::packets::wanted_tokens::WantedTokens::default();
+    let mut wanted =
+        valvestage_policy::steering::packets::unresolved_tokens::UnresolvedTokens::default();
     let (nothing, now): (_, Instant) = (BackendDirectory::default(), start());
 
     (1..=100).for_each(|token| wanted.add(token, now));
@@ -128,14 +129,14 @@
 fn with_held_packets_watches_start_at_once_after_a_start() {
     let mut deployment = Deployment::across_zones(9, 3);
     deployment.store.put_routes(routes(3, &[(443, "core")]));
-    deployment.store.put_backend(backend(2, "core", HOME));
+    deployment.store.put_backend(backend(2, "core", OWN_ZONE));
     deployment.run(millis(4_000));
 
     (0..9).for_each(|node| deployment.start(node));
     deployment.run(millis(150));
     assert_eq!(send(&mut deployment), PacketVerdict::Drop(DropReason::UnknownToken));
     deployment.run(millis(150));
-    deployment.store.put_backend(backend(LAPSED, "core", HOME));
+    deployment.store.put_backend(backend(LAPSED, "core", OWN_ZONE));
     deployment.run(millis(500));
     assert!(deployment.node(1).can_decide(&request()));
 }
@@ -145,7 +146,7 @@
 fn without_held_packets_watches_start_later() {
     let mut deployment = Deployment::across_zones(9, 3);
     deployment.store.put_routes(routes(3, &[(443, "core")]));
-    deployment.store.put_backend(backend(2, "core", HOME));
+    deployment.store.put_backend(backend(2, "core", OWN_ZONE));
     deployment.run(millis(4_000));
 
     (0..9).for_each(|node| deployment.start(node));
