--- a/crates/valvestage-policy/tests/steering/watch_role.rs
+++ b/crates/valvestage-policy/tests/steering/watch_role.rs
@@ -3,9 +3,9 @@
 use std::time::Instant;
 
 use valvestage_policy::steering::peers::peer_message::WatcherSighting;
-use valvestage_policy::steering::store::watch_role::{RoleState, WatchRole};
+use valvestage_policy::steering::store::watch_role::{RoleInputs, WatchRole};
 
-use crate::fixtures::{AWAY, HOME, address, millis, start};
+use crate::fixtures::{OTHER_ZONE, OWN_ZONE, address, millis, start};
 
 fn sighting(last: u8, age_ms: u32) -> WatcherSighting {
     WatcherSighting {
@@ -19,11 +19,11 @@
 
 /// Odd addresses are in one zone, even ones in the other.
 fn zone_of(last: u8) -> &'static str {
-    if last % 2 == 1 { HOME } else { AWAY }
+    if last % 2 == 1 { OWN_ZONE } else { OTHER_ZONE }
 }
 
-fn state(is_answering: bool, draw: f64) -> RoleState {
-    RoleState {
+fn state(is_answering: bool, draw: f64) -> RoleInputs {
+    RoleInputs {
         is_answering,
         is_failing: false,
         is_complete: true,
@@ -150,7 +150,7 @@
 #[test]
 fn a_balancer_that_starts_waits_for_its_peers() {
     let now = start();
-    let unknowing = RoleState { is_complete: false, ..state(false, 0.5) };
+    let unknowing = RoleInputs { is_complete: false, ..state(false, 0.5) };
     let mut role = starting(9, 0.0, now);
     role.step(unknowing, now);
     assert!(!role.is_watching());
@@ -163,7 +163,7 @@
 #[test]
 fn a_peer_that_was_asked_gets_time_to_answer() {
     let now = start();
-    let unknowing = RoleState { is_complete: false, ..state(false, 0.5) };
+    let unknowing = RoleInputs { is_complete: false, ..state(false, 0.5) };
     let mut role = starting(9, 0.0, now);
     role.on_pull_sent(now + millis(10));
     role.step(unknowing, now + millis(20));
@@ -200,7 +200,7 @@
     role.on_sighting(&sighting(1, 0), now);
     role.on_sighting(&sighting(3, 0), now);
 
-    role.step(RoleState { has_zones: false, ..state(true, 0.5) }, now);
+    role.step(RoleInputs { has_zones: false, ..state(true, 0.5) }, now);
     assert!(!role.is_watching());
 }
 
@@ -218,7 +218,7 @@
 fn when_all_start_at_once_some_read_the_store_first() {
     let now = start();
     let begins = |is_first_start: bool, draw: f64| {
-        let zone = HOME.to_owned();
+        let zone = OWN_ZONE.to_owned();
         let mut role = WatchRole::new(address(9, 7_000), zone, is_first_start, draw, now);
         let mut at = now;
         while !role.is_watching() {
@@ -260,7 +260,7 @@
 #[test]
 fn one_whose_calls_fail_lets_others_try_soon() {
     let now = start();
-    let failing = RoleState { is_failing: true, ..state(false, 0.5) };
+    let failing = RoleInputs { is_failing: true, ..state(false, 0.5) };
     let mut role = watching(9, now);
 
     role.step(failing, now + millis(100));
@@ -298,8 +298,8 @@
 
 /// Returns the state of a balancer that knows nothing yet, and that reads a long list if the time
 /// of its last page is given.
-fn without_knowledge(page_ms: Option<u64>) -> RoleState {
-    RoleState { is_complete: false, page_time: page_ms.map(millis), ..state(true, 0.0) }
+fn without_knowledge(page_ms: Option<u64>) -> RoleInputs {
+    RoleInputs { is_complete: false, page_time: page_ms.map(millis), ..state(true, 0.0) }
 }
 
 /// Guards against all balancers of a large fleet reading the list of backend servers together: when
@@ -360,8 +360,8 @@
         role.on_sighting(&reader(last, 6), now);
     }
 
-    role.step(RoleState { hears_complete: true, ..without_knowledge(Some(60)) }, now);
+    role.step(RoleInputs { hears_complete: true, ..without_knowledge(Some(60)) }, now);
     assert!(role.is_watching());
-    role.step(RoleState { is_being_told: true, ..without_knowledge(Some(60)) }, now);
+    role.step(RoleInputs { is_being_told: true, ..without_knowledge(Some(60)) }, now);
     assert!(!role.is_watching());
 }
--- a/crates/valvestage-policy/tests/steering/zone_shares.rs
+++ b/crates/valvestage-policy/tests/steering/zone_shares.rs
@@ -3,7 +3,7 @@
 use quickcheck::TestResult;
 use valvestage_policy::steering::placement::zone_shares::{SPILL_FROM, ZoneLoad, ZoneShares};
 
-use crate::fixtures::{AWAY, HOME, seeded};
+use crate::fixtures::{OTHER_ZONE, OWN_ZONE, seeded};
 
 const THIRD: &str = "zone-c";
 const FAR: &str = "zone-of-another-region";
@@ -17,7 +17,7 @@
     const DRAWS: u32 = 1_000;
     let falls_there = |draw: &u32| {
         let unit = f64::from(*draw) / f64::from(DRAWS);
-        shares.draw(unit).map_or(HOME, String::as_str) == zone
+        shares.draw(unit).map_or(OWN_ZONE, String::as_str) == zone
     };
 
     let count = (0..DRAWS).filter(falls_there).count();
@@ -25,7 +25,7 @@
 }
 
 fn shares(zones: &[ZoneLoad]) -> ZoneShares {
-    ZoneShares::new(&HOME.to_owned(), zones)
+    ZoneShares::new(&OWN_ZONE.to_owned(), zones)
 }
 
 #[track_caller]
@@ -37,54 +37,54 @@
 fn all_stay_in_a_zone_that_has_room() {
     let below = SPILL_FROM * 24.0 - 0.1;
 
-    assert!(shares(&[load(HOME, below, 24.0), load(AWAY, 0.0, 200.0)]).stays_home());
+    assert!(shares(&[load(OWN_ZONE, below, 24.0), load(OTHER_ZONE, 0.0, 200.0)]).stays_home());
 }
 
 #[test]
 fn excess_demand_goes_to_other_zones_in_proportion_to_their_room() {
-    let zones = [load(HOME, 20.0, 10.0), load(AWAY, 10.0, 100.0), load(THIRD, 5.0, 50.0)];
+    let zones = [load(OWN_ZONE, 20.0, 10.0), load(OTHER_ZONE, 10.0, 100.0), load(THIRD, 5.0, 50.0)];
     let shares = shares(&zones);
 
     // Of 20 requests 9 fit; the other zones have room for 80 and 40.
-    assert_near(share(&shares, HOME), 9.0 / 20.0);
-    assert_near(share(&shares, AWAY), 11.0 / 20.0 * 80.0 / 120.0);
+    assert_near(share(&shares, OWN_ZONE), 9.0 / 20.0);
+    assert_near(share(&shares, OTHER_ZONE), 11.0 / 20.0 * 80.0 / 120.0);
     assert_near(share(&shares, THIRD), 11.0 / 20.0 * 40.0 / 120.0);
 }
 
 #[test]
 fn a_zone_without_any_backend_server_sends_all_flows_elsewhere() {
-    let shares = shares(&[load(HOME, 8.0, 0.0), load(AWAY, 2.0, 20.0)]);
+    let shares = shares(&[load(OWN_ZONE, 8.0, 0.0), load(OTHER_ZONE, 2.0, 20.0)]);
 
-    assert_near(share(&shares, AWAY), 1.0);
+    assert_near(share(&shares, OTHER_ZONE), 1.0);
 }
 
 #[test]
 fn zones_of_a_full_region_are_equally_utilized() {
-    let zones = [load(HOME, 24.0, 20.0), load(AWAY, 15.0, 20.0)];
+    let zones = [load(OWN_ZONE, 24.0, 20.0), load(OTHER_ZONE, 15.0, 20.0)];
     let shares = shares(&zones);
 
     // 39 requests for 40 slots: 19.5 of 24 stay.
-    assert_near(share(&shares, HOME), 19.5 / 24.0);
+    assert_near(share(&shares, OWN_ZONE), 19.5 / 24.0);
 }
 
 #[test]
 fn equally_busy_zones_exchange_no_flows() {
-    assert!(shares(&[load(HOME, 30.0, 20.0), load(AWAY, 30.0, 20.0)]).stays_home());
+    assert!(shares(&[load(OWN_ZONE, 30.0, 20.0), load(OTHER_ZONE, 30.0, 20.0)]).stays_home());
 }
 
 #[test]
 fn another_region_gets_only_the_excess_of_the_own_one() {
-    let room = [load(HOME, 19.0, 10.0), load(AWAY, 5.0, 20.0), load(FAR, 0.0, 100.0)];
+    let room = [load(OWN_ZONE, 19.0, 10.0), load(OTHER_ZONE, 5.0, 20.0), load(FAR, 0.0, 100.0)];
     assert_near(share(&shares(&room), FAR), 0.0);
 
-    let full = [load(HOME, 27.0, 15.0), load(AWAY, 27.0, 15.0), load(FAR, 0.0, 100.0)];
+    let full = [load(OWN_ZONE, 27.0, 15.0), load(OTHER_ZONE, 27.0, 15.0), load(FAR, 0.0, 100.0)];
     assert_near(share(&shares(&full), FAR), 0.5);
-    assert_near(share(&shares(&full), AWAY), 0.0);
+    assert_near(share(&shares(&full), OTHER_ZONE), 0.0);
 }
 
 #[test]
 fn a_far_zone_without_room_gets_nothing() {
-    let zones = [load(HOME, 40.0, 20.0), load(FAR, 20.0, 20.0)];
+    let zones = [load(OWN_ZONE, 40.0, 20.0), load(FAR, 20.0, 20.0)];
 
     assert!(shares(&zones).stays_home());
 }
@@ -92,8 +92,8 @@
 #[test]
 fn a_zone_without_known_load_keeps_its_flows() {
     assert!(shares(&[]).stays_home());
-    assert!(shares(&[load(AWAY, 1.0, 20.0)]).stays_home());
-    assert!(shares(&[load(HOME, 0.0, 0.0), load(AWAY, 0.0, 0.0)]).stays_home());
+    assert!(shares(&[load(OTHER_ZONE, 1.0, 20.0)]).stays_home());
+    assert!(shares(&[load(OWN_ZONE, 0.0, 0.0), load(OTHER_ZONE, 0.0, 0.0)]).stays_home());
 }
 
 /// If the callers of each zone follow their shares, no zone of the region gets more demand than the
--- a/crates/valvestage-wire/src/envelope/decode.rs
+++ b/crates/valvestage-wire/src/envelope/decode.rs
@@ -6,7 +6,7 @@
 use ppp::v2::{Addresses, Header as ProxyHeader};
 use valvestage_core::time::from_unix_millis;
 use valvestage_core::{LoadReport, Outcome, PacketKind, RefusalReason, RequestClass, Segment};
-use valvestage_policy::flows::{Binding, FlowToken, HopMark, RelayPurpose};
+use valvestage_policy::flows::{Binding, FlowToken, RelayHeader, RelayPurpose};
 
 use super::header::{Envelope, Header, Target};
 use super::{MAX_DATAGRAM, tlv_types};
@@ -120,7 +120,7 @@
     }
 }
 
-fn read_hop(bytes: [u8; 10]) -> Option<HopMark> {
+fn read_hop(bytes: [u8; 10]) -> Option<RelayHeader> {
     let [count, purpose, epoch @ ..] = bytes;
     let purpose = match purpose {
         0 => RelayPurpose::Home,
@@ -128,7 +128,7 @@
         _ => return None,
     };
 
-    Some(HopMark { count, purpose, view_epoch: u64::from_be_bytes(epoch) })
+    Some(RelayHeader { count, purpose, view_epoch: u64::from_be_bytes(epoch) })
 }
 
 fn read_binding(bytes: [u8; 12]) -> Binding {
--- a/crates/valvestage-wire/src/envelope/header.rs
+++ b/crates/valvestage-wire/src/envelope/header.rs
@@ -6,7 +6,7 @@
 use valvestage_core::ids::{Attempt, BackendId, Incarnation, RequestId, ServiceId};
 use valvestage_core::time::Deadline;
 use valvestage_core::{LoadReport, Outcome, PacketKind, RefusalReason, RequestClass, Segment};
-use valvestage_policy::flows::{Binding, FlowToken, HopMark};
+use valvestage_policy::flows::{Binding, FlowToken, RelayHeader};
 
 /// `Target` names the backend server that a packet is meant for, or comes from.
 ///
@@ -46,7 +46,7 @@
     /// With requests to backend servers, and their answers.
     pub attempt: Option<Attempt>,
     /// With everything that one balancer relays to another.
-    pub hop: Option<HopMark>,
+    pub hop: Option<RelayHeader>,
     /// With refusals.
     pub refusal: Option<(Outcome, RefusalReason)>,
     /// With answers of more than one datagram.
--- a/crates/valvestage-wire/src/peers/peer_service.rs
+++ b/crates/valvestage-wire/src/peers/peer_service.rs
@@ -6,7 +6,7 @@
 use valvestage_policy::flows::Binding;
 use valvestage_policy::membership::HeartbeatMessage;
 use valvestage_policy::operations::{DecisionRecord, Subject};
-use valvestage_policy::requests::HandedClaim;
+use valvestage_policy::requests::ExportedClaim;
 
 /// `SharedObject` is a platform object as balancers pass it on.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -36,7 +36,7 @@
     async fn offer_handover(
         service: ServiceId,
         handover: u64,
-        claims: Vec<HandedClaim<Vec<u8>>>,
+        claims: Vec<ExportedClaim<Vec<u8>>>,
     ) -> bool;
 
     /// Gives the decisions about a subject, oldest first.
--- a/crates/valvestage-wire/tests/envelope.rs
+++ b/crates/valvestage-wire/tests/envelope.rs
@@ -6,7 +6,7 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use valvestage_core::time::from_unix_millis;
 use valvestage_core::{LoadReport, Outcome, PacketKind, RefusalReason, RequestClass, Segment};
-use valvestage_policy::flows::{Binding, FlowToken, HopMark, RelayPurpose};
+use valvestage_policy::flows::{Binding, FlowToken, RelayHeader, RelayPurpose};
 use valvestage_wire::envelope::{MAX_DATAGRAM, decode, encode};
 use valvestage_wire::{Envelope, Header, Target, WireError};
 
@@ -69,7 +69,7 @@
             backend: u32::arbitrary(g),
             incarnation: u32::arbitrary(g),
         });
-        header.hop = maybe(g, |g| HopMark {
+        header.hop = maybe(g, |g| RelayHeader {
             count: u8::arbitrary(g),
             purpose: *g.choose(&[RelayPurpose::Home, RelayPurpose::FormerHome]).unwrap(),
             view_epoch: u64::arbitrary(g),
