--- a/crates/valvestage-balancer/src/control/admin_server.rs
+++ b/crates/valvestage-balancer/src/control/admin_server.rs
@@ -120,7 +120,7 @@
 fn balancer_status(state: &ControlState, snapshot: &DataSnapshot) -> BalancerStatus {
     let now = SystemTime::now();
     let configuration = state.read(|policy| policy.configuration().cloned());
-    let heard = state.read(|policy| policy.platform_heard()).map_or(0, to_unix_millis);
+    let heard = state.read(|policy| policy.last_platform_contact()).map_or(0, to_unix_millis);
     let name_of = |id: &u32| {
         let known = configuration.as_ref().and_then(|known| known.backend(*id));
         known.map_or_else(|| format!("removed {id}"), |backend| backend.name.clone())
--- a/crates/valvestage-balancer/src/control/control_state.rs
+++ b/crates/valvestage-balancer/src/control/control_state.rs
@@ -214,7 +214,7 @@
         peer_address: settings.peer_address,
         started_ms: to_unix_millis(now),
         revision: 0,
-        beat: 0,
+        heartbeat_count: 0,
         state: PeerState::Joining,
         lease_epoch: 0,
         configuration: 0,
--- a/crates/valvestage-balancer/src/control/platform_driver.rs
+++ b/crates/valvestage-balancer/src/control/platform_driver.rs
@@ -60,7 +60,7 @@
 
     fn count(&self, call: &'static str, result: PlatformResult) {
         if result != PlatformResult::NoAnswer {
-            self.state.change(|policy, _| policy.on_platform_heard(SystemTime::now()));
+            self.state.change(|policy, _| policy.record_platform_contact(SystemTime::now()));
         }
 
         let label = PlatformLabel { call, result };
--- a/crates/valvestage-balancer/src/control/step_task.rs
+++ b/crates/valvestage-balancer/src/control/step_task.rs
@@ -103,7 +103,7 @@
     bytes.get_or_create(&DirectionLabel { direction: "sent" }).set(count.sent());
     bytes.get_or_create(&DirectionLabel { direction: "received" }).set(count.received());
 
-    if let Some(heard) = state.read(|policy| policy.platform_heard()) {
+    if let Some(heard) = state.read(|policy| policy.last_platform_contact()) {
         let age = SystemTime::now().duration_since(heard).unwrap_or_default();
         state.metrics.configuration_age_ms.set(u64::try_from(age.as_millis()).unwrap_or(u64::MAX));
     }
--- a/crates/valvestage-balancer/src/control/stop_task.rs
+++ b/crates/valvestage-balancer/src/control/stop_task.rs
@@ -39,14 +39,14 @@
     let announced = SystemTime::now();
 
     hand_over_all(state, peers, platform, deadline).await;
-    state.change(|policy, _| policy.give_lease_back());
+    state.change(|policy, _| policy.release_lease());
     copy_exceptions(state, peers).await;
 
     // Until every peer and the fabric have noticed, packets still come and are relayed.
     let noticed = announced + state.settings.dead_after;
     loop {
         let open_work = state.snapshot().await.open_work;
-        let is_given_back = state.read(|policy| policy.is_lease_given_back());
+        let is_given_back = state.read(|policy| policy.is_lease_released());
         let now = SystemTime::now();
         if (open_work == 0 && now >= noticed && is_given_back) || now >= deadline {
             log::info!(open_work; "stopped");
--- a/crates/valvestage-balancer/src/data_path/caller_packets.rs
+++ b/crates/valvestage-balancer/src/data_path/caller_packets.rs
@@ -91,10 +91,10 @@
         };
 
         match self.policy.on_flow(now, &packet) {
-            FlowVerdict::Forward { backend, incarnation, source, tell_binding } => {
+            FlowVerdict::Forward { backend, incarnation, source, reply_with_binding } => {
                 self.metrics.steered(source);
                 self.push_to_backend(envelope, service, backend, incarnation, out);
-                if tell_binding {
+                if reply_with_binding {
                     self.push_binding(envelope, Binding { key: packet.key, backend }, out);
                 }
             }
--- a/crates/valvestage-entry/src/data_thread.rs
+++ b/crates/valvestage-entry/src/data_thread.rs
@@ -274,7 +274,7 @@
                 self.note_sent(sent, address);
             }
             PacketVerdict::Reset(_) => self.send_reset(FlowReset::from(&packet)),
-            PacketVerdict::Drop(reason) if reason.may_pass() => {
+            PacketVerdict::Drop(reason) if reason.is_transient() => {
                 if !self.held.hold(packet, datagram.to_vec(), now) {
                     self.policy.on_held_too_long(&packet, now);
                 }
--- a/crates/valvestage-entry/src/decision_lines.rs
+++ b/crates/valvestage-entry/src/decision_lines.rs
@@ -7,7 +7,7 @@
 
 use serde_json::{Map, Value};
 use valvestage_core::StorePosition;
-use valvestage_policy::steering::knowledge::backend_name::{shown_birth, shown_digits};
+use valvestage_policy::steering::knowledge::backend_name::{incarnation_digits, number_digits};
 use valvestage_policy::steering::placement::backend_choice::ChoiceDoubt;
 use valvestage_policy::steering::{
     BackendPhase, Decision, DroppedPacket, FlowAddresses, FlowPlacement, IncompleteAnswer,
@@ -152,13 +152,13 @@
 
     /// The same form as in the store: hex digits.
     fn put_instance(&mut self, name: &str, instance: u64) {
-        self.put(name, format!("{:x}", shown_digits(instance)));
+        self.put(name, format!("{:x}", number_digits(instance)));
     }
 
     /// The same, and which start of it.
     fn put_backend(&mut self, instance: u64) {
         self.put_instance("backend", instance);
-        self.put("birth", format!("{:x}", shown_birth(instance)));
+        self.put("birth", format!("{:x}", incarnation_digits(instance)));
     }
 
     fn put_time(&mut self, name: &str, time: Duration) {
@@ -200,12 +200,12 @@
             line.put("flows", *flows);
             line.put_time("waited_ms", *waited);
         }
-        Decision::Avoided { instance, count, told_by, avoided_for } => {
+        Decision::Avoided { instance, count, reporting_peers, avoided_for } => {
             line.put_backend(*instance);
             line.put("requests", rounded(count.total()));
             line.put("poor", rounded(count.poor));
             line.put("expected", rounded(count.expected));
-            line.put("told_by", *told_by);
+            line.put("told_by", *reporting_peers);
             line.put_time("avoided_ms", *avoided_for);
         }
         Decision::SpillBegan { service, share } => {
@@ -254,8 +254,8 @@
         }
         Decision::ZoneReturned { zone } => line.put("zone", zone.as_str()),
         Decision::Isolated { is_isolated } => line.put("isolated", *is_isolated),
-        Decision::WatchRole { watching, others } => {
-            line.put("follows_store", *watching);
+        Decision::WatchRole { is_watching, others } => {
+            line.put("follows_store", *is_watching);
             line.put("others", *others);
         }
         Decision::StoreLink { kind, answers } => {
@@ -304,8 +304,8 @@
         line.put("pace", rounded(placement.pace));
     }
     line.put("candidates", placement.candidates);
-    if placement.left_out > 0 {
-        line.put("left_out", placement.left_out);
+    if placement.excluded > 0 {
+        line.put("left_out", placement.excluded);
     }
     line.put("version", placement.version);
     match placement.doubt {
@@ -338,7 +338,7 @@
     line.put_text("peer", answer.peer);
     line.put("kind", format!("{:?}", answer.kind));
     line.put("state", answer.state);
-    line.put("came", answer.came);
+    line.put("came", answer.received);
     line.put("expected", answer.expected);
     line.put_time("waited_ms", answer.waited);
 }
--- a/crates/valvestage-entry/tests/peer_codec.rs
+++ b/crates/valvestage-entry/tests/peer_codec.rs
@@ -58,15 +58,15 @@
         address: address(9),
         slots: 2,
         cold_for_ms: u32::MAX,
-        standing: RecordedPhase::Ready,
+        phase: RecordedPhase::Ready,
     };
     let lapsed = RecordedPhase::Lapsed { ago_ms: u32::MAX };
-    let gone = BackendRecord { standing: lapsed, ..record.clone() };
+    let gone = BackendRecord { phase: lapsed, ..record.clone() };
     let changes = [record, gone];
     let name = BackendName { digest: u32::MAX, number: u64::MAX };
     let changes = changes.map(|record| BackendChange {
         name,
-        birth: 0xff_ffff,
+        incarnation_digest: 0xff_ffff,
         position: at(u64::MAX),
         record,
     });
@@ -91,7 +91,7 @@
             part,
             scope: WalkScope::Everything,
             after: at(0),
-            told_until: None,
+            covers_until: None,
             complete_until: at(u64::MAX),
             names: vec!["core".to_owned()],
             changes: changes.to_vec(),
@@ -129,11 +129,11 @@
         knowledge.directory.put(entry(instance));
         for last in 0..20 {
             let flow = FlowAddresses { caller: address(last), service: address(9) };
-            let sign =
+            let signal =
                 if is_bad { LivenessSignal::Unanswered(now) } else { LivenessSignal::Neutral };
             let answer_bytes = if is_bad { 0 } else { 775 };
             let ended = Some(EndedRequest { answer_bytes });
-            let observation = FlowObservation { sign, ended, began: None };
+            let observation = FlowObservation { signal, ended, began: None };
             observer.observe(&knowledge, instance, flow, observation, later);
         }
     }
@@ -188,12 +188,12 @@
     };
     let heartbeat = PeerHeartbeat {
         zone: watcher.zone.clone(),
-        asks: true,
+        wants_answer: true,
         version: u64::MAX,
         complete_until: at(u64::MAX),
         changed_at: at(u64::MAX),
         era_head: at(u64::MAX),
-        living: u64::MAX,
+        live_digest: u64::MAX,
         age_ms: u32::MAX,
         outage_age_ms: u32::MAX,
         watchers: vec![watcher; 4],
@@ -204,7 +204,7 @@
             as_of: at(u64::MAX),
             zones: vec!["a-zone-with-a-long-name".to_owned(); 7],
         }),
-        wanted: vec![u32::MAX; 8],
+        unresolved_tokens: vec![u32::MAX; 8],
     };
 
     let datagram = encode(&PeerMessage::Heartbeat(heartbeat)).unwrap();
--- a/crates/valvestage-experiment/src/capacity/flow_slope.rs
+++ b/crates/valvestage-experiment/src/capacity/flow_slope.rs
@@ -66,7 +66,7 @@
         let packet =
             FlowPacket { key: *key, service: 1, opening: true, closing: false, token: None, hop };
         director.decide(now, &packet);
-        (1..=14).for_each(|backend| director.on_heard(backend));
+        (1..=14).for_each(|backend| director.on_packet_from(backend));
     }
     (director, own)
 }
--- a/crates/valvestage-experiment/src/capacity/gossip_slope.rs
+++ b/crates/valvestage-experiment/src/capacity/gossip_slope.rs
@@ -64,7 +64,7 @@
         peer_address: address,
         started_ms: 1_800_000_000_000 + u64::from(id),
         revision: 1,
-        beat: 0,
+        heartbeat_count: 0,
         state: PeerState::Serving,
         lease_epoch: 1_800_000_000_000,
         configuration: 430,
@@ -157,7 +157,7 @@
     spent: &mut Duration,
 ) {
     let began = Instant::now();
-    let targets = tables[from].beat(now, news);
+    let targets = tables[from].next_targets(now, news);
 
     for target in targets {
         let message = tables[from].message(now);
@@ -178,8 +178,8 @@
 /// How many heartbeats a table is behind at the worst, as a time.
 fn oldest_beat(table: &HeartbeatTable, tables: &[HeartbeatTable]) -> Duration {
     let behind = table.known(start()).map(|(record, _)| {
-        let latest = tables[record.id as usize].own().beat;
-        u32::try_from(latest.saturating_sub(record.beat)).unwrap_or(u32::MAX)
+        let latest = tables[record.id as usize].own().heartbeat_count;
+        u32::try_from(latest.saturating_sub(record.heartbeat_count)).unwrap_or(u32::MAX)
     });
 
     INTERVAL * behind.max().unwrap_or(0)
--- a/crates/valvestage-experiment/src/flows/flow_model.rs
+++ b/crates/valvestage-experiment/src/flows/flow_model.rs
@@ -275,12 +275,12 @@
             }
             let packet = FlowPacket { key, service: SERVICE, opening, closing: false, token, hop };
             match self.directors[at].decide(now, &packet) {
-                FlowVerdict::Forward { backend, tell_binding, .. } => {
+                FlowVerdict::Forward { backend, reply_with_binding, .. } => {
                     // Backend servers answer at once here.
-                    self.directors[at].on_heard(backend);
+                    self.directors[at].on_packet_from(backend);
                     let home = self.directors[at].view().home(key);
                     if let Some(home) =
-                        home.filter(|_| tell_binding).and_then(|id| self.place_of(id))
+                        home.filter(|_| reply_with_binding).and_then(|id| self.place_of(id))
                     {
                         self.directors[home].on_binding(now, Binding { key, backend });
                     }
--- a/crates/valvestage-operator/src/plans.rs
+++ b/crates/valvestage-operator/src/plans.rs
@@ -4,7 +4,7 @@
 use sha2::{Digest, Sha256};
 use valvestage_core::ids::ObjectVersion;
 use valvestage_platform::PlatformClient;
-use valvestage_policy::operations::{Intent, Plan, draw_plan};
+use valvestage_policy::operations::{Intent, Plan, create_plan};
 use valvestage_wire::operators::ConfirmResult;
 
 use crate::balancers::{BalancerClients, demand, flows_on};
@@ -45,7 +45,7 @@
     let id = plan_id(base.checked.version, &intent);
     let demand = demand(&base.checked, &reports);
 
-    Ok(draw_plan(id, &base.checked, &base.raw, intent, &demand, &flows_on(&reports))?)
+    Ok(create_plan(id, &base.checked, &base.raw, intent, &demand, &flows_on(&reports))?)
 }
 
 /// `confirm_plan` carries a plan out, unless the configuration has changed since, or the plan
--- a/crates/valvestage-policy/src/balancer/balancer_policy.rs
+++ b/crates/valvestage-policy/src/balancer/balancer_policy.rs
@@ -111,7 +111,7 @@
         let until = now + self.options.catch_up;
         self.catching_up_until = Some(until);
         for dispatcher in self.dispatchers.values_mut() {
-            dispatcher.hold_until(until);
+            dispatcher.hold_dispatch_until(until);
         }
     }
 
@@ -121,7 +121,7 @@
 
     /// Records a flow packet from a backend server.
     pub fn on_backend_packet(&mut self, key: FlowKey, backend: BackendId, kind: PacketKind) {
-        self.director.on_heard(backend);
+        self.director.on_packet_from(backend);
 
         if kind == PacketKind::Close {
             self.director.on_closed(key);
--- a/crates/valvestage-policy/src/control/control_policy.rs
+++ b/crates/valvestage-policy/src/control/control_policy.rs
@@ -119,7 +119,7 @@
 
         self.next_heartbeat = now + self.options.heartbeat_interval;
         let has_update = std::mem::take(&mut self.has_update);
-        for to in self.table.beat(now, has_update) {
+        for to in self.table.next_targets(now, has_update) {
             let message = self.table.message(now);
             out.push(ControlAction::Heartbeat { to, message });
         }
@@ -164,7 +164,7 @@
         out: &mut Vec<ControlAction>,
     ) -> Result<bool, PolicyError> {
         if reply != PlatformReply::Unknown {
-            self.on_platform_heard(now);
+            self.record_platform_contact(now);
         }
 
         match machine {
@@ -243,14 +243,14 @@
     }
 
     /// Records an answer of the platform to this balancer.
-    pub fn on_platform_heard(&mut self, now: SystemTime) {
-        self.table.on_platform_heard(to_unix_millis(now));
+    pub fn record_platform_contact(&mut self, now: SystemTime) {
+        self.table.record_platform_contact(to_unix_millis(now));
     }
 
     /// Returns the time of the latest platform answer that this balancer got or learned of from
     /// peers.
     #[must_use]
-    pub fn platform_heard(&self) -> Option<SystemTime> {
+    pub fn last_platform_contact(&self) -> Option<SystemTime> {
         let heard = self.table.platform_contact_ms();
 
         (heard > 0).then(|| from_unix_millis(heard))
@@ -269,13 +269,13 @@
     }
 
     /// Releases the lease. To be called once all services have been handed over.
-    pub fn give_lease_back(&mut self) {
+    pub fn release_lease(&mut self) {
         self.lease_manager.release();
     }
 
     /// Reports whether the lease has been released: none is held and none will be acquired.
     #[must_use]
-    pub fn is_lease_given_back(&self) -> bool {
+    pub fn is_lease_released(&self) -> bool {
         self.lease_manager.is_released()
     }
 
--- a/crates/valvestage-policy/src/control/control_roles.rs
+++ b/crates/valvestage-policy/src/control/control_roles.rs
@@ -66,7 +66,7 @@
     /// Reports whether this balancer has to watch the platform now.
     #[must_use]
     pub fn should_watch(&self, now: SystemTime) -> bool {
-        let is_stale = self.platform_heard().is_none_or(|heard| {
+        let is_stale = self.last_platform_contact().is_none_or(|heard| {
             now.duration_since(heard).unwrap_or_default() > self.options.stale_after
         });
 
--- a/crates/valvestage-policy/src/flows/flow_director.rs
+++ b/crates/valvestage-policy/src/flows/flow_director.rs
@@ -110,7 +110,7 @@
 
     fn decide_by_table(&mut self, now: SystemTime, packet: &FlowPacket) -> Option<FlowVerdict> {
         let entry = self.table.get(packet.key, unix_seconds(now))?;
-        let tell_binding = packet.hop.purpose == RelayPurpose::FormerHome;
+        let reply_with_binding = packet.hop.purpose == RelayPurpose::FormerHome;
 
         if packet.closing {
             self.table.remove(packet.key);
@@ -124,14 +124,18 @@
                 self.table.remove(packet.key);
                 None
             }
-            Some(backend) => Some(forward(backend, FlowSource::Table, tell_binding)),
+            Some(backend) => Some(forward(backend, FlowSource::Table, reply_with_binding)),
             None => Some(FlowVerdict::Refuse(RefusalReason::BackendGone)),
         }
     }
 
     fn relay_to_former_home(&self, packet: &FlowPacket) -> Option<FlowVerdict> {
-        let asked = packet.hop.purpose == RelayPurpose::FormerHome;
-        if !self.layers.former_home || asked || packet.opening || packet.hop.count >= MAX_HOPS {
+        let is_binding_request = packet.hop.purpose == RelayPurpose::FormerHome;
+        if !self.layers.former_home
+            || is_binding_request
+            || packet.opening
+            || packet.hop.count >= MAX_HOPS
+        {
             return None;
         }
 
@@ -219,7 +223,7 @@
 
     /// Records a packet from a backend server.
     #[inline]
-    pub fn on_heard(&mut self, backend: BackendId) {
+    pub fn on_packet_from(&mut self, backend: BackendId) {
         self.availability.on_packet_from(backend);
     }
 
@@ -317,12 +321,12 @@
     }
 }
 
-fn forward(backend: &Backend, source: FlowSource, tell_binding: bool) -> FlowVerdict {
+fn forward(backend: &Backend, source: FlowSource, reply_with_binding: bool) -> FlowVerdict {
     FlowVerdict::Forward {
         backend: backend.id,
         incarnation: backend.incarnation,
         source,
-        tell_binding,
+        reply_with_binding,
     }
 }
 
--- a/crates/valvestage-policy/src/flows/flow_packet.rs
+++ b/crates/valvestage-policy/src/flows/flow_packet.rs
@@ -78,7 +78,7 @@
         /// Layer that found the backend server.
         source: FlowSource,
         /// Whether the balancer that relayed the packet waits for the binding.
-        tell_binding: bool,
+        reply_with_binding: bool,
     },
     /// The packet is relayed to another balancer.
     Relay {
--- a/crates/valvestage-policy/src/membership/heartbeat_message.rs
+++ b/crates/valvestage-policy/src/membership/heartbeat_message.rs
@@ -15,7 +15,7 @@
     /// Identifies the revision of its record: the low bits of `revision`.
     pub revision_tag: u8,
     /// Number of heartbeats that it has sent since its start.
-    pub beat: u64,
+    pub heartbeat_count: u64,
 }
 
 /// Message of one direction of a gossip exchange.
--- a/crates/valvestage-policy/src/membership/heartbeat_table.rs
+++ b/crates/valvestage-policy/src/membership/heartbeat_table.rs
@@ -105,7 +105,7 @@
     }
 
     /// Records a platform answer to any balancer, at this time in Unix milliseconds.
-    pub fn on_platform_heard(&mut self, at_ms: u64) {
+    pub fn record_platform_contact(&mut self, at_ms: u64) {
         self.platform_contact_ms = self.platform_contact_ms.max(at_ms);
     }
 
@@ -121,10 +121,10 @@
     /// The targets rotate pseudo-randomly over all peers, dead ones included, so that a repaired
     /// link is detected without intervention. Of every four rounds, three are limited to live
     /// peers, as are all heartbeats that carry an update.
-    pub fn beat(&mut self, now: SystemTime, has_update: bool) -> Vec<PeerRecord> {
+    pub fn next_targets(&mut self, now: SystemTime, has_update: bool) -> Vec<PeerRecord> {
         const LIVE_ROUNDS: u64 = 3;
 
-        self.own.beat += 1;
+        self.own.heartbeat_count += 1;
         self.round += 1;
         self.remove_expired(now);
 
@@ -200,7 +200,7 @@
 
     /// Merges a peer's message into the table. Records older than the known ones are ignored.
     pub fn merge(&mut self, message: HeartbeatMessage, now: SystemTime) {
-        self.on_platform_heard(message.platform_contact_ms);
+        self.record_platform_contact(message.platform_contact_ms);
         self.peer_requests.extend(message.requested);
 
         for record in message.records.into_iter().chain([message.own]) {
--- a/crates/valvestage-policy/src/membership/peer_entry.rs
+++ b/crates/valvestage-policy/src/membership/peer_entry.rs
@@ -39,11 +39,13 @@
         let known = self.record.digest();
         let same_start = self.is_confirmed && known.start_tag == digest.start_tag;
 
-        if same_start && digest.beat > self.record.beat {
-            self.record.beat = digest.beat;
+        if same_start && digest.heartbeat_count > self.record.heartbeat_count {
+            self.record.heartbeat_count = digest.heartbeat_count;
             self.last_heard = now;
         }
         // A digest older than the record does not show whether the record is outdated.
-        same_start && (known.revision_tag == digest.revision_tag || digest.beat < self.record.beat)
+        same_start
+            && (known.revision_tag == digest.revision_tag
+                || digest.heartbeat_count < self.record.heartbeat_count)
     }
 }
--- a/crates/valvestage-policy/src/membership/peer_record.rs
+++ b/crates/valvestage-policy/src/membership/peer_record.rs
@@ -35,7 +35,7 @@
     /// balancer itself.
     pub revision: u64,
     /// Number of heartbeats sent since the start; advanced only by the balancer itself.
-    pub beat: u64,
+    pub heartbeat_count: u64,
     /// Lifecycle state of the balancer.
     pub state: PeerState,
     /// Epoch of the lease that it holds; 0 for none.
@@ -52,7 +52,8 @@
     /// Reports whether this record supersedes another one of the same balancer.
     #[must_use]
     pub fn is_newer_than(&self, other: &Self) -> bool {
-        (self.started_ms, self.revision, self.beat) > (other.started_ms, other.revision, other.beat)
+        (self.started_ms, self.revision, self.heartbeat_count)
+            > (other.started_ms, other.revision, other.heartbeat_count)
     }
 
     /// Returns the digest of the record.
@@ -62,7 +63,7 @@
             id: self.id,
             start_tag: self.started_ms.to_le_bytes()[0],
             revision_tag: self.revision.to_le_bytes()[0],
-            beat: self.beat,
+            heartbeat_count: self.heartbeat_count,
         }
     }
 }
--- a/crates/valvestage-policy/src/operations.rs
+++ b/crates/valvestage-policy/src/operations.rs
@@ -10,4 +10,4 @@
 pub use decision_record::{Decision, DecisionRecord, Subject};
 pub use intent::{Intent, NewBackend};
 pub use plan::{Plan, PlanRefusal, ServiceEffect};
-pub use planner::{ServiceDemand, draw_plan};
+pub use planner::{ServiceDemand, create_plan};
--- a/crates/valvestage-policy/src/operations/planner.rs
+++ b/crates/valvestage-policy/src/operations/planner.rs
@@ -27,7 +27,7 @@
 ///
 /// An intent that refers to an unknown object is an error. One that would break existing flows or
 /// leave too few slots gives a plan with a refusal, so that its effects can still be inspected.
-pub fn draw_plan(
+pub fn create_plan(
     id: String,
     base: &Configuration,
     raw: &RawConfiguration,
--- a/crates/valvestage-policy/src/requests/request_action.rs
+++ b/crates/valvestage-policy/src/requests/request_action.rs
@@ -31,7 +31,7 @@
     Relay {
         /// Balancer that receives the request.
         peer: BalancerId,
-        /// Hop mark that the relayed request carries.
+        /// Relay header that the relayed request carries.
         hop: RelayHeader,
         /// The request to send on.
         request: Request<P>,
--- a/crates/valvestage-policy/src/requests/service_dispatcher.rs
+++ b/crates/valvestage-policy/src/requests/service_dispatcher.rs
@@ -285,7 +285,7 @@
     }
 
     /// Holds back all dispatches until this time.
-    pub fn hold_until(&mut self, until: SystemTime) {
+    pub fn hold_dispatch_until(&mut self, until: SystemTime) {
         self.dispatch_not_before = Some(until);
     }
 
--- a/crates/valvestage-policy/src/steering/decision.rs
+++ b/crates/valvestage-policy/src/steering/decision.rs
@@ -55,7 +55,7 @@
         /// Its requests as counted here and by the balancers that reported counts.
         count: OutcomeCount,
         /// Number of other balancers that reported counts.
-        told_by: usize,
+        reporting_peers: usize,
         /// How long it is avoided from now on.
         avoided_for: Duration,
     },
@@ -156,7 +156,7 @@
     /// This balancer has begun or ceased to follow the store.
     WatchRole {
         /// Whether it follows the store now.
-        watching: bool,
+        is_watching: bool,
         /// Number of other balancers that are known to follow it.
         others: usize,
     },
@@ -168,7 +168,7 @@
         answers: bool,
     },
     /// The store answers from another era than before, which means that it was restored from an
-    /// older copy.
+    /// backup.
     StoreEra {
         /// Kind of objects concerned.
         kind: StoreKind,
@@ -254,7 +254,7 @@
     pub candidates: usize,
     /// Number of backend servers that take new flows but were excluded: not allowed for this
     /// address, or not at present.
-    pub left_out: usize,
+    pub excluded: usize,
     /// The backend server that did not answer this flow before, if the packet is a copy of the
     /// opening packet.
     pub instead_of: Option<InstanceId>,
@@ -291,7 +291,7 @@
     /// Version of the configuration, or revision up to which backend servers were reported.
     pub state: u64,
     /// Number of datagrams received that contained something new.
-    pub came: usize,
+    pub received: usize,
     /// Number of datagrams asked for; 0 if the other balancer decides how many to send.
     pub expected: usize,
     /// Time since the query.
--- a/crates/valvestage-policy/src/steering/entry_policy.rs
+++ b/crates/valvestage-policy/src/steering/entry_policy.rs
@@ -34,7 +34,7 @@
 /// After a gap between two ticks of at least this length, packets may have arrived that have not
 /// been read yet: two ticks of [`TICK_INTERVAL`] were missed. A request is overdue after 400 ms at
 /// the earliest.
-const MIN_STANDSTILL: Duration = Duration::from_millis(300);
+const MIN_STALL: Duration = Duration::from_millis(300);
 
 /// A balancer may be cut off from the store if the store has confirmed nothing to it for this time,
 /// neither directly nor through other balancers. Confirmations come every 1.5 s, and within 3.3 s
@@ -87,10 +87,10 @@
     next_tick: Instant,
     next_cleaning: Instant,
     last_tick: Instant,
-    /// Whether a standstill since the last tick has been noted already.
+    /// Whether a stall since the last tick has been noted already.
     is_gap_noted: bool,
     /// The latest interval in which the process stood still.
-    standstill: Option<Stall>,
+    stall: Option<Stall>,
     /// The report to other balancers on what is seen here, as of the last tick.
     report: BalancerReport,
     /// Decisions since the last call of [`Self::take_decisions`].
@@ -102,7 +102,7 @@
     #[must_use]
     pub fn new(options: EntryOptions, now: Instant) -> Self {
         let mut knowledge = Knowledge::default();
-        knowledge.see_from(now);
+        knowledge.set_packets_seen_from(now);
         knowledge.set_entry_times(options.steering.entry_times);
         if options.evacuable_zones.is_some() {
             knowledge.await_evacuations();
@@ -119,7 +119,7 @@
             next_cleaning: now + CLEANING_INTERVAL,
             last_tick: now,
             is_gap_noted: false,
-            standstill: None,
+            stall: None,
             report: BalancerReport::default(),
             decisions: Vec::new(),
         }
@@ -185,7 +185,7 @@
     /// Records that a packet was held back in vain, since what it needs did not become known in
     /// time.
     pub fn on_held_too_long(&mut self, packet: &CallerPacket, now: Instant) {
-        self.steering.on_held_too_long(&self.knowledge, packet, now);
+        self.steering.on_hold_expired(&self.knowledge, packet, now);
     }
 
     /// Handles a message of another balancer.
@@ -197,10 +197,8 @@
     ) -> Vec<KeeperAction> {
         self.note_gap(now);
         if let PeerMessage::Heartbeat(heartbeat) = &mut message {
-            if let Some(standstill) =
-                self.standstill.filter(|standstill| standstill.read_until > now)
-            {
-                heartbeat.grow_older(now.saturating_duration_since(standstill.since));
+            if let Some(stall) = self.stall.filter(|stall| stall.read_until > now) {
+                heartbeat.add_age(now.saturating_duration_since(stall.since));
             }
             self.steering.on_peer_health(sender, &heartbeat.health, now);
             if let Some(demands) = &heartbeat.demands {
@@ -248,7 +246,7 @@
 
     /// Replaces the configured addresses of other balancers.
     pub fn on_seeds(&mut self, seeds: &[SocketAddrV4]) {
-        self.keeper.on_seeds(seeds);
+        self.keeper.set_seeds(seeds);
     }
 
     /// Returns the latest time at which [`Self::on_tick`] is to be called.
@@ -272,26 +270,26 @@
         self.last_tick = now;
         self.next_tick = now + TICK_INTERVAL;
         self.update_zones(now);
-        self.steering.look_at_demand(&self.knowledge, self.keeper.peer_count(), now);
-        self.steering.look_at_wanted(&self.knowledge, now);
+        self.steering.update_demand(&self.knowledge, self.keeper.peer_count(), now);
+        self.steering.drop_resolved_tokens(&self.knowledge, now);
         self.report = self.steering.report(now);
         if self.next_cleaning <= now {
             self.next_cleaning = now + CLEANING_INTERVAL;
             self.steering.on_tick(&mut self.knowledge, now);
         }
         let actions = self.step_keeper(now);
-        self.steering.end_flows(&mut self.knowledge, now);
+        self.steering.reset_ended_flows(&mut self.knowledge, now);
         actions
     }
 
     /// Updates the members of this availability zone, the ended evacuations and the isolation.
     fn update_zones(&mut self, now: Instant) {
-        if self.steering.limits_cold() {
+        if self.steering.has_cold_limit() {
             let members = self.keeper.zone_members(now);
-            self.steering.look_at_members(&self.knowledge, &members, now);
+            self.steering.update_cold_shares(&self.knowledge, &members, now);
         }
 
-        for zone in self.knowledge.end_returns(now) {
+        for zone in self.knowledge.release_returning_zones(now) {
             self.decisions.push(Decision::ZoneReturned { zone });
         }
         let is_isolated = self.is_isolated(now);
@@ -314,14 +312,14 @@
     /// are read before the next tick.
     fn note_gap(&mut self, now: Instant) {
         let gap = now.saturating_duration_since(self.last_tick);
-        if self.is_gap_noted || gap < MIN_STANDSTILL {
+        if self.is_gap_noted || gap < MIN_STALL {
             return;
         }
 
         self.is_gap_noted = true;
         let read_until = now + TICK_INTERVAL;
-        self.standstill = Some(Stall { since: self.last_tick, read_until });
-        self.steering.on_standstill(now);
+        self.stall = Some(Stall { since: self.last_tick, read_until });
+        self.steering.on_stall(now);
         // After a longer gap the knowledge is outdated, so other balancers are asked at once.
         if gap >= MIN_PAUSE {
             self.decisions.push(Decision::Paused { time: gap });
--- a/crates/valvestage-policy/src/steering/health/backend_health.rs
+++ b/crates/valvestage-policy/src/steering/health/backend_health.rs
@@ -45,7 +45,7 @@
 /// Signs of life and missing answers of one backend server.
 #[derive(Debug, Default)]
 struct HealthRecord {
-    last_life: Option<Instant>,
+    last_answer: Option<Instant>,
     /// Flows that miss an answer, each at most once, with the time of the latest sign.
     misses: Vec<(FlowAddresses, Instant)>,
     suspect_until: Option<Instant>,
@@ -67,21 +67,21 @@
         &mut self,
         instance: InstanceId,
         flow: FlowAddresses,
-        sign: LivenessSignal,
+        signal: LivenessSignal,
         now: Instant,
     ) -> Option<Decision> {
-        match sign {
+        match signal {
             LivenessSignal::Neutral => None,
-            LivenessSignal::Alive(_) => self.observe_life(instance, now),
+            LivenessSignal::Alive(_) => self.observe_answer(instance, now),
             LivenessSignal::Unanswered(since) => self.observe_miss(instance, flow, since, now),
         }
     }
 
-    fn observe_life(&mut self, instance: InstanceId, now: Instant) -> Option<Decision> {
+    fn observe_answer(&mut self, instance: InstanceId, now: Instant) -> Option<Decision> {
         let record = self.records.entry(instance).or_default();
         let was_suspect = record.suspect_until.is_some_and(|until| until > now);
 
-        record.last_life = Some(now);
+        record.last_answer = Some(now);
         record.misses.clear();
         record.suspect_until = None;
         record.peer_suspects_until = None;
@@ -94,7 +94,7 @@
         const ANSWER_PRECEDENCE: Duration = Duration::from_millis(500);
 
         let record = self.records.entry(instance).or_default();
-        if record.last_life.is_none_or(|life| now - life > ANSWER_PRECEDENCE) {
+        if record.last_answer.is_none_or(|life| now - life > ANSWER_PRECEDENCE) {
             record.peer_suspects_until = Some(now + PEER_REPORT_TTL);
         }
     }
@@ -127,7 +127,7 @@
     ) -> Option<Decision> {
         let record = self.records.entry(instance).or_default();
         let waited = now.saturating_duration_since(since);
-        if waited < MAX_ANSWER_TIME || record.last_life.is_some_and(|life| life >= since) {
+        if waited < MAX_ANSWER_TIME || record.last_answer.is_some_and(|life| life >= since) {
             return None;
         }
 
@@ -155,7 +155,7 @@
 
     /// Reports whether enough flows miss an answer for the flows of a backend server to be ended.
     #[must_use]
-    pub fn is_given_up(&self, instance: InstanceId, now: Instant) -> bool {
+    pub fn is_considered_dead(&self, instance: InstanceId, now: Instant) -> bool {
         self.records.get(&instance).is_some_and(|record| {
             let is_confirmed = record.peer_suspects_until > Some(now);
             let needed = if is_confirmed { FLOWS_TO_CONFIRM } else { FLOWS_TO_GIVE_UP };
@@ -166,27 +166,27 @@
 
     /// Reports whether a backend server has answered any flow at or after a time.
     #[must_use]
-    pub fn shows_life_since(&self, instance: InstanceId, since: Instant) -> bool {
+    pub fn has_answered_since(&self, instance: InstanceId, since: Instant) -> bool {
         self.records
             .get(&instance)
-            .is_some_and(|record| record.last_life.is_some_and(|life| life >= since))
+            .is_some_and(|record| record.last_answer.is_some_and(|life| life >= since))
     }
 
     /// Reports whether a backend server has answered any flow after a time.
     #[must_use]
-    pub fn shows_life_after(&self, instance: InstanceId, time: Instant) -> bool {
+    pub fn has_answered_after(&self, instance: InstanceId, time: Instant) -> bool {
         self.records
             .get(&instance)
-            .is_some_and(|record| record.last_life.is_some_and(|life| life > time))
+            .is_some_and(|record| record.last_answer.is_some_and(|life| life > time))
     }
 
     /// Reports whether at or after a time a backend server has answered any flow, or a flow has
     /// shown that it misses an answer.
     #[must_use]
-    pub fn shows_anything_since(&self, instance: InstanceId, since: Instant) -> bool {
+    pub fn has_signal_since(&self, instance: InstanceId, since: Instant) -> bool {
         let misses = |record: &HealthRecord| record.misses.iter().any(|(_, at)| *at >= since);
 
-        self.shows_life_since(instance, since) || self.records.get(&instance).is_some_and(misses)
+        self.has_answered_since(instance, since) || self.records.get(&instance).is_some_and(misses)
     }
 
     /// Removes the records of all backend servers for which `keep` returns false.
--- a/crates/valvestage-policy/src/steering/health/backend_observer.rs
+++ b/crates/valvestage-policy/src/steering/health/backend_observer.rs
@@ -110,7 +110,7 @@
         observation: FlowObservation,
         now: Instant,
     ) {
-        let FlowObservation { sign, ended, began } = observation;
+        let FlowObservation { signal, ended, began } = observation;
 
         if let Some(ended) = ended {
             self.on_ended(knowledge, instance, flow, ended, now);
@@ -118,7 +118,7 @@
         if let Some(started) = began {
             self.judge.on_began(flow, started);
         }
-        if let LivenessSignal::Alive(answer) = sign
+        if let LivenessSignal::Alive(answer) = signal
             && let Some(since) = answer.since
         {
             let time = now.saturating_duration_since(since);
@@ -128,7 +128,7 @@
             }
             self.answers.push(AnswerTime { instance, opening: answer.opening, time });
         }
-        self.decisions.extend(self.health.observe(instance, flow, sign, now));
+        self.decisions.extend(self.health.observe(instance, flow, signal, now));
     }
 
     /// Ends the requests that should have been answered by now; to be called several times per
@@ -136,7 +136,7 @@
     pub fn judge_overdue(&mut self, knowledge: &Knowledge, flows: &mut FlowTracker, now: Instant) {
         while let Some(entry) = self.judge.pop_overdue(now) {
             let OverdueEntry { started, flow, .. } = entry;
-            if let Some((instance, ended)) = flows.end_overdue(&flow, started, now) {
+            if let Some((instance, ended)) = flows.take_overdue_request(&flow, started, now) {
                 self.on_ended(knowledge, instance, flow, ended, now);
             }
         }
@@ -144,7 +144,7 @@
 
     /// Records that the process stood still until now. Answers to requests that were under way may
     /// have arrived at any time since, so their times are unknown.
-    pub fn on_standstill(&mut self, now: Instant) {
+    pub fn on_stall(&mut self, now: Instant) {
         self.timed_from = Some(now);
     }
 
--- a/crates/valvestage-policy/src/steering/health/outlier_detector.rs
+++ b/crates/valvestage-policy/src/steering/health/outlier_detector.rs
@@ -174,10 +174,10 @@
     /// Returns the counts to report to other balancers, those with the most poor requests first.
     #[must_use]
     pub fn reports(&self, now: Instant) -> Vec<OutcomeReport> {
-        let is_asked =
+        let is_requested =
             |record: &OutlierRecord| record.report_counts_until.is_some_and(|until| until > now);
-        let asked = self.records.iter().filter(|(_, record)| is_asked(record));
-        let reports = asked.map(|(instance, record)| (*instance, record.own.at(now)));
+        let requested = self.records.iter().filter(|(_, record)| is_requested(record));
+        let reports = requested.map(|(instance, record)| (*instance, record.own.at(now)));
         let mut reports: Vec<_> =
             reports.filter(|(_, count)| count.total() >= NEGLIGIBLE_POOR).collect();
 
@@ -228,9 +228,9 @@
             return None;
         }
 
-        let told_by = record.peer_counts.len();
+        let reporting_peers = record.peer_counts.len();
         let avoided_for = record.avoid(self.draw.unit(), now);
-        Some(Decision::Avoided { instance, count: known, told_by, avoided_for })
+        Some(Decision::Avoided { instance, count: known, reporting_peers, avoided_for })
     }
 }
 
--- a/crates/valvestage-policy/src/steering/keeper/keeper_exchange.rs
+++ b/crates/valvestage-policy/src/steering/keeper/keeper_exchange.rs
@@ -36,7 +36,7 @@
 
     /// Reports whether parts of an answer about backend servers arrived a moment ago.
     pub(in crate::steering) fn is_receiving_backends(&self, now: Instant) -> bool {
-        self.exchange.is_being_told(now)
+        self.exchange.is_receiving_answer(now)
     }
 
     /// Repeats requests that were not answered, and answers the balancers whose turn it is.
@@ -48,9 +48,9 @@
     ) -> Vec<KeeperAction> {
         let mut actions = Vec::new();
 
-        for overdue in self.exchange.overdue(knowledge, now) {
+        for overdue in self.exchange.retry_overdue(knowledge, now) {
             updates.record(Decision::AnswerIncomplete(overdue.incomplete));
-            actions.extend(overdue.ask.map(send_action));
+            actions.extend(overdue.next_pull.map(send_action));
         }
         actions.extend(self.answers(knowledge, updates, now));
         actions
@@ -74,7 +74,7 @@
         (sender, heartbeat): (SocketAddrV4, &PeerHeartbeat),
         now: Instant,
     ) -> Vec<KeeperAction> {
-        let pulls = self.exchange.pulls(knowledge, sender, heartbeat, now);
+        let pulls = self.exchange.pulls_for(knowledge, sender, heartbeat, now);
 
         for pull in &pulls {
             record_pull(knowledge, updates, sender, pull);
@@ -90,7 +90,7 @@
         (sender, heartbeat): (SocketAddrV4, &PeerHeartbeat),
         now: Instant,
     ) -> Option<PeerMessage> {
-        self.exchange.compare(knowledge, sender, heartbeat, now)
+        self.exchange.compare_backends(knowledge, sender, heartbeat, now)
     }
 
     /// Handles a request or an answer. Entries that the answer reports as gone may return until the
@@ -103,7 +103,7 @@
         missing_until: Option<Instant>,
         now: Instant,
     ) -> Vec<KeeperAction> {
-        let question = match message {
+        let pull = match message {
             PeerMessage::Heartbeat(_) => return Vec::new(),
             PeerMessage::RoutesIndex(index) => {
                 let step = self.exchange.on_index(knowledge, sender, index, now);
@@ -127,7 +127,7 @@
             PeerMessage::BackendsPull(pull) => PeerPull::Backends(pull),
         };
 
-        self.exchange.on_question(sender, question, now);
+        self.exchange.on_pull(sender, pull, now);
         self.answers(knowledge, updates, now)
     }
 
@@ -158,13 +158,13 @@
         sender: SocketAddrV4,
         step: ExchangeStep,
     ) -> Vec<KeeperAction> {
-        if step.has_routes {
+        if step.has_new_routes {
             knowledge.note_caught_up();
             let routes = self.exchange.catalogue().map();
             updates.apply_routes(knowledge, routes, UpdateSource::Peer(sender));
         }
 
-        step.ask.into_iter().map(send_action).collect()
+        step.next_pull.into_iter().map(send_action).collect()
     }
 
     fn on_backends_part(
@@ -183,14 +183,14 @@
         // 60 balancers that start before 1,500 backend servers send each other 309 messages each;
         // announced only at the end, it is 107.
         self.has_unannounced_changes |= is_new_era || !step.changed.is_empty();
-        if step.is_end {
+        if step.is_walk_complete {
             knowledge.note_caught_up();
             updates.notify_if(std::mem::take(&mut self.has_unannounced_changes));
         }
         for instance in step.changed {
             updates.record_backend(knowledge, instance, UpdateSource::Peer(sender));
         }
-        step.ask.into_iter().map(send_action).collect()
+        step.next_pull.into_iter().map(send_action).collect()
     }
 }
 
--- a/crates/valvestage-policy/src/steering/keeper/knowledge_keeper.rs
+++ b/crates/valvestage-policy/src/steering/keeper/knowledge_keeper.rs
@@ -12,7 +12,7 @@
 use crate::steering::entry_policy::EntryOptions;
 use crate::steering::knowledge::Knowledge;
 use crate::steering::knowledge::route_map::RouteMap;
-use crate::steering::peers::backend_parts::wanted_message;
+use crate::steering::peers::backend_parts::requested_entries_message;
 use crate::steering::peers::peer_message::{BalancerReport, PeerHeartbeat, PeerMessage};
 use crate::steering::peers::peer_table::{PeerTable, RECENTLY_HEARD_WITHIN};
 use crate::steering::peers::zone_members::ZoneMembers;
@@ -30,7 +30,8 @@
 /// rounds, and is passed on at once.
 const HEARTBEAT_FANOUT: usize = 4;
 
-/// How long a token that a heartbeat names counts as wanted: two rounds of heartbeats.
+/// How long a token that a heartbeat names counts as unresolved at its sender: two rounds of
+/// heartbeats.
 const UNRESOLVED_TOKEN_TTL: Duration = Duration::from_millis(800);
 
 /// Number of balancers named in a heartbeat.
@@ -47,13 +48,13 @@
     exchange: KeeperExchange,
     next_heartbeat: Instant,
     /// Whether the next heartbeats ask balancers that know more to answer at once.
-    asks: bool,
+    wants_answer: bool,
     updates: KeeperUpdates,
     /// Whether a balancer was heard that has a configuration and has read all backend servers.
-    hears_complete: bool,
-    /// Until when packets are likely to wait at other balancers for entries that are not known here
-    /// either.
-    wanted_elsewhere_until: Option<Instant>,
+    has_complete_peer: bool,
+    /// Until when packets are likely to wait at other balancers for entries of tokens that this
+    /// balancer cannot resolve either.
+    resolving_for_peers_until: Option<Instant>,
 }
 
 impl KnowledgeKeeper {
@@ -74,10 +75,10 @@
             store: StoreLink::new(options.evacuable_zones.clone(), now),
             exchange: KeeperExchange::new(options.link_mbps),
             next_heartbeat: now,
-            asks: true,
+            wants_answer: true,
             updates: KeeperUpdates::default(),
-            hears_complete: false,
-            wanted_elsewhere_until: None,
+            has_complete_peer: false,
+            resolving_for_peers_until: None,
         }
     }
 
@@ -110,8 +111,8 @@
         self.resolve_conflicts(knowledge, now);
         self.updates.record_suspects(&report.health.suspects);
         self.step_role(knowledge, now);
-        let packets_wait = !report.wanted.is_empty()
-            || self.wanted_elsewhere_until.is_some_and(|until| until > now);
+        let packets_wait = !report.unresolved_tokens.is_empty()
+            || self.resolving_for_peers_until.is_some_and(|until| until > now);
         let mut actions = self.store_calls(knowledge, packets_wait, now);
         actions.extend(self.exchange.on_tick(knowledge, &mut self.updates, now));
 
@@ -128,8 +129,8 @@
     /// Handles that the process was paused: other balancers may know more by now.
     pub fn on_pause(&mut self, now: Instant) {
         self.updates.notify_if(true);
-        self.asks = true;
-        self.peers.unsettle(now);
+        self.wants_answer = true;
+        self.peers.mark_unsettled(now);
     }
 
     /// Returns the balancers of this availability zone.
@@ -139,7 +140,7 @@
     }
 
     /// Replaces the balancers that the settings name.
-    pub fn on_seeds(&mut self, seeds: &[SocketAddrV4]) {
+    pub fn set_seeds(&mut self, seeds: &[SocketAddrV4]) {
         self.peers.set_seeds(seeds);
     }
 
@@ -153,28 +154,28 @@
 
     fn step_role(&mut self, knowledge: &Knowledge, now: Instant) {
         let was_watching = self.role.is_watching();
-        let state = RoleInputs {
-            is_answering: self.store.answering_since(now).is_some(),
-            is_failing: self.store.is_try_failing(),
+        let inputs = RoleInputs {
+            is_answering: self.store.recent_answer_at(now).is_some(),
+            is_failing: self.store.is_attempt_failing(),
             is_complete: knowledge.is_complete() || knowledge.is_certain(now),
             has_zones: knowledge.contacts.hears_others(RECENTLY_HEARD_WITHIN, now),
             page_time: self.store.page_time(),
-            hears_complete: self.hears_complete,
-            is_being_told: self.exchange.is_receiving_backends(now),
+            has_complete_peer: self.has_complete_peer,
+            is_receiving_answer: self.exchange.is_receiving_backends(now),
             // Needed only by a follower that may give up its role.
             recent_peers: if was_watching { self.peers.recent_count(now) } else { 0 },
             draw: self.draw.unit(),
         };
 
-        self.role.step(state, now);
-        let watching = self.role.is_watching();
-        if watching != was_watching {
-            self.updates.notify_if(watching);
-            if watching {
-                self.store.begin(knowledge, now);
+        self.role.step(inputs, now);
+        let is_watching = self.role.is_watching();
+        if is_watching != was_watching {
+            self.updates.notify_if(is_watching);
+            if is_watching {
+                self.store.prepare_to_follow(knowledge, now);
             }
-            let others = self.role.others();
-            self.updates.record(Decision::WatchRole { watching, others });
+            let others = self.role.other_follower_count();
+            self.updates.record(Decision::WatchRole { is_watching, others });
         }
     }
 
@@ -210,8 +211,8 @@
         }
 
         let has_zones = knowledge.contacts.hears_others(RECENTLY_HEARD_WITHIN, now);
-        let is_staying = self.role.is_staying(has_zones);
-        let calls = self.store.calls(knowledge, is_staying, packets_wait, now).into_iter();
+        let keeps_watching = self.role.keeps_watching(has_zones);
+        let calls = self.store.calls(knowledge, keeps_watching, packets_wait, now).into_iter();
         calls.map(|(kind, call)| KeeperAction::Call(kind, call)).collect()
     }
 
@@ -224,10 +225,10 @@
         self.updates.on_notified();
         self.next_heartbeat = now + HEARTBEAT_INTERVAL;
         let is_ignorant = !knowledge.is_complete() && !knowledge.is_certain(now);
-        let asks = std::mem::take(&mut self.asks) || is_ignorant;
-        let heartbeat = self.heartbeat(knowledge, Some(report), asks, now);
+        let wants_answer = std::mem::take(&mut self.wants_answer) || is_ignorant;
+        let heartbeat = self.heartbeat(knowledge, Some(report), wants_answer, now);
 
-        let chosen = self.peers.choose(HEARTBEAT_FANOUT, &mut self.draw).into_iter();
+        let chosen = self.peers.next_in_turn(HEARTBEAT_FANOUT, &mut self.draw).into_iter();
         chosen
             .map(|peer| KeeperAction::Send(peer, PeerMessage::Heartbeat(heartbeat.clone())))
             .collect()
@@ -237,7 +238,7 @@
         &mut self,
         knowledge: &Knowledge,
         report: Option<&BalancerReport>,
-        asks: bool,
+        wants_answer: bool,
         now: Instant,
     ) -> PeerHeartbeat {
         let draw = self.draw.below(1 << 16);
@@ -245,24 +246,26 @@
 
         PeerHeartbeat {
             zone: self.zone.clone(),
-            asks,
+            wants_answer,
             version: knowledge.routes.version,
             complete_until: knowledge.directory.complete_until(),
             changed_at: knowledge.directory.changed_at(),
             era_head: knowledge.directory.era_head(),
-            living: knowledge.directory.living_digest(),
+            live_digest: knowledge.directory.live_digest(),
             age_ms: knowledge.confirmed_at().map_or(u32::MAX, |at| millis_since(at, now)),
             outage_age_ms: outage.map_or(u32::MAX, |at| millis_since(at, now)),
             watchers: self.role.sightings(
-                self.store.answering_since(now),
+                self.store.recent_answer_at(now),
                 self.store.page_time(),
                 now,
             ),
-            peers: self.peers.sample(PEERS_PER_HEARTBEAT, draw, now),
+            peers: self.peers.sample_recent(PEERS_PER_HEARTBEAT, draw, now),
             evacuations: knowledge.evacuated.report(),
             health: report.map(|report| report.health.clone()).unwrap_or_default(),
             demands: report.map(|report| report.demands.clone()),
-            wanted: report.map(|report| report.wanted.clone()).unwrap_or_default(),
+            unresolved_tokens: report
+                .map(|report| report.unresolved_tokens.clone())
+                .unwrap_or_default(),
         }
     }
 
@@ -305,10 +308,10 @@
         }
         self.store.merge_peer_failure(time_of_age(heartbeat.outage_age_ms, now));
         self.store.enter_era(heartbeat.era_head.era, now);
-        knowledge.directory.note_listed(heartbeat.era_head, now);
-        self.hears_complete |= heartbeat.version > 0 && !heartbeat.complete_until.is_start();
+        knowledge.directory.record_list_position(heartbeat.era_head, now);
+        self.has_complete_peer |= heartbeat.version > 0 && !heartbeat.complete_until.is_start();
         for peer in &heartbeat.peers {
-            self.peers.on_told(*peer, now);
+            self.peers.on_reported(*peer, now);
         }
         for sighting in &heartbeat.watchers {
             self.updates.notify_if(self.role.on_sighting(sighting, now));
@@ -322,16 +325,17 @@
         let knows_less = heartbeat.version < knowledge.routes.version
             || heartbeat.complete_until < knowledge.directory.changed_at()
             || !knows_evacuations && knowledge.evacuated.is_known();
-        if heartbeat.asks && (is_new || knows_less) {
+        if heartbeat.wants_answer && (is_new || knows_less) {
             // A balancer that has just started or resumed learns at once whom it can ask.
             let answer = self.heartbeat(knowledge, None, false, now);
             actions.push(KeeperAction::Send(sender, PeerMessage::Heartbeat(answer)));
         }
-        let wanted_entries = wanted_message(&knowledge.directory, &heartbeat.wanted, now);
-        if wanted_entries.is_none() && !heartbeat.wanted.is_empty() {
-            self.wanted_elsewhere_until = Some(now + UNRESOLVED_TOKEN_TTL);
+        let requested_entries =
+            requested_entries_message(&knowledge.directory, &heartbeat.unresolved_tokens, now);
+        if requested_entries.is_none() && !heartbeat.unresolved_tokens.is_empty() {
+            self.resolving_for_peers_until = Some(now + UNRESOLVED_TOKEN_TTL);
         }
-        actions.extend(wanted_entries.map(|message| KeeperAction::Send(sender, message)));
+        actions.extend(requested_entries.map(|message| KeeperAction::Send(sender, message)));
         let Self { exchange, updates, .. } = self;
         if exchange.knows_more(knowledge, heartbeat) {
             knowledge.note_behind(now);
--- a/crates/valvestage-policy/src/steering/knowledge.rs
+++ b/crates/valvestage-policy/src/steering/knowledge.rs
@@ -134,7 +134,7 @@
     }
 
     /// Records that this balancer saw no packets of callers before a time.
-    pub fn see_from(&mut self, at: Instant) {
+    pub fn set_packets_seen_from(&mut self, at: Instant) {
         self.packets_seen_from = Some(at);
     }
 
@@ -227,7 +227,7 @@
     /// Lets zones whose evacuation was lifted get flows again once the state of their backend
     /// servers is known, and returns these zones. Their state has to be known only where a
     /// slow-start rate is configured: backend servers that are cold bear little load.
-    pub fn end_returns(&mut self, now: Instant) -> Vec<ZoneName> {
+    pub fn release_returning_zones(&mut self, now: Instant) -> Vec<ZoneName> {
         let has_rates = !self.routes.cold_rates.is_empty();
         let known_until = has_rates.then(|| self.directory.read_until());
 
--- a/crates/valvestage-policy/src/steering/knowledge/backend_directory.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/backend_directory.rs
@@ -105,13 +105,13 @@
     /// Returns a digest of the incarnations that are not gone, regardless of their positions. Two
     /// balancers that know all changes up to the same revision should have the same digest.
     #[must_use]
-    pub fn living_digest(&self) -> LiveDigest {
-        self.entries.living_digest()
+    pub fn live_digest(&self) -> LiveDigest {
+        self.entries.live_digest()
     }
 
     /// Reports whether all changes after a position are still known.
     #[must_use]
-    pub fn remembers(&self, after: StorePosition) -> bool {
+    pub fn knows_changes_after(&self, after: StorePosition) -> bool {
         !after.is_start() && after >= self.history_begins_at
     }
 
@@ -123,7 +123,7 @@
 
     /// Applies the state of an entry at its position, with what a new incarnation at a known name
     /// or address implies for the others. Returns the incarnations whose known state changed.
-    pub fn admit(&mut self, entry: BackendEntry, now: Instant) -> Vec<InstanceId> {
+    pub fn apply_entry(&mut self, entry: BackendEntry, now: Instant) -> Vec<InstanceId> {
         let Some(mut entry) = self.reconcile_eras(entry, now) else { return Vec::new() };
         // The time in which a known entry may return counts from when this balancer learns that it
         // is gone.
@@ -139,7 +139,7 @@
             return self.apply_unknown_service_entry(entry);
         }
         if let BackendPhase::Gone { end, .. } = &mut entry.phase
-            && !self.living(entry.name).is_empty()
+            && !self.live_of(entry.name).is_empty()
         {
             *end = BackendEnd::Superseded;
         }
@@ -163,7 +163,7 @@
     /// Applies an entry that a peer reports. A missing entry has returned only if its reported
     /// position is newer than what was read. Otherwise the peer does not know that the entry was
     /// removed, or considers it missing, too.
-    pub fn admit_told(&mut self, entry: BackendEntry, now: Instant) -> Vec<InstanceId> {
+    pub fn apply_peer_entry(&mut self, entry: BackendEntry, now: Instant) -> Vec<InstanceId> {
         let (instance, position) = (entry.instance, entry.position);
         let known = self.entries.get(instance);
         if known.is_some_and(|known| known.position >= position) {
@@ -179,7 +179,7 @@
             None if self.may_be_written_again(&entry, now) => self.settles_at,
             None => is_absent.then(|| now + RETURN_TIME),
         };
-        let changed = self.admit(entry, now);
+        let changed = self.apply_entry(entry, now);
         let stays_missing = missing_until.filter(|_| position <= self.read_until);
         if let Some(until) = stays_missing {
             self.mark_missing(instance, until);
@@ -190,14 +190,18 @@
     /// Adds an entry that a peer considers live and that was removed before this balancer read the
     /// store, as a gone one. A network partition may keep a live backend server from the store, so
     /// its flows can be steered until that is known.
-    pub fn admit_obsolete(&mut self, mut entry: BackendEntry, now: Instant) -> Vec<InstanceId> {
+    pub fn apply_obsolete_entry(
+        &mut self,
+        mut entry: BackendEntry,
+        now: Instant,
+    ) -> Vec<InstanceId> {
         let end = match entry.end_of_phase() {
             BackendEnd::Lapsed => BackendEnd::LapsedUnseen,
             end => end,
         };
         entry.phase = BackendPhase::Gone { since: now, end };
 
-        self.admit(entry, now)
+        self.apply_entry(entry, now)
     }
 
     /// Stores the state of an entry at its position. Returns false if that changes nothing: the same
@@ -281,11 +285,11 @@
             // That it was superseded is only a conclusion of this balancer. The removal of its
             // entry has to reach the balancers that concluded otherwise because of another
             // configuration.
-            let is_news = end == BackendEnd::Superseded && entry.position < at;
-            if is_news {
+            let is_update = end == BackendEnd::Superseded && entry.position < at;
+            if is_update {
                 self.end_entry(instance, at, BackendPhase::Gone { since, end: BackendEnd::Left });
             }
-            return is_news;
+            return is_update;
         }
 
         let phase = BackendPhase::Gone { since: now, end: entry.end_of_phase() };
@@ -345,12 +349,12 @@
         missing_until: Option<Instant>,
         now: Instant,
     ) -> Vec<InstanceId> {
-        let absent = self.living_until(at, |instance| !listed.contains(&instance));
+        let absent = self.live_until(at, |instance| !listed.contains(&instance));
 
         for instance in self.superseded_without_successor() {
             self.mark_gone(instance, at, now);
         }
-        self.end_contested(|entry| !listed.contains(&entry.instance), at, now);
+        self.drop_removed_conflicts(|entry| !listed.contains(&entry.instance), at, now);
         self.end_absent(&absent, at, missing_until, now);
         absent
     }
@@ -358,30 +362,30 @@
     /// Applies that a peer, which knows every change up to a position as well, reports entries as
     /// gone. Returns those that were known as live: they are gone, or missing if a time is given
     /// until which they may return.
-    pub fn end_told(
+    pub fn apply_peer_removals(
         &mut self,
         gone: &HashSet<InstanceId>,
         at: StorePosition,
         missing_until: Option<Instant>,
         now: Instant,
     ) -> Vec<InstanceId> {
-        let absent = self.living_until(at, |instance| gone.contains(&instance));
+        let absent = self.live_until(at, |instance| gone.contains(&instance));
 
         self.end_absent(&absent, at, missing_until, now);
         absent
     }
 
     /// Returns the live incarnations with positions up to `at` that the predicate selects.
-    fn living_until(
+    fn live_until(
         &self,
         at: StorePosition,
         is_selected: impl Fn(InstanceId) -> bool,
     ) -> Vec<InstanceId> {
-        let is_living = |entry: &&BackendEntry| {
+        let is_live = |entry: &&BackendEntry| {
             !entry.is_gone() && entry.position <= at && is_selected(entry.instance)
         };
 
-        self.entries.all().filter(is_living).map(|entry| entry.instance).collect()
+        self.entries.all().filter(is_live).map(|entry| entry.instance).collect()
     }
 
     fn end_absent(
@@ -420,7 +424,7 @@
 
     /// Reports whether the deadline of any missing entry has passed.
     #[must_use]
-    pub fn has_overdue(&self, now: Instant) -> bool {
+    pub fn has_expired_missing(&self, now: Instant) -> bool {
         self.entries.missing().any(|entry| entry.missing_until.is_some_and(|until| until <= now))
     }
 
--- a/crates/valvestage-policy/src/steering/knowledge/backend_name.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/backend_name.rs
@@ -29,13 +29,13 @@
 
 /// Returns the last ten hex digits of the number in the name, as kept in an incarnation's id.
 #[must_use]
-pub fn shown_digits(instance: InstanceId) -> u64 {
+pub fn number_digits(instance: InstanceId) -> u64 {
     instance & ((1 << NUMBER_BITS) - 1)
 }
 
-/// Returns the remaining bits of an incarnation's id, to be shown beside [`shown_digits`].
+/// Returns the remaining bits of an incarnation's id, to be shown beside [`number_digits`].
 #[must_use]
-pub fn shown_birth(instance: InstanceId) -> u64 {
+pub fn incarnation_digits(instance: InstanceId) -> u64 {
     instance >> NUMBER_BITS
 }
 
@@ -59,18 +59,18 @@
         // Only the upper bits are left after the shift.
         #[allow(clippy::cast_possible_truncation)]
         let incarnation_digest = (hasher.finish() >> NUMBER_BITS) as IncarnationDigest;
-        self.born(incarnation_digest)
+        self.with_digest(incarnation_digest)
     }
 
     /// Returns the id of the incarnation of this name that has the given digest.
     #[must_use]
-    pub fn born(self, incarnation_digest: IncarnationDigest) -> InstanceId {
+    pub fn with_digest(self, incarnation_digest: IncarnationDigest) -> InstanceId {
         self.number ^ (u64::from(incarnation_digest) << NUMBER_BITS)
     }
 
     /// Returns the digest that distinguishes an incarnation of this name from the others.
     #[must_use]
-    pub fn birth_of(self, instance: InstanceId) -> IncarnationDigest {
+    pub fn incarnation_digest(self, instance: InstanceId) -> IncarnationDigest {
         // Only 24 bits are left after the shift.
         #[allow(clippy::cast_possible_truncation)]
         let incarnation_digest = ((instance ^ self.number) >> NUMBER_BITS) as IncarnationDigest;
--- a/crates/valvestage-policy/src/steering/knowledge/entry_table.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/entry_table.rs
@@ -33,7 +33,7 @@
     /// Backend servers that take new flows.
     ready: ReadyBackends,
     /// Exclusive or of a hash of each incarnation that is not gone.
-    living: LiveDigest,
+    live_digest: LiveDigest,
     /// Number of entries that were visited one by one, in total.
     visits: Cell<u64>,
 }
@@ -84,7 +84,7 @@
             }
         }
         if !self.gone.remove(&instance) {
-            self.living ^= mix(instance, 0);
+            self.live_digest ^= mix(instance, 0);
         }
         self.missing.remove(&instance);
         if entry.phase == BackendPhase::Ready {
@@ -101,7 +101,7 @@
         if entry.is_gone() {
             self.gone.insert(instance);
         } else {
-            self.living ^= mix(instance, 0);
+            self.live_digest ^= mix(instance, 0);
         }
         if entry.missing_until.is_some() {
             self.missing.insert(instance);
@@ -112,8 +112,8 @@
     }
 
     /// Returns a digest of the incarnations that are not gone.
-    pub(super) fn living_digest(&self) -> LiveDigest {
-        self.living
+    pub(super) fn live_digest(&self) -> LiveDigest {
+        self.live_digest
     }
 
     /// Returns the backend servers that take new flows.
--- a/crates/valvestage-policy/src/steering/knowledge/evacuated_zones.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/evacuated_zones.rs
@@ -65,7 +65,7 @@
 
     /// Reports whether a zone gets no new flows.
     #[must_use]
-    pub fn holds(&self, zone: &str) -> bool {
+    pub fn blocks_new_flows(&self, zone: &str) -> bool {
         self.zones.contains(zone) || self.returning.contains_key(zone)
     }
 
--- a/crates/valvestage-policy/src/steering/knowledge/incarnation_order.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/incarnation_order.rs
@@ -39,14 +39,14 @@
         now: Instant,
     ) -> Vec<InstanceId> {
         let is_older = |other: &&BackendEntry| other.position.era <= entry.position.era;
-        let older = self.other_births(entry).filter(is_older);
+        let older = self.other_incarnations(entry).filter(is_older);
         let older: Vec<_> = older.map(|other| other.instance).collect();
 
         self.mark_superseded(&older, entry.position, now)
     }
 
     /// Returns the entries of all other incarnations of an entry's name.
-    pub fn other_births(&self, entry: &BackendEntry) -> impl Iterator<Item = &BackendEntry> {
+    pub fn other_incarnations(&self, entry: &BackendEntry) -> impl Iterator<Item = &BackendEntry> {
         let instance = entry.instance;
 
         self.all_incarnations(entry.name).filter(move |other| other.instance != instance)
@@ -79,15 +79,15 @@
         let ended_at = known.filter(|known| known.is_superseded() && known.position.era == era);
         let ended_at = ended_at.map(|known| known.position);
 
-        let is_after_copy = |other: &BackendEntry| {
+        let is_after_backup = |other: &BackendEntry| {
             self.is_written_since_restore(entry) && !self.is_written_since_restore(other)
         };
         let ends = |other: &BackendEntry| {
-            ended_at.is_some_and(|ended_at| ended_at <= other.position) && !is_after_copy(other)
+            ended_at.is_some_and(|ended_at| ended_at <= other.position) && !is_after_backup(other)
         };
         let is_comparable =
             |other: &BackendEntry| other.position.era == era || !self.is_unsettled(now);
-        self.other_births(entry).any(|other| {
+        self.other_incarnations(entry).any(|other| {
             !other.is_gone()
                 && self.last_own_position(other) > entry.position
                 && is_comparable(other)
@@ -106,7 +106,7 @@
     /// Reports whether an unusable entry that is recorded for another incarnation of the name may
     /// belong to this one.
     pub(super) fn may_own_unusable_entry(&self, entry: &BackendEntry) -> bool {
-        self.other_births(entry).any(|other| {
+        self.other_incarnations(entry).any(|other| {
             let is_later = self.last_own_position(other) < entry.position;
             other.phase == BackendPhase::Unusable && is_later && entry.position <= other.position
         })
@@ -147,7 +147,8 @@
     /// a real successor, the successor ends that backend server once the configuration names its
     /// service, or the old entry lapses.
     pub(super) fn apply_unknown_service_entry(&mut self, entry: BackendEntry) -> Vec<InstanceId> {
-        let mut changed: Vec<_> = self.other_births(&entry).map(|other| other.instance).collect();
+        let mut changed: Vec<_> =
+            self.other_incarnations(&entry).map(|other| other.instance).collect();
         changed.retain(|other| self.mark_unusable(*other, entry.position));
 
         let instance = entry.instance;
@@ -189,9 +190,9 @@
         let mut ended = Vec::new();
 
         for instance in instances {
-            let was_living =
+            let was_live =
                 self.entries.change(*instance, |other| mark_entry_superseded(other, at, now));
-            if was_living == Some(true) {
+            if was_live == Some(true) {
                 ended.push(*instance);
             }
         }
@@ -201,30 +202,30 @@
 
     /// Returns all incarnations of a name, including the gone ones.
     #[must_use]
-    pub fn births(&self, name: BackendName) -> Vec<InstanceId> {
+    pub fn incarnations(&self, name: BackendName) -> Vec<InstanceId> {
         self.names.get(&name).cloned().unwrap_or_default()
     }
 
     /// Returns the incarnations of a name that are not gone. Usually there is at most one.
     #[must_use]
-    pub fn living(&self, name: BackendName) -> Vec<InstanceId> {
+    pub fn live_of(&self, name: BackendName) -> Vec<InstanceId> {
         let incarnations = self.names.get(&name).into_iter().flatten();
-        let is_living =
+        let is_live =
             |id: &&InstanceId| self.entries.get(**id).is_some_and(|entry| !entry.is_gone());
 
-        incarnations.filter(is_living).copied().collect()
+        incarnations.filter(is_live).copied().collect()
     }
 
     /// Returns the entry of the process that has started under the same name, at the same address
     /// and for the same service as an incarnation that has ended.
     #[must_use]
-    pub fn heir(&self, instance: InstanceId) -> Option<&BackendEntry> {
+    pub fn successor(&self, instance: InstanceId) -> Option<&BackendEntry> {
         let ended = self.entries.get(instance).filter(|entry| entry.is_gone())?;
         let is_successor = |other: &&BackendEntry| {
             !other.is_gone() && other.address == ended.address && other.service == ended.service
         };
 
-        self.other_births(ended).find(is_successor)
+        self.other_incarnations(ended).find(is_successor)
     }
 
     /// Gives an incarnation the token of its name, unless a later one or another name holds it.
@@ -245,13 +246,13 @@
     /// its entry is removed. The removal is recorded at its own position: if it is recorded only
     /// with the next list, it has a revision that peers take for known, and a balancer may consider
     /// the incarnation live for good.
-    pub(in crate::steering) fn end_superseded(
+    pub(in crate::steering) fn mark_superseded_gone(
         &mut self,
         name: BackendName,
         at: StorePosition,
         now: Instant,
     ) -> Vec<InstanceId> {
-        let mut incarnations = self.births(name);
+        let mut incarnations = self.incarnations(name);
 
         incarnations.retain(|id| self.entries.get(*id).is_some_and(BackendEntry::is_superseded));
         incarnations.retain(|id| self.mark_gone(*id, at, now));
@@ -261,7 +262,7 @@
     /// Returns the superseded incarnations whose name has no live incarnation.
     pub(super) fn superseded_without_successor(&self) -> Vec<InstanceId> {
         let is_selected =
-            |entry: &&BackendEntry| entry.is_superseded() && self.living(entry.name).is_empty();
+            |entry: &&BackendEntry| entry.is_superseded() && self.live_of(entry.name).is_empty();
 
         self.entries.gone().filter(is_selected).map(|entry| entry.instance).collect()
     }
--- a/crates/valvestage-policy/src/steering/knowledge/lapse.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/lapse.rs
@@ -62,7 +62,7 @@
 
     /// Reports whether the entry of a backend server has lapsed and nothing can be concluded from
     /// that.
-    pub(in crate::steering) fn lapsed_in_doubt(&self, instance: InstanceId) -> bool {
+    pub(in crate::steering) fn has_inconclusive_lapse(&self, instance: InstanceId) -> bool {
         let entry = self.knowledge.directory.get(instance);
 
         entry.is_some_and(|entry| match entry.phase {
@@ -77,7 +77,7 @@
     /// was. The backend server may go on serving callers through other balancers, including callers
     /// of flows that this balancer served before.
     fn is_inconclusive(&self, entry: &BackendEntry, lapsed_at: Instant) -> bool {
-        self.health.shows_life_after(entry.instance, lapsed_at)
+        self.health.has_answered_after(entry.instance, lapsed_at)
             || self.knowledge.is_behind(self.now)
             || self.may_have_lapsed_in_partition(entry, lapsed_at)
     }
@@ -110,13 +110,13 @@
 
     /// Returns which flows of an ended incarnation to end. If a successor has started at its
     /// address under its name, the most recent flows may already be at the successor.
-    pub(in crate::steering) fn ended(&self, instance: InstanceId) -> EndedBackend {
+    pub(in crate::steering) fn flows_to_end(&self, instance: InstanceId) -> EndedBackend {
         let directory = &self.knowledge.directory;
         let since = match directory.get(instance).map(|entry| entry.phase) {
             Some(BackendPhase::Gone { since, .. }) => since,
             _ => self.now,
         };
-        let has_successor = directory.heir(instance).is_some();
+        let has_successor = directory.successor(instance).is_some();
         let updates_missing_since = self.knowledge.updates_missing_since(since);
         let known_within = self.knowledge.entry_times().start_known_within();
         let seen_before =
@@ -135,7 +135,7 @@
     /// Reports whether a backend server may be alive although its entry has lapsed.
     fn may_be_alive(&self, entry: &BackendEntry, lapsed_at: Instant) -> bool {
         let alive_from = self.silent_since(lapsed_at);
-        let was_alive = self.health.shows_life_since(entry.instance, alive_from);
+        let was_alive = self.health.has_answered_since(entry.instance, alive_from);
         let shared_partition =
             entry.zone == *self.own_zone && self.knowledge.was_disconnected_from_store(lapsed_at);
 
@@ -156,7 +156,7 @@
     /// packet of a flow that has just moved here from another balancer is forwarded. If the backend
     /// server is dead, the caller's first retransmission shows it 200 ms later.
     fn is_undetermined(&self, entry: &BackendEntry, alive_from: Instant) -> bool {
-        let is_unseen = !self.health.shows_anything_since(entry.instance, alive_from);
+        let is_unseen = !self.health.has_signal_since(entry.instance, alive_from);
         let knowledge = self.knowledge;
 
         is_unseen
--- a/crates/valvestage-policy/src/steering/knowledge/ready_backends.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/ready_backends.rs
@@ -23,7 +23,7 @@
     }
 
     /// Returns the backend servers that are, or were, in slow start.
-    pub fn started(&self) -> impl Iterator<Item = InstanceId> {
+    pub fn with_slow_start(&self) -> impl Iterator<Item = InstanceId> {
         self.started.iter().copied()
     }
 
--- a/crates/valvestage-policy/src/steering/knowledge/store_restores.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/store_restores.rs
@@ -27,7 +27,7 @@
     }
 
     /// Records the position of the store at a list, read by this balancer or by a peer.
-    pub fn note_listed(&mut self, position: StorePosition, now: Instant) {
+    pub fn record_list_position(&mut self, position: StorePosition, now: Instant) {
         if position.era > self.era_head.era {
             self.era_head = position;
             self.conflicting.clear();
@@ -50,16 +50,16 @@
         }
 
         let conflicting = std::mem::take(&mut self.conflicting);
-        conflicting.into_values().flat_map(|entry| self.admit(entry, now)).collect()
+        conflicting.into_values().flat_map(|entry| self.apply_entry(entry, now)).collect()
     }
 
     /// Returns the conflicting entries, which are left out for now.
-    pub fn contested(&self) -> impl Iterator<Item = &BackendEntry> {
+    pub fn conflicting(&self) -> impl Iterator<Item = &BackendEntry> {
         self.conflicting.values()
     }
 
     /// Returns the incarnations of a name that have conflicting entries.
-    pub fn contested_births(&self, name: BackendName) -> impl Iterator<Item = InstanceId> {
+    pub fn conflicting_incarnations(&self, name: BackendName) -> impl Iterator<Item = InstanceId> {
         let of_name = self.conflicting.values().filter(move |entry| entry.name == name);
 
         of_name.map(|entry| entry.instance)
@@ -67,7 +67,7 @@
 
     /// Drops the conflicting entries that the store no longer has at a position. Returns their
     /// incarnations.
-    pub(in crate::steering) fn end_contested(
+    pub(in crate::steering) fn drop_removed_conflicts(
         &mut self,
         has_gone: impl Fn(&BackendEntry) -> bool,
         at: StorePosition,
@@ -132,10 +132,10 @@
             return false;
         }
         let Some(known) = self.entries.get(reported.instance) else { return false };
-        let is_from_copy =
+        let is_from_backup =
             reported.position.era < known.position.era || reported.position == known.position;
         let departs = reported.phase == BackendPhase::Draining || has_ended_for_good(reported);
-        if !is_from_copy || !departs || known.phase != BackendPhase::Ready {
+        if !is_from_backup || !departs || known.phase != BackendPhase::Ready {
             return false;
         }
 
@@ -145,7 +145,7 @@
 
     /// Returns when the conflicts are resolved. None if no entry is conflicting.
     #[must_use]
-    pub fn contests_end_at(&self) -> Option<Instant> {
+    pub fn conflicts_resolve_at(&self) -> Option<Instant> {
         self.era_settles_at.filter(|_| !self.conflicting.is_empty())
     }
 
--- a/crates/valvestage-policy/src/steering/packets/caller_packet.rs
+++ b/crates/valvestage-policy/src/steering/packets/caller_packet.rs
@@ -115,7 +115,7 @@
     /// Reports whether the reason may disappear within moments, so that holding the packet is
     /// worthwhile.
     #[must_use]
-    pub fn may_pass(self) -> bool {
+    pub fn is_transient(self) -> bool {
         matches!(self, Self::NotReady | Self::UnknownToken)
     }
 
--- a/crates/valvestage-policy/src/steering/packets/flow_backend.rs
+++ b/crates/valvestage-policy/src/steering/packets/flow_backend.rs
@@ -35,7 +35,7 @@
     instance: InstanceId,
 ) -> InstanceId {
     let directory = &knowledge.directory;
-    let Some(present) = directory.heir(instance).or_else(|| directory.get(instance)) else {
+    let Some(present) = directory.successor(instance).or_else(|| directory.get(instance)) else {
         return instance;
     };
     let is_led_to =
@@ -44,6 +44,6 @@
         return present.instance;
     }
 
-    let former = directory.other_births(present).find(is_led_to);
+    let former = directory.other_incarnations(present).find(is_led_to);
     former.unwrap_or(present).instance
 }
--- a/crates/valvestage-policy/src/steering/packets/flow_ends.rs
+++ b/crates/valvestage-policy/src/steering/packets/flow_ends.rs
@@ -28,21 +28,21 @@
     ) -> Option<ResetReason> {
         let zone = &knowledge.directory.get(instance)?.zone;
         let health = self.backends.health();
-        let judge = LapseDetector { own_zone: &self.options.zone, knowledge, health, now };
-        let reach = judge.reach(zone);
+        let detector = LapseDetector { own_zone: &self.options.zone, knowledge, health, now };
+        let reach = detector.reach(zone);
         let not_before = match reach {
             ZoneReach::Since(joined_at) => Some(joined_at),
             ZoneReach::Unknown | ZoneReach::Silent => None,
         };
 
-        if judge.has_ended(instance) {
+        if detector.has_ended(instance) {
             return Some(ResetReason::BackendGone);
         }
-        if judge.lapsed_in_doubt(instance) {
+        if detector.has_inconclusive_lapse(instance) {
             let has_failed = self.flows.has_failed_probe(packet, not_before, now);
             return has_failed.then_some(ResetReason::BackendGone);
         }
-        if !health.is_given_up(instance, now) {
+        if !health.is_considered_dead(instance, now) {
             return None;
         }
         let is_away = *zone != self.options.zone;
@@ -52,7 +52,7 @@
         // Flows that are idle here may be in use through other balancers while their zone is cut
         // off.
         if !(is_away && reach == ZoneReach::Silent) {
-            self.reset_scheduler.on_given_up(instance);
+            self.reset_scheduler.on_considered_dead(instance);
         }
         Some(ResetReason::BackendSilent)
     }
--- a/crates/valvestage-policy/src/steering/packets/flow_record.rs
+++ b/crates/valvestage-policy/src/steering/packets/flow_record.rs
@@ -102,10 +102,10 @@
             return self.observe_opening();
         }
 
-        let sign = self.observe_answer(packet);
-        let sign = self.observe_data(packet, sign, now);
+        let signal = self.observe_answer(packet);
+        let signal = self.observe_data(packet, signal, now);
         self.closing |= packet.closing;
-        sign
+        signal
     }
 
     /// Handles a copy of the opening packet, which shows that no earlier copy was answered so far.
@@ -144,11 +144,11 @@
     fn observe_data(
         &mut self,
         packet: &CallerPacket,
-        sign: LivenessSignal,
+        signal: LivenessSignal,
         now: Instant,
     ) -> LivenessSignal {
         if packet.data_length == 0 {
-            return sign;
+            return signal;
         }
 
         if self.has_new_data(packet) {
@@ -157,10 +157,10 @@
                 self.waiting_since = Some(now);
                 self.request = Some(FlowRequest { started: now, answer_from: self.acknowledged });
             }
-            return sign;
+            return signal;
         }
-        if matches!(sign, LivenessSignal::Alive(_)) {
-            return sign;
+        if matches!(signal, LivenessSignal::Alive(_)) {
+            return signal;
         }
         self.waiting_since.map_or(LivenessSignal::Neutral, LivenessSignal::Unanswered)
     }
@@ -181,7 +181,7 @@
     /// Returns the request that began at `started` if it still waits for an answer, or if its
     /// answer seems complete: on a long-lived flow only the next request ends a request. Returns
     /// `None` if the answer is still arriving, or the outcome is known.
-    pub fn end_overdue(&mut self, started: Instant, now: Instant) -> Option<EndedRequest> {
+    pub fn take_overdue_request(&mut self, started: Instant, now: Instant) -> Option<EndedRequest> {
         let request = self.request.filter(|request| request.started == started)?;
         let is_idle = now.saturating_duration_since(self.last_packet) >= ANSWER_IDLE_TIME;
         if !self.is_busy() && !is_idle {
--- a/crates/valvestage-policy/src/steering/packets/flow_tracker.rs
+++ b/crates/valvestage-policy/src/steering/packets/flow_tracker.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FlowObservation {
     /// What the packet shows about the liveness of the backend server.
-    pub sign: LivenessSignal,
+    pub signal: LivenessSignal,
     /// Request that the packet ends, if any.
     pub ended: Option<EndedRequest>,
     /// Start of the request that the packet begins, if any.
@@ -32,7 +32,7 @@
 impl FlowObservation {
     /// Returns the observation for a packet of an unknown flow.
     fn neutral() -> Self {
-        Self { sign: LivenessSignal::Neutral, ended: None, began: None }
+        Self { signal: LivenessSignal::Neutral, ended: None, began: None }
     }
 }
 
@@ -123,15 +123,15 @@
         load.subtract(record);
         let before = record.request_started();
         let ended = record.end_request(packet);
-        let sign = record.observe(packet, now);
+        let signal = record.observe(packet, now);
         load.add(record);
         let began = record.request_started().filter(|began| before != Some(*began));
-        FlowObservation { sign, ended, began }
+        FlowObservation { signal, ended, began }
     }
 
     /// Returns the request of a flow that began at `started`, with its backend server, if it still
     /// waits for an answer or its answer seems complete.
-    pub fn end_overdue(
+    pub fn take_overdue_request(
         &mut self,
         flow: &FlowAddresses,
         started: Instant,
@@ -140,7 +140,7 @@
         let record = self.records.get_mut(flow)?;
         let instance = record.instance;
 
-        record.end_overdue(started, now).map(|ended| (instance, ended))
+        record.take_overdue_request(started, now).map(|ended| (instance, ended))
     }
 
     /// Handles a packet as a probe of its flow's backend server. Returns true if an earlier probe
--- a/crates/valvestage-policy/src/steering/packets/opening_packets.rs
+++ b/crates/valvestage-policy/src/steering/packets/opening_packets.rs
@@ -48,7 +48,7 @@
             return None;
         }
         let instance = record.instance;
-        let sign = self.observe_known(knowledge, instance, packet, now);
+        let signal = self.observe_known(knowledge, instance, packet, now);
 
         let entry = knowledge.directory.get(instance)?;
         let takes_new = entry.phase == BackendPhase::Ready
@@ -56,7 +56,7 @@
         if !takes_new {
             return None;
         }
-        if self.placer(knowledge, now).why_left_out(packet.flow, entry).is_some() {
+        if self.placer(knowledge, now).exclusion_reason(packet.flow, entry).is_some() {
             let verdict = self.place(knowledge, packet.flow, &entry.service, Some(instance), now);
             let is_refused = matches!(verdict, PacketVerdict::Reset(_));
             return Some(if is_refused {
@@ -65,7 +65,7 @@
                 verdict
             });
         }
-        if !self.is_unanswered(instance, sign, now) {
+        if !self.is_unanswered(instance, signal, now) {
             self.count_cold_request(knowledge, instance, now);
             return Some(forward(knowledge, instance));
         }
@@ -74,11 +74,11 @@
 
     /// Reports whether an answer is overdue, and the backend server has answered no other caller
     /// meanwhile.
-    fn is_unanswered(&self, instance: InstanceId, sign: LivenessSignal, now: Instant) -> bool {
-        match sign {
+    fn is_unanswered(&self, instance: InstanceId, signal: LivenessSignal, now: Instant) -> bool {
+        match signal {
             LivenessSignal::Unanswered(since) => {
                 now.saturating_duration_since(since) >= MAX_ANSWER_TIME
-                    && !self.backends.health().shows_life_since(instance, since)
+                    && !self.backends.health().has_answered_since(instance, since)
             }
             _ => false,
         }
@@ -106,7 +106,7 @@
     ) {
         let Some(entry) = knowledge.directory.get(instance) else { return };
 
-        if ColdShares::rate_of(self.options.cold_limit, knowledge, entry, now).is_some() {
+        if ColdShares::limit_for(self.options.cold_limit, knowledge, entry, now).is_some() {
             self.cold.on_request(instance, now);
         }
     }
--- a/crates/valvestage-policy/src/steering/packets/reset_scheduler.rs
+++ b/crates/valvestage-policy/src/steering/packets/reset_scheduler.rs
@@ -59,7 +59,7 @@
 
     /// Records that a backend server was declared dead, so that its idle flows are reset in the
     /// next round.
-    pub(in crate::steering) fn on_given_up(&mut self, instance: InstanceId) {
+    pub(in crate::steering) fn on_considered_dead(&mut self, instance: InstanceId) {
         if !self.silent.contains(&instance) {
             self.silent.push(instance);
         }
@@ -69,25 +69,25 @@
     pub(in crate::steering) fn take_due(
         &mut self,
         flows: &mut FlowTracker,
-        judge: &LapseDetector<'_>,
+        detector: &LapseDetector<'_>,
     ) -> Vec<PendingReset> {
-        self.collect_gone(flows, judge);
+        self.collect_gone(flows, detector);
         self.collect_silent(flows);
 
         let count = self.due.len().min(MAX_RESETS_PER_ROUND);
         let ended: Vec<_> = self.due.drain(..count).collect();
         for flow in ended.iter().map(|ended| ended.reset.flow) {
-            self.on_reset_sent(flow, judge.now);
+            self.on_reset_sent(flow, detector.now);
         }
         ended
     }
 
     /// Queues resets for the flows of the gone backend servers that have ended, and drops those
     /// backend servers whose entries have returned.
-    fn collect_gone(&mut self, flows: &mut FlowTracker, judge: &LapseDetector<'_>) {
-        self.gone.retain(|instance| judge.is_gone(*instance));
-        let ended = self.gone.extract_if(.., |instance| judge.has_ended(*instance));
-        let ended: Vec<_> = ended.map(|instance| judge.ended(instance)).collect();
+    fn collect_gone(&mut self, flows: &mut FlowTracker, detector: &LapseDetector<'_>) {
+        self.gone.retain(|instance| detector.is_gone(*instance));
+        let ended = self.gone.extract_if(.., |instance| detector.has_ended(*instance));
+        let ended: Vec<_> = ended.map(|instance| detector.flows_to_end(instance)).collect();
 
         self.collect(flows, &ended, ResetReason::BackendGone, FlowSelection::Open);
     }
--- a/crates/valvestage-policy/src/steering/packets/steering_policy.rs
+++ b/crates/valvestage-policy/src/steering/packets/steering_policy.rs
@@ -33,7 +33,7 @@
     pub(super) demand: FleetDemand,
     pub(super) cold: ColdShares,
     pub(super) reset_scheduler: ResetScheduler,
-    wanted: UnresolvedTokens,
+    unresolved_tokens: UnresolvedTokens,
     /// Decisions since the last call of [`Self::take_decisions`].
     pub(super) decisions: Vec<Decision>,
     /// Proactive resets since the last call of [`Self::take_resets`].
@@ -51,7 +51,7 @@
             demand: FleetDemand::default(),
             cold: ColdShares::default(),
             reset_scheduler: ResetScheduler::default(),
-            wanted: UnresolvedTokens::default(),
+            unresolved_tokens: UnresolvedTokens::default(),
             decisions: Vec::new(),
             resets: Vec::new(),
         }
@@ -88,7 +88,7 @@
         let idle_timeout = Duration::from_millis(knowledge.routes.idle_timeout_ms);
 
         self.flows.expire(now, idle_timeout);
-        if let Some(before) = now.checked_sub(self.options.remember_gone) {
+        if let Some(before) = now.checked_sub(self.options.gone_retention) {
             knowledge.directory.forget_gone(before);
         }
         self.backends.forget(knowledge, now);
@@ -100,7 +100,7 @@
 
     /// Updates the demand from the requests under way, given the number of other known balancers;
     /// to be called several times a second.
-    pub fn look_at_demand(&mut self, knowledge: &Knowledge, peer_count: usize, now: Instant) {
+    pub fn update_demand(&mut self, knowledge: &Knowledge, peer_count: usize, now: Instant) {
         let health = self.backends.health();
 
         self.demand.on_tick(&self.options, knowledge, &self.flows, health, peer_count, now);
@@ -109,13 +109,18 @@
     /// Reports whether requests to cold backend servers are limited, so that the members of the
     /// zone have to be known.
     #[must_use]
-    pub fn limits_cold(&self) -> bool {
+    pub fn has_cold_limit(&self) -> bool {
         self.options.cold_limit.is_some()
     }
 
     /// Updates the shares of cold backend servers from the present members of this availability
     /// zone; to be called several times a second.
-    pub fn look_at_members(&mut self, knowledge: &Knowledge, members: &ZoneMembers, now: Instant) {
+    pub fn update_cold_shares(
+        &mut self,
+        knowledge: &Knowledge,
+        members: &ZoneMembers,
+        now: Instant,
+    ) {
         let SteeringOptions { cold_limit, zone, .. } = &self.options;
 
         self.cold.renew(*cold_limit, knowledge, (zone, members), now);
@@ -123,8 +128,8 @@
 
     /// Drops unresolved tokens whose backend servers are known by now, or that have expired; to be
     /// called several times a second.
-    pub fn look_at_wanted(&mut self, knowledge: &Knowledge, now: Instant) {
-        self.wanted.drop_resolved(&knowledge.directory, now);
+    pub fn drop_resolved_tokens(&mut self, knowledge: &Knowledge, now: Instant) {
+        self.unresolved_tokens.drop_resolved(&knowledge.directory, now);
     }
 
     /// Records the demand that another balancer has reported.
@@ -146,9 +151,9 @@
 
     /// Queues resets for flows whose backend servers have ended, and issues those that are due; to
     /// be called ten times a second.
-    pub fn end_flows(&mut self, knowledge: &mut Knowledge, now: Instant) {
+    pub fn reset_ended_flows(&mut self, knowledge: &mut Knowledge, now: Instant) {
         self.reset_scheduler.on_gone(knowledge.directory.take_newly_gone());
-        let judge = LapseDetector {
+        let detector = LapseDetector {
             own_zone: &self.options.zone,
             knowledge,
             health: self.backends.health(),
@@ -156,7 +161,7 @@
         };
 
         for PendingReset { reset, instance, reason } in
-            self.reset_scheduler.take_due(&mut self.flows, &judge)
+            self.reset_scheduler.take_due(&mut self.flows, &detector)
         {
             let flow = reset.flow;
             self.resets.push(reset);
@@ -171,8 +176,8 @@
 
     /// Records that the process was stalled until now: when the packets that came meanwhile were
     /// sent is not known.
-    pub fn on_standstill(&mut self, now: Instant) {
-        self.backends.on_standstill(now);
+    pub fn on_stall(&mut self, now: Instant) {
+        self.backends.on_stall(now);
     }
 
     /// Records that the process was stalled for so long that packets may have been lost that answer
@@ -193,7 +198,7 @@
         BalancerReport {
             health: self.backends.report(now),
             demands: self.demand.reports(),
-            wanted: self.wanted.list(),
+            unresolved_tokens: self.unresolved_tokens.list(),
         }
     }
 
@@ -248,9 +253,9 @@
             }
             PacketVerdict::Drop(reason) => {
                 let dropped = self.dropped_packet(knowledge, packet, reason, now);
-                let is_held = reason.may_pass();
+                let is_held = reason.is_transient();
                 if reason == DropReason::UnknownToken {
-                    self.wanted.add(packet.token, now);
+                    self.unresolved_tokens.add(packet.token, now);
                 }
                 self.decisions.push(if is_held {
                     Decision::Held(dropped)
@@ -290,7 +295,7 @@
     }
 
     /// Records that a packet was held for the full hold time without enough becoming known.
-    pub fn on_held_too_long(&mut self, knowledge: &Knowledge, packet: &CallerPacket, now: Instant) {
+    pub fn on_hold_expired(&mut self, knowledge: &Knowledge, packet: &CallerPacket, now: Instant) {
         let is_ready = knowledge.is_complete();
         let reason = if is_ready { DropReason::UnknownToken } else { DropReason::NotReady };
         let dropped = self.dropped_packet(knowledge, packet, reason, now);
@@ -375,6 +380,6 @@
         }
 
         self.backends.observe(knowledge, instance, flow, observation, now);
-        observation.sign
+        observation.signal
     }
 }
--- a/crates/valvestage-policy/src/steering/packets/unresolved_tokens.rs
+++ b/crates/valvestage-policy/src/steering/packets/unresolved_tokens.rs
@@ -29,7 +29,7 @@
     /// Adds an unknown token, or extends its time. A new token is not added while the maximum
     /// number is asked about.
     pub fn add(&mut self, token: ShortToken, now: Instant) {
-        self.tokens.retain(|(wanted, _)| *wanted != token);
+        self.tokens.retain(|(known, _)| *known != token);
         if self.tokens.len() < MAX_UNRESOLVED {
             self.tokens.push((token, now + UNRESOLVED_TTL));
         }
--- a/crates/valvestage-policy/src/steering/peers/awaited_answer.rs
+++ b/crates/valvestage-policy/src/steering/peers/awaited_answer.rs
@@ -96,7 +96,7 @@
             peer: self.peer,
             kind,
             state,
-            came: self.received,
+            received: self.received,
             expected: self.expected,
             waited: now.saturating_duration_since(self.began_at),
         }
--- a/crates/valvestage-policy/src/steering/peers/backend_parts.rs
+++ b/crates/valvestage-policy/src/steering/peers/backend_parts.rs
@@ -15,7 +15,7 @@
 use crate::steering::store::watch_role::millis_since;
 
 /// Bytes of one change of a backend server in the codec's encoding: a name of up to 5 and 9 bytes,
-/// a birth of 4, a position of 11, an address of 7, and some small fields.
+/// an incarnation digest of 4, a position of 11, an address of 7, and some small fields.
 const CHANGE_BYTES: usize = 45;
 
 /// Number of changes in one datagram. The names of a part fit into the rest of it.
@@ -34,7 +34,7 @@
     now: Instant,
 ) -> Vec<PeerMessage> {
     let BackendsPull { after, scope } = pull;
-    let is_forgotten = scope == WalkScope::Changes && !directory.remembers(after);
+    let is_forgotten = scope == WalkScope::Changes && !directory.knows_changes_after(after);
     let (after, scope) =
         if is_forgotten { (StorePosition::START, WalkScope::Everything) } else { (after, scope) };
 
@@ -58,7 +58,7 @@
             part: MessagePart { index, count },
             scope,
             after: begin,
-            told_until: end,
+            covers_until: end,
             complete_until: directory.complete_until(),
             names,
             changes,
@@ -70,7 +70,7 @@
 
 /// Returns the backend servers of some tokens, including gone ones; `None` if no token is known.
 #[must_use]
-pub fn wanted_message(
+pub fn requested_entries_message(
     directory: &BackendDirectory,
     tokens: &[ShortToken],
     now: Instant,
@@ -85,7 +85,7 @@
             part: MessagePart { index: 0, count: 1 },
             scope: WalkScope::UnresolvedTokens,
             after: StorePosition::START,
-            told_until: None,
+            covers_until: None,
             complete_until: directory.complete_until(),
             names,
             changes,
@@ -99,9 +99,9 @@
     directory: &BackendDirectory,
     after: StorePosition,
 ) -> (Vec<&BackendEntry>, Option<StorePosition>) {
-    let contested = directory.contested().filter(|entry| entry.position > after);
+    let conflicting = directory.conflicting().filter(|entry| entry.position > after);
     let first = directory.after(after).take(CHANGES_PER_ANSWER + 1);
-    let mut entries: Vec<_> = first.chain(contested).collect();
+    let mut entries: Vec<_> = first.chain(conflicting).collect();
 
     entries.sort_unstable_by_key(|entry| (entry.position, entry.instance));
     let next_position = entries.get(CHANGES_PER_ANSWER).map(|entry| entry.position);
@@ -123,7 +123,7 @@
 
     BackendChange {
         name: entry.name,
-        birth: entry.name.birth_of(entry.instance),
+        incarnation_digest: entry.name.incarnation_digest(entry.instance),
         position: entry.position,
         record: BackendRecord {
             service: index_of_name(names, &entry.service),
@@ -131,7 +131,7 @@
             address: entry.address,
             slots: entry.slots,
             cold_for_ms: millis_since(now, cold_until),
-            standing,
+            phase: standing,
         },
     }
 }
@@ -145,9 +145,9 @@
 }
 
 fn entry_of(change: BackendChange, names: &[String], now: Instant) -> Option<BackendEntry> {
-    let BackendChange { name, birth, position, record } = change;
+    let BackendChange { name, incarnation_digest, position, record } = change;
     let cold_for = Duration::from_millis(record.cold_for_ms.into());
-    let phase = match record.standing {
+    let phase = match record.phase {
         RecordedPhase::Ready => BackendPhase::Ready,
         RecordedPhase::Draining => BackendPhase::Draining,
         RecordedPhase::Unusable => BackendPhase::Unusable,
@@ -159,7 +159,7 @@
     };
 
     Some(BackendEntry {
-        instance: name.born(birth),
+        instance: name.with_digest(incarnation_digest),
         name,
         position,
         service: names.get(usize::from(record.service))?.clone(),
--- a/crates/valvestage-policy/src/steering/peers/backend_walk.rs
+++ b/crates/valvestage-policy/src/steering/peers/backend_walk.rs
@@ -28,7 +28,7 @@
 /// is asked for twice meanwhile.
 const PROGRESS_TTL: Duration = Duration::from_millis(400);
 
-/// Time between two comparisons with peers that have a different set of living backend servers,
+/// Time between two comparisons with peers that have a different set of live backend servers,
 /// since each comparison transfers all backend servers.
 const COMPARE_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -38,16 +38,16 @@
     /// Backend servers whose known state has changed.
     pub changed: Vec<InstanceId>,
     /// The balancer to pull the next window from, and the pull.
-    pub ask: Option<(SocketAddrV4, PeerMessage)>,
+    pub next_pull: Option<(SocketAddrV4, PeerMessage)>,
     /// Whether everything that the peer knows has arrived.
-    pub is_end: bool,
+    pub is_walk_complete: bool,
 }
 
 /// A part that has arrived.
 #[derive(Debug)]
 struct PartSpan {
     /// With this part, everything up to this position has arrived; `None` if it is the last part.
-    told_until: Option<StorePosition>,
+    covers_until: Option<StorePosition>,
     /// Its sender knows every change up to this position.
     complete_until: StorePosition,
     reported: ReportedBackends,
@@ -56,8 +56,8 @@
 /// The backend servers that a peer reported.
 #[derive(Debug, Default)]
 struct ReportedBackends {
-    /// Those that it counts as living.
-    living: HashSet<InstanceId>,
+    /// Those that it counts as live.
+    live: HashSet<InstanceId>,
     /// Those whose entries are gone. The peer may report such an end at the position that the entry
     /// had while it existed.
     gone: HashSet<InstanceId>,
@@ -68,14 +68,14 @@
         let mut reported = Self::default();
 
         for entry in entries {
-            let set = if entry.is_gone() { &mut reported.gone } else { &mut reported.living };
+            let set = if entry.is_gone() { &mut reported.gone } else { &mut reported.live };
             set.insert(entry.instance);
         }
         reported
     }
 
     fn extend(&mut self, other: Self) {
-        self.living.extend(other.living);
+        self.live.extend(other.live);
         self.gone.extend(other.gone);
     }
 }
@@ -104,7 +104,7 @@
     cursor: StorePosition,
     /// Where the answer in progress begins. If it does not advance the cursor, no further pull
     /// follows it.
-    asked_from: StorePosition,
+    pulled_from: StorePosition,
     /// The cursor as far as the peer knows every change, which is valid for other peers too.
     certain_until: StorePosition,
     /// The backend servers that were reported.
@@ -121,7 +121,7 @@
             peer,
             scope,
             cursor: after,
-            asked_from: after,
+            pulled_from: after,
             certain_until: after,
             reported: ReportedBackends::default(),
             out_of_order: BTreeMap::new(),
@@ -149,7 +149,7 @@
             }
             let span = first.remove();
             self.reported.extend(span.reported);
-            let Some(until) = span.told_until else { return Some(span.complete_until) };
+            let Some(until) = span.covers_until else { return Some(span.complete_until) };
             self.cursor = self.cursor.max(until);
             self.certain_until = self.certain_until.max(self.cursor.min(span.complete_until));
         }
@@ -200,7 +200,7 @@
     /// before, and it keeps this balancer's knowledge from being complete.
     fn should_pull_overdue(&mut self, knowledge: &Knowledge, now: Instant) -> bool {
         let is_due = self.next_compare_at.is_none_or(|from| from <= now);
-        if !is_due || !knowledge.directory.has_overdue(now) {
+        if !is_due || !knowledge.directory.has_expired_missing(now) {
             return false;
         }
 
@@ -255,24 +255,24 @@
         now: Instant,
     ) -> WalkUpdate {
         let mut update = WalkUpdate::default();
-        let BackendsPart { scope, after, told_until, complete_until, .. } = part;
+        let BackendsPart { scope, after, covers_until, complete_until, .. } = part;
         let number = part.part;
         let entries = entries_of(part, now);
         let reported = ReportedBackends::of(&entries);
         for entry in entries {
             let directory = &mut knowledge.directory;
             let changed = if directory.is_obsolete(&entry, now) {
-                directory.admit_obsolete(entry, now)
+                directory.apply_obsolete_entry(entry, now)
             } else {
-                directory.admit_told(entry, now)
+                directory.apply_peer_entry(entry, now)
             };
             update.changed.extend(changed);
         }
 
         let Some(walk) = self.walk_of(sender, scope, after, now) else { return update };
         let cursor = walk.cursor;
-        let ends_at = walk.apply_part(after, PartSpan { told_until, complete_until, reported });
-        let has_more = number.index + 1 >= number.count && walk.cursor > walk.asked_from;
+        let ends_at = walk.apply_part(after, PartSpan { covers_until, complete_until, reported });
+        let has_more = number.index + 1 >= number.count && walk.cursor > walk.pulled_from;
         if walk.cursor > cursor {
             self.advanced_at = Some(now);
             if let Some(awaited) = &mut self.awaited {
@@ -282,9 +282,9 @@
         match ends_at {
             Some(until) => {
                 update.changed.extend(self.finish_walk(knowledge, until, missing_until, now));
-                update.is_end = true;
+                update.is_walk_complete = true;
             }
-            None if has_more => update.ask = Some((sender, self.next_pull(sender, now))),
+            None if has_more => update.next_pull = Some((sender, self.next_pull(sender, now))),
             None => {}
         }
         update
@@ -312,7 +312,7 @@
         self.awaited = Some(AwaitedAnswer::new(peer, 0, former.as_ref(), now));
         let (after, scope) = match &mut self.walk {
             Some(walk) => {
-                walk.asked_from = walk.cursor;
+                walk.pulled_from = walk.cursor;
                 (walk.cursor, walk.scope)
             }
             None => (StorePosition::START, WalkScope::Everything),
@@ -337,10 +337,10 @@
 
         if walk.scope == WalkScope::Everything {
             self.has_history = true;
-            let ReportedBackends { living, gone } = &walk.reported;
+            let ReportedBackends { live, gone } = &walk.reported;
             changed = match until.cmp(&directory.complete_until()) {
-                Ordering::Greater => directory.retain_listed(living, until, missing_until, now),
-                Ordering::Equal => directory.end_told(gone, until, missing_until, now),
+                Ordering::Greater => directory.retain_listed(live, until, missing_until, now),
+                Ordering::Equal => directory.apply_peer_removals(gone, until, missing_until, now),
                 Ordering::Less => Vec::new(),
             };
         }
--- a/crates/valvestage-policy/src/steering/peers/peer_exchange.rs
+++ b/crates/valvestage-policy/src/steering/peers/peer_exchange.rs
@@ -23,9 +23,9 @@
 #[derive(Debug, Default)]
 pub struct ExchangeStep {
     /// The balancer to pull the next window from, and the pull.
-    pub ask: Option<(SocketAddrV4, PeerMessage)>,
+    pub next_pull: Option<(SocketAddrV4, PeerMessage)>,
     /// Whether a newer configuration is complete; [`PeerExchange::catalogue`] returns it.
-    pub has_routes: bool,
+    pub has_new_routes: bool,
 }
 
 /// An answer that did not arrive completely in time.
@@ -34,7 +34,7 @@
     /// What arrived of it, for the log.
     pub incomplete: IncompleteAnswer,
     /// The balancer to pull the rest from, and the pull; `None` if it is not asked again.
-    pub ask: Option<(SocketAddrV4, PeerMessage)>,
+    pub next_pull: Option<(SocketAddrV4, PeerMessage)>,
 }
 
 /// Pulls each kind of knowledge from one balancer at a time, and answers the pulls of others.
@@ -62,7 +62,7 @@
 
     /// Reports whether parts of an answer about backend servers have arrived recently.
     #[must_use]
-    pub fn is_being_told(&self, now: Instant) -> bool {
+    pub fn is_receiving_answer(&self, now: Instant) -> bool {
         self.backends.is_progressing(now)
     }
 
@@ -88,7 +88,7 @@
 
     /// Returns the pulls to send to the sender of a heartbeat. A pull is left out while an answer
     /// of its kind is awaited.
-    pub fn pulls(
+    pub fn pulls_for(
         &mut self,
         knowledge: &Knowledge,
         peer: SocketAddrV4,
@@ -107,14 +107,14 @@
     }
 
     /// Returns the pull to send to the sender of a heartbeat that knows the same changes as this
-    /// balancer but has a different set of living backend servers. `None` if that is not the case,
+    /// balancer but has a different set of live backend servers. `None` if that is not the case,
     /// while an answer is awaited, or soon after the last comparison.
     ///
     /// When balancers conclude by themselves that a backend server is gone, its end gets the
     /// revision that was read last, so two balancers may conclude different ends at one revision. A
     /// balancer that has read up to that revision pulls neither of them otherwise, and would count
-    /// the gone backend servers as living for good.
-    pub fn compare(
+    /// the gone backend servers as live for good.
+    pub fn compare_backends(
         &mut self,
         knowledge: &Knowledge,
         peer: SocketAddrV4,
@@ -123,11 +123,11 @@
     ) -> Option<PeerMessage> {
         let directory = &knowledge.directory;
         // Missing entries may return until their time is over.
-        let awaits_missing = directory.has_missing() && !directory.has_overdue(now);
+        let awaits_missing = directory.has_missing() && !directory.has_expired_missing(now);
         let knows_the_same = directory.is_complete()
             && !awaits_missing
             && heartbeat.complete_until == directory.complete_until();
-        if !knows_the_same || heartbeat.living == directory.living_digest() {
+        if !knows_the_same || heartbeat.live_digest == directory.live_digest() {
             return None;
         }
 
@@ -135,7 +135,7 @@
     }
 
     /// Returns the answers that did not arrive completely in time.
-    pub fn overdue(&mut self, knowledge: &Knowledge, now: Instant) -> Vec<OverdueAnswer> {
+    pub fn retry_overdue(&mut self, knowledge: &Knowledge, now: Instant) -> Vec<OverdueAnswer> {
         if self.routes.is_waiting() {
             self.renew_catalogue(knowledge);
         }
@@ -143,7 +143,7 @@
         let backends = self.backends.retry(knowledge, now);
 
         let overdue = routes.into_iter().chain(backends);
-        overdue.map(|(incomplete, ask)| OverdueAnswer { incomplete, ask }).collect()
+        overdue.map(|(incomplete, pull)| OverdueAnswer { incomplete, next_pull: pull }).collect()
     }
 
     /// Returns the latest complete configuration.
@@ -184,12 +184,12 @@
         match step {
             TransferStep::Wait => ExchangeStep::default(),
             TransferStep::Pull(peer, message) => {
-                ExchangeStep { ask: Some((peer, message)), has_routes: false }
+                ExchangeStep { next_pull: Some((peer, message)), has_new_routes: false }
             }
             TransferStep::Complete(catalogue) => {
                 self.routes.forget_until(catalogue.version());
                 self.catalogue = catalogue;
-                ExchangeStep { ask: None, has_routes: true }
+                ExchangeStep { next_pull: None, has_new_routes: true }
             }
         }
     }
@@ -207,13 +207,13 @@
     }
 
     /// Queues the pull of another balancer.
-    pub(in crate::steering) fn on_question(
+    pub(in crate::steering) fn on_pull(
         &mut self,
         peer: SocketAddrV4,
-        question: PeerPull,
+        pull: PeerPull,
         now: Instant,
     ) {
-        self.queue.push(peer, question, now);
+        self.queue.push(peer, pull, now);
     }
 
     /// Returns the next balancer to answer, and the answer; `None` while the link is busy or nobody
@@ -223,9 +223,9 @@
         knowledge: &Knowledge,
         now: Instant,
     ) -> Option<(SocketAddrV4, Vec<PeerMessage>)> {
-        let (peer, question) = self.queue.pop(now)?;
+        let (peer, pull) = self.queue.pop(now)?;
 
-        let messages = match question {
+        let messages = match pull {
             PeerPull::Routes(pull) => self.answer_routes(knowledge, pull),
             PeerPull::Chunks(pull) => self.answer_chunks(knowledge, &pull),
             PeerPull::Backends(pull) => answer_backends(knowledge, pull, now),
@@ -273,8 +273,8 @@
 /// report.
 fn answer_backends(knowledge: &Knowledge, pull: BackendsPull, now: Instant) -> Vec<PeerMessage> {
     let directory = &knowledge.directory;
-    let is_asked = pull.scope == WalkScope::Everything || directory.changed_at() > pull.after;
-    if !directory.is_complete() || !is_asked {
+    let is_requested = pull.scope == WalkScope::Everything || directory.changed_at() > pull.after;
+    if !directory.is_complete() || !is_requested {
         return Vec::new();
     }
 
--- a/crates/valvestage-policy/src/steering/peers/peer_message.rs
+++ b/crates/valvestage-policy/src/steering/peers/peer_message.rs
@@ -75,7 +75,7 @@
     /// Whether a receiver that knows more is to answer at once. An answer never sets this, so that
     /// two balancers that each know something the other does not know don't answer each other
     /// endlessly.
-    pub asks: bool,
+    pub wants_answer: bool,
     /// Version of its configuration.
     pub version: ConfigurationVersion,
     /// The sender knows every change of backend servers up to this position.
@@ -84,8 +84,8 @@
     pub changed_at: StorePosition,
     /// The store's position when it was first listed in its present era.
     pub era_head: StorePosition,
-    /// Digest of the backend servers that it counts as living.
-    pub living: LiveDigest,
+    /// Digest of the backend servers that it counts as live.
+    pub live_digest: LiveDigest,
     /// Time since the store confirmed this state to the sender or to the balancer that reported it,
     /// in milliseconds.
     pub age_ms: u32,
@@ -106,7 +106,7 @@
     pub demands: Option<Vec<ServiceDemand>>,
     /// Tokens of flows whose backend servers it does not know; a receiver that knows them answers
     /// with their entries.
-    pub wanted: Vec<ShortToken>,
+    pub unresolved_tokens: Vec<ShortToken>,
 }
 
 impl PeerHeartbeat {
@@ -115,7 +115,7 @@
     /// balancers from noticing that the store answers nobody any more.
     ///
     /// The age of the last outage stays as it is: to take an outage for a later one does no harm.
-    pub fn grow_older(&mut self, waited: Duration) {
+    pub fn add_age(&mut self, waited: Duration) {
         let waited_ms = u32::try_from(waited.as_millis()).unwrap_or(u32::MAX);
 
         self.age_ms = self.age_ms.saturating_add(waited_ms);
@@ -159,7 +159,7 @@
     /// Demand of its callers.
     pub demands: Vec<ServiceDemand>,
     /// Tokens of flows whose backend servers it does not know.
-    pub wanted: Vec<ShortToken>,
+    pub unresolved_tokens: Vec<ShortToken>,
 }
 
 /// What one balancer has observed of backend servers in trouble.
@@ -318,7 +318,7 @@
     pub after: StorePosition,
     /// With this part, all changes up to this position have been sent; `None` if no further ones
     /// follow.
-    pub told_until: Option<StorePosition>,
+    pub covers_until: Option<StorePosition>,
     /// The sender knows every change up to this position.
     pub complete_until: StorePosition,
     /// Names of services and availability zones, which the changes refer to by index.
@@ -333,7 +333,7 @@
     /// The name of its entry.
     pub name: BackendName,
     /// Digest that distinguishes the incarnations of that name.
-    pub birth: IncarnationDigest,
+    pub incarnation_digest: IncarnationDigest,
     /// The store's position at the change.
     pub position: StorePosition,
     /// The entry after the change.
@@ -354,7 +354,7 @@
     /// Remaining time of its slow start, in milliseconds; 0 if it is over.
     pub cold_for_ms: u32,
     /// Its phase.
-    pub standing: RecordedPhase,
+    pub phase: RecordedPhase,
 }
 
 /// [`crate::steering::BackendPhase`] without a time of the sender's clock.
--- a/crates/valvestage-policy/src/steering/peers/peer_table.rs
+++ b/crates/valvestage-policy/src/steering/peers/peer_table.rs
@@ -88,7 +88,7 @@
         };
 
         table.set_seeds(seeds);
-        table.unsettle(now);
+        table.mark_unsettled(now);
         table
     }
 
@@ -118,7 +118,7 @@
         // A balancer that has heard nobody for a while may have been forgotten by others, which
         // then take over its work.
         if !self.hears_anyone(now) {
-            self.unsettle(now);
+            self.mark_unsettled(now);
         }
         self.heard_at = Some(now);
         let is_new = !self.sightings.contains_key(&peer);
@@ -138,7 +138,7 @@
     /// Returns the entry of a balancer, which is added if it is new.
     fn sighting(&mut self, peer: SocketAddrV4, now: Instant) -> &mut PeerSighting {
         if !self.sightings.contains_key(&peer) && self.unsettled.is_some() {
-            self.unsettle(now);
+            self.mark_unsettled(now);
         }
 
         let fresh = PeerSighting { directly_heard_at: None, reported_at: now, zone: None };
@@ -147,7 +147,7 @@
 
     /// Records that others may not know this balancer, or it may not know them, until enough rounds
     /// have been completed.
-    pub fn unsettle(&mut self, now: Instant) {
+    pub fn mark_unsettled(&mut self, now: Instant) {
         // The present round may have passed them over already.
         let until_round = self.rounds + 1 + ROUNDS_TO_SETTLE;
 
@@ -180,7 +180,7 @@
     }
 
     /// Records that another balancer has reported one.
-    pub fn on_told(&mut self, peer: SocketAddrV4, now: Instant) {
+    pub fn on_reported(&mut self, peer: SocketAddrV4, now: Instant) {
         if peer == self.own || self.sightings.len() >= MAX_PEERS {
             return;
         }
@@ -214,7 +214,7 @@
     }
 
     /// Returns the next balancers in turn. Every balancer gets its turn before one gets a second.
-    pub fn choose(&mut self, count: usize, draw: &mut SeededDraw) -> Vec<SocketAddrV4> {
+    pub fn next_in_turn(&mut self, count: usize, draw: &mut SeededDraw) -> Vec<SocketAddrV4> {
         let mut chosen = Vec::with_capacity(count);
 
         while chosen.len() < count {
@@ -243,7 +243,7 @@
     }
 
     /// Returns some balancers that were heard recently, starting at an offset given by `draw`.
-    pub fn sample(&self, count: usize, draw: usize, now: Instant) -> Vec<SocketAddrV4> {
+    pub fn sample_recent(&self, count: usize, draw: usize, now: Instant) -> Vec<SocketAddrV4> {
         let recent = self.sightings.iter().filter(|(_, sighting)| sighting.is_recent(now));
         let recent: Vec<SocketAddrV4> = recent.map(|(peer, _)| *peer).collect();
 
--- a/crates/valvestage-policy/src/steering/peers/route_transfer.rs
+++ b/crates/valvestage-policy/src/steering/peers/route_transfer.rs
@@ -42,7 +42,7 @@
     awaited: Option<AwaitedAnswer>,
     /// The last chunk of the awaited answer: when it arrives, chunks before it that have not
     /// arrived are lost.
-    last_asked: Option<ChunkDigest>,
+    last_requested: Option<ChunkDigest>,
 }
 
 impl RouteTransfer {
@@ -57,14 +57,14 @@
         &mut self,
         own: &RouteCatalogue,
         peer: SocketAddrV4,
-        told_version: ConfigurationVersion,
+        announced_version: ConfigurationVersion,
         now: Instant,
     ) -> Option<PeerMessage> {
         if self.awaited.as_ref().is_some_and(|awaited| awaited.is_pending(peer, now)) {
             return None;
         }
 
-        let index = self.index.as_ref().filter(|index| index.version == told_version);
+        let index = self.index.as_ref().filter(|index| index.version == announced_version);
         let missing = index.map(|index| self.missing(own, index));
         Some(match missing {
             Some(digests) if !digests.is_empty() => self.pull_chunks(peer, digests, now),
@@ -107,8 +107,8 @@
         let parts = PartAssembly::add(&mut self.index_parts, sender, version, number, part);
         let Some(index) = parts.and_then(join_index) else { return TransferStep::Wait };
 
-        let wanted: HashSet<_> = index.digests.iter().collect();
-        self.chunks.retain(|digest, _| wanted.contains(digest));
+        let requested: HashSet<_> = index.digests.iter().collect();
+        self.chunks.retain(|digest, _| requested.contains(digest));
         self.index = Some(index);
         self.awaited = None;
         self.continue_fetch(own, sender, now)
@@ -123,15 +123,15 @@
         now: Instant,
     ) -> TransferStep {
         let digest = chunk.digest();
-        let is_wanted = self.index.as_ref().is_some_and(|index| index.digests.contains(&digest));
-        if !is_wanted || self.chunks.contains_key(&digest) {
+        let is_requested = self.index.as_ref().is_some_and(|index| index.digests.contains(&digest));
+        if !is_requested || self.chunks.contains_key(&digest) {
             return TransferStep::Wait;
         }
 
         self.chunks.insert(digest, Arc::new(chunk));
         let Some(awaited) = &mut self.awaited else { return self.continue_fetch(own, sender, now) };
         awaited.on_part(now);
-        let is_last = self.last_asked == Some(digest);
+        let is_last = self.last_requested == Some(digest);
         if is_last || awaited.is_complete() {
             self.continue_fetch(own, sender, now)
         } else {
@@ -180,7 +180,7 @@
     ) -> PeerMessage {
         let former = self.awaited.take();
         self.awaited = Some(AwaitedAnswer::new(peer, digests.len(), former.as_ref(), now));
-        self.last_asked = digests.last().copied();
+        self.last_requested = digests.last().copied();
 
         PeerMessage::ChunksPull(ChunksPull { digests })
     }
--- a/crates/valvestage-policy/src/steering/placement/backend_load.rs
+++ b/crates/valvestage-policy/src/steering/placement/backend_load.rs
@@ -10,7 +10,7 @@
     /// Flows with a request or an opening packet that is not answered yet.
     pub busy: u32,
     /// Idle flows whose caller may still send requests.
-    pub resting: u32,
+    pub idle: u32,
 }
 
 impl BackendLoad {
@@ -18,7 +18,7 @@
         if record.is_busy() {
             self.busy += 1;
         } else if !record.closing {
-            self.resting += 1;
+            self.idle += 1;
         }
     }
 
@@ -26,7 +26,7 @@
         if record.is_busy() {
             self.busy = self.busy.saturating_sub(1);
         } else if !record.closing {
-            self.resting = self.resting.saturating_sub(1);
+            self.idle = self.idle.saturating_sub(1);
         }
     }
 
@@ -40,6 +40,6 @@
     /// `idle_flow_load`.
     #[must_use]
     pub fn in_requests(&self, idle_flow_load: f64) -> f64 {
-        f64::from(self.busy) + f64::from(self.resting) * idle_flow_load
+        f64::from(self.busy) + f64::from(self.idle) * idle_flow_load
     }
 }
--- a/crates/valvestage-policy/src/steering/placement/cold_shares.rs
+++ b/crates/valvestage-policy/src/steering/placement/cold_shares.rs
@@ -80,7 +80,7 @@
 impl ColdShares {
     /// Returns the rate that limits a backend server at present; `None` if it has no such limit.
     #[must_use]
-    pub fn rate_of(
+    pub fn limit_for(
         limit: Option<ColdLimit>,
         knowledge: &Knowledge,
         entry: &BackendEntry,
@@ -107,7 +107,7 @@
         }
 
         for entry in knowledge.directory.iter().filter(|entry| entry.zone == *zone) {
-            if let Some(allowed) = Self::rate_of(limit, knowledge, entry, now) {
+            if let Some(allowed) = Self::limit_for(limit, knowledge, entry, now) {
                 let (rank, holders) = rank_in(members, entry.instance);
                 self.shares.insert(entry.instance, holder_share(allowed, rank, holders));
             }
--- a/crates/valvestage-policy/src/steering/placement/fleet_demand.rs
+++ b/crates/valvestage-policy/src/steering/placement/fleet_demand.rs
@@ -267,7 +267,7 @@
             let reached = zones.iter().filter(|(_, reports)| reports.is_reachable(now));
             let loads = reached.map(|(zone, reports)| ZoneLoad {
                 zone: (*zone).clone(),
-                is_far: options.far_zones.contains(*zone),
+                is_far: options.other_region_zones.contains(*zone),
                 demand: reports.demand(digest, f64::from(reports.heard) * balancers_per_heard),
                 slots: slots.get(zone).copied().unwrap_or_default(),
             });
@@ -312,7 +312,7 @@
         if excluded.backends >= backends.len() {
             continue;
         }
-        let counted = if knowledge.evacuated.holds(zone) {
+        let counted = if knowledge.evacuated.blocks_new_flows(zone) {
             0.0
         } else {
             // The slots of one service are far below 2^53, so the conversion is exact.
@@ -361,7 +361,8 @@
     health: &BackendHealth,
     now: Instant,
 ) -> f64 {
-    let started = backends.started().filter_map(|instance| knowledge.directory.get(instance));
+    let started =
+        backends.with_slow_start().filter_map(|instance| knowledge.directory.get(instance));
     let is_cold = |entry: &&BackendEntry| {
         entry.cold_until.is_some_and(|until| until > now)
             && entry.missing_until.is_none()
@@ -370,7 +371,7 @@
 
     let lost = started.filter(is_cold).map(|entry| {
         let slots = f64::from(entry.slots);
-        match ColdShares::rate_of(options.cold_limit, knowledge, entry, now) {
+        match ColdShares::limit_for(options.cold_limit, knowledge, entry, now) {
             Some(_) => slots,
             None => slots - slots / options.cold_factor,
         }
--- a/crates/valvestage-policy/src/steering/placement/flow_placer.rs
+++ b/crates/valvestage-policy/src/steering/placement/flow_placer.rs
@@ -50,7 +50,7 @@
         draw: u64,
     ) -> Result<FlowPlacement, ResetReason> {
         let excluded = ExclusionCounts::default();
-        let may_take = |entry: &&BackendEntry| !excluded.note(self.why_left_out(flow, entry));
+        let may_take = |entry: &&BackendEntry| !excluded.note(self.exclusion_reason(flow, entry));
         let median = self.backends.pace().median(service, self.now);
         // Uses other bits of the draw than the selection among equally loaded candidates.
         let drawn_zone = self.demand.drawn_zone(service, unit_of(mix(draw, 0)));
@@ -80,7 +80,7 @@
             pace: chosen.pace,
             doubt: chosen.doubt,
             candidates: candidates.len(),
-            left_out: excluded.total(),
+            excluded: excluded.total(),
             instead_of,
             version: self.knowledge.routes.version,
             age: self.knowledge.age(self.now),
@@ -118,7 +118,7 @@
 
     /// Returns why a backend server that is ready for new flows gets none for an address at
     /// present; `None` if it may get them.
-    pub(in crate::steering) fn why_left_out(
+    pub(in crate::steering) fn exclusion_reason(
         &self,
         flow: FlowAddresses,
         entry: &BackendEntry,
@@ -140,12 +140,12 @@
     fn is_evacuated(&self, zone: &ZoneName) -> bool {
         let is_last_resort = self.knowledge.is_isolated() && *zone == self.options.zone;
 
-        self.knowledge.evacuated.holds(zone) && !is_last_resort
+        self.knowledge.evacuated.blocks_new_flows(zone) && !is_last_resort
     }
 
     /// Reports whether requests to a backend server are limited because it has just started.
     fn is_limited(&self, entry: &BackendEntry) -> bool {
-        ColdShares::rate_of(self.options.cold_limit, self.knowledge, entry, self.now).is_some()
+        ColdShares::limit_for(self.options.cold_limit, self.knowledge, entry, self.now).is_some()
     }
 
     /// Keeps only the cold backend servers if there are any: while the others are short of slots,
@@ -171,7 +171,7 @@
         let pace = self.backends.pace().factor(entry.instance, median_pace, self.now);
         let factor = pace.max(cold_factor);
         let is_avoided = self.backends.outliers().is_avoided(entry.instance, self.now);
-        let avoidance = if is_avoided { self.options.avoidance } else { 0.0 };
+        let avoidance = if is_avoided { self.options.avoidance_penalty } else { 0.0 };
 
         ChoiceCandidate {
             entry,
@@ -188,7 +188,7 @@
     fn distance(&self, entry: &BackendEntry, home: &ZoneName) -> f64 {
         if entry.zone == *home {
             0.0
-        } else if self.options.far_zones.contains(&entry.zone) {
+        } else if self.options.other_region_zones.contains(&entry.zone) {
             self.options.region_preference
         } else {
             self.options.zone_preference
--- a/crates/valvestage-policy/src/steering/placement/steering_options.rs
+++ b/crates/valvestage-policy/src/steering/placement/steering_options.rs
@@ -14,7 +14,7 @@
     /// Availability zone of this VM.
     pub zone: ZoneName,
     /// Availability zones that are in other regions than this VM.
-    pub far_zones: BTreeSet<ZoneName>,
+    pub other_region_zones: BTreeSet<ZoneName>,
     /// Region of each availability zone, as far as known.
     pub zone_regions: BTreeMap<ZoneName, RegionName>,
     /// Limit on the requests that all balancers together send to a cold backend server whose
@@ -39,19 +39,19 @@
     /// backend server that fails more requests than they do. It is twice the preference for the own
     /// zone, since another zone is better than a failing backend server. If all are avoided, the
     /// penalty has no effect.
-    pub avoidance: f64,
+    pub avoidance_penalty: f64,
     /// Factor on the load of a backend server that is still slow after its start.
     pub cold_factor: f64,
     /// How long a backend server that is gone is remembered, so that the callers of its flows can
     /// be notified. Flows are forgotten after 60 s.
-    pub remember_gone: Duration,
+    pub gone_retention: Duration,
 }
 
 impl Default for SteeringOptions {
     fn default() -> Self {
         Self {
             zone: ZoneName::new(),
-            far_zones: BTreeSet::new(),
+            other_region_zones: BTreeSet::new(),
             zone_regions: BTreeMap::new(),
             cold_limit: None,
             entry_times: EntryTimes::default(),
@@ -59,9 +59,9 @@
             idle_flow_load: 0.05,
             zone_preference: 1.5,
             region_preference: 3.0,
-            avoidance: 3.0,
+            avoidance_penalty: 3.0,
             cold_factor: 1.6,
-            remember_gone: Duration::from_secs(60),
+            gone_retention: Duration::from_secs(60),
         }
     }
 }
--- a/crates/valvestage-policy/src/steering/store/evacuation_follower.rs
+++ b/crates/valvestage-policy/src/steering/store/evacuation_follower.rs
@@ -20,7 +20,7 @@
     /// The store's position at the change.
     pub position: StorePosition,
     /// Whether the evacuation is requested; `false` if the operator has withdrawn it.
-    pub is_asked: bool,
+    pub is_requested: bool,
 }
 
 /// Follows the operator's evacuations and assembles the set of evacuated availability zones.
@@ -102,9 +102,9 @@
     }
 
     fn add_listed(&mut self, objects: Vec<EvacuationUpdate>) {
-        let asked = objects.into_iter().filter(|change| change.is_asked);
+        let requested = objects.into_iter().filter(|change| change.is_requested);
 
-        self.listed.extend(asked.map(|change| change.zone));
+        self.listed.extend(requested.map(|change| change.zone));
     }
 }
 
@@ -117,7 +117,7 @@
 ) -> Option<EvacuationReport> {
     let mut zones = known.zones().clone();
     for change in changes.iter().filter(|change| change.position > known.as_of()) {
-        if change.is_asked {
+        if change.is_requested {
             zones.insert(change.zone.clone());
         } else {
             zones.remove(&change.zone);
--- a/crates/valvestage-policy/src/steering/store/store_link.rs
+++ b/crates/valvestage-policy/src/steering/store/store_link.rs
@@ -25,8 +25,9 @@
 /// answer.
 const ANSWER_TTL: Duration = Duration::from_millis(2_500);
 
-/// Delay after the end of a contest at which watches that have to confirm it end. Waits are sent in
-/// whole milliseconds, so a watch that ends exactly at that time could end too early.
+/// Delay after the time at which conflicts can be resolved until the watches end whose answers have
+/// to confirm the knowledge first. Waits are sent in whole milliseconds, so a watch that ends
+/// exactly at that time could end too early.
 const CONFLICT_RESOLUTION_DELAY: Duration = Duration::from_millis(20);
 
 /// Period after the start in which a balancer leaves watches to others: two rounds of heartbeats to
@@ -128,7 +129,7 @@
     /// Returns the value of [`Self::answered_at`] while the store answers; `None` while it does
     /// not.
     #[must_use]
-    pub fn answering_since(&self, now: Instant) -> Option<Instant> {
+    pub fn recent_answer_at(&self, now: Instant) -> Option<Instant> {
         let is_recent = |at: &Instant| now.saturating_duration_since(*at) <= ANSWER_TTL;
 
         self.answered_at().filter(is_recent).filter(|_| !self.is_failing())
@@ -173,13 +174,13 @@
     /// Failures before that are no reason to give up the present attempt: a call with a long answer
     /// has to be waited for.
     #[must_use]
-    pub fn is_try_failing(&self) -> bool {
+    pub fn is_attempt_failing(&self) -> bool {
         self.has_failed_since_begin && self.is_failing()
     }
 
     /// Prepares for following the store. If nobody has followed it for a while, an outage is
     /// assumed.
-    pub fn begin(&mut self, knowledge: &Knowledge, now: Instant) {
+    pub fn prepare_to_follow(&mut self, knowledge: &Knowledge, now: Instant) {
         self.has_failed_since_begin = false;
         let shortest_lapse = knowledge.entry_times().shortest_lapse();
         let is_old = |at: Instant| now.saturating_duration_since(at) >= shortest_lapse;
@@ -206,33 +207,33 @@
     pub fn calls(
         &mut self,
         knowledge: &Knowledge,
-        is_staying: bool,
+        keeps_watching: bool,
         packets_wait: bool,
         now: Instant,
     ) -> Vec<(StoreKind, StoreCall)> {
         let known_until = knowledge.directory.complete_until();
         // A watch may report a returned entry late; a list shows it at once.
-        if knowledge.directory.has_overdue(now) {
+        if knowledge.directory.has_expired_missing(now) {
             self.backends.relist();
         }
         let held_until = self.started_at + STARTUP_PERIOD;
-        if is_staying && packets_wait {
+        if keeps_watching && packets_wait {
             self.backends.release_watch(held_until);
         } else if self.is_starting_up(now) {
             self.routes.delay_watch(held_until);
             self.backends.delay_watch(held_until);
         }
-        let contests_end =
-            knowledge.directory.contests_end_at().map(|at| at + CONFLICT_RESOLUTION_DELAY);
-        self.routes.end_watches_at(contests_end);
-        self.backends.end_watches_at(contests_end);
+        let conflicts_end =
+            knowledge.directory.conflicts_resolve_at().map(|at| at + CONFLICT_RESOLUTION_DELAY);
+        self.routes.end_watches_at(conflicts_end);
+        self.backends.end_watches_at(conflicts_end);
         let routes = self.routes.next_call(StorePosition::START, now);
         let backends = self.backends.next_call(known_until, now);
         if matches!(backends, Some(StoreCall::List { after: None, .. })) {
             self.list_began_at = Some(now);
         }
 
-        let evacuations = self.next_evacuations(knowledge, is_staying, now);
+        let evacuations = self.next_evacuations(knowledge, keeps_watching, now);
 
         let routes = routes.map(|call| (StoreKind::Configuration, call));
         let backends = backends.map(|call| (StoreKind::Backends, call));
@@ -245,14 +246,14 @@
     fn next_evacuations(
         &mut self,
         knowledge: &Knowledge,
-        is_staying: bool,
+        keeps_watching: bool,
         now: Instant,
     ) -> Option<StoreCall> {
         let is_next = if self.routes.is_failing() || self.backends.is_failing() {
             // Skips the evacuation call while other calls to the store fail.
             false
         } else if knowledge.evacuated.is_known() {
-            is_staying && !self.is_starting_up(now)
+            keeps_watching && !self.is_starting_up(now)
         } else {
             // Also while there is no configuration: otherwise all balancers would keep trying to
             // read the evacuations.
@@ -312,7 +313,7 @@
     ) -> Vec<InstanceId> {
         self.note_reply(&reply, now);
         if let StoreReply::Page { position, .. } = &reply {
-            knowledge.directory.note_listed(*position, now);
+            knowledge.directory.record_list_position(*position, now);
         }
         let FollowerUpdate { objects, completes } = self.backends.on_reply(reply, now);
         let begins = matches!(
@@ -327,8 +328,8 @@
         for update in objects {
             let name = update.name;
             changed.extend(self.apply_backend_update(knowledge, update, now));
-            self.listed.extend(knowledge.directory.living(name));
-            self.listed.extend(knowledge.directory.contested_births(name));
+            self.listed.extend(knowledge.directory.live_of(name));
+            self.listed.extend(knowledge.directory.conflicting_incarnations(name));
         }
         changed.extend(self.apply_completeness(knowledge, completes, now));
         changed
@@ -344,36 +345,37 @@
     ) -> Vec<InstanceId> {
         let directory = &mut knowledge.directory;
         let BackendUpdate { name, position, change } = update;
-        let mut living = directory.living(name);
-        let contested = match &change {
+        let mut live = directory.live_of(name);
+        let conflicting = match &change {
             EntryChange::Deleted => {
-                directory.end_contested(|entry| entry.name == name, position, now)
+                directory.drop_removed_conflicts(|entry| entry.name == name, position, now)
             }
             _ => Vec::new(),
         };
 
         match (change, self.missing_until(now)) {
-            (EntryChange::Written(entry), _) => return directory.admit(entry, now),
+            (EntryChange::Written(entry), _) => return directory.apply_entry(entry, now),
             (EntryChange::Unusable, _) => {
                 // If the entry had lapsed, it exists again: it may have been usable meanwhile, and
                 // others may have seen that.
-                let births = if living.is_empty() { directory.births(name) } else { living };
-                living = births;
-                living.retain(|instance| directory.mark_unusable(*instance, position));
+                let incarnations =
+                    if live.is_empty() { directory.incarnations(name) } else { live };
+                live = incarnations;
+                live.retain(|instance| directory.mark_unusable(*instance, position));
             }
             (EntryChange::Deleted, Some(until)) => {
-                living.retain(|instance| directory.mark_missing(*instance, until));
-                living.extend(directory.end_superseded(name, position, now));
-                living.extend(contested);
+                live.retain(|instance| directory.mark_missing(*instance, until));
+                live.extend(directory.mark_superseded_gone(name, position, now));
+                live.extend(conflicting);
             }
             (EntryChange::Deleted, None) => {
-                let mut births = directory.births(name);
-                births.retain(|instance| directory.mark_gone(*instance, position, now));
-                births.extend(contested);
-                return births;
+                let mut incarnations = directory.incarnations(name);
+                incarnations.retain(|instance| directory.mark_gone(*instance, position, now));
+                incarnations.extend(conflicting);
+                return incarnations;
             }
         }
-        living
+        live
     }
 
     /// Applies what is completely known after a reply. Returns the backend servers that it shows to
--- a/crates/valvestage-policy/src/steering/store/watch_role.rs
+++ b/crates/valvestage-policy/src/steering/store/watch_role.rs
@@ -97,9 +97,9 @@
     /// if it reads no such list.
     pub page_time: Option<Duration>,
     /// Whether a peer with complete knowledge has been heard and can be asked.
-    pub hears_complete: bool,
+    pub has_complete_peer: bool,
     /// Whether a peer is currently sending its knowledge to this balancer.
-    pub is_being_told: bool,
+    pub is_receiving_answer: bool,
     /// Number of peers that were heard recently.
     pub recent_peers: u32,
     /// A random number between 0 and 1.
@@ -203,13 +203,13 @@
     /// Reports whether this balancer will keep following the store, as far as it knows the other
     /// followers.
     #[must_use]
-    pub fn is_staying(&self, has_zones: bool) -> bool {
+    pub fn keeps_watching(&self, has_zones: bool) -> bool {
         self.watching && self.is_chosen(has_zones)
     }
 
     /// Returns the number of other balancers that are known to follow the store or to try to.
     #[must_use]
-    pub fn others(&self) -> usize {
+    pub fn other_follower_count(&self) -> usize {
         self.sightings.len()
     }
 
@@ -290,62 +290,63 @@
     }
 
     /// Updates the decision whether this balancer follows the store.
-    pub fn step(&mut self, state: RoleInputs, now: Instant) {
+    pub fn step(&mut self, inputs: RoleInputs, now: Instant) {
         self.sightings.retain(|_, sighting| sighting.is_alive(now));
-        if state.is_answering {
+        if inputs.is_answering {
             self.attempt_until = None;
         }
 
-        if state.is_complete && self.has_enough(state) {
+        if inputs.is_complete && self.has_enough(inputs) {
             self.begin_at = None;
             // A follower without a working connection to the store steps down regardless of its
             // address.
-            self.watching &= state.is_answering && self.is_chosen(state.has_zones);
+            self.watching &= inputs.is_answering && self.is_chosen(inputs.has_zones);
         } else if self.watching {
-            self.retry_or_yield(state, now);
+            self.retry_or_yield(inputs, now);
         } else {
-            self.consider_following(state, now);
+            self.consider_following(inputs, now);
         }
     }
 
     /// Stops following the store if others provide what is missing, or once the attempt deadline
     /// has passed, so that another balancer can try.
-    fn retry_or_yield(&mut self, state: RoleInputs, now: Instant) {
-        if !state.is_complete && (state.is_being_told || self.is_outranked(state)) {
+    fn retry_or_yield(&mut self, inputs: RoleInputs, now: Instant) {
+        if !inputs.is_complete && (inputs.is_receiving_answer || self.is_outranked(inputs)) {
             self.watching = false;
             return;
         }
-        if state.is_answering {
+        if inputs.is_answering {
             return;
         }
 
         let longest =
-            now + if state.is_failing { ATTEMPT_TIMEOUT_AFTER_FAILURE } else { ATTEMPT_TIMEOUT };
+            now + if inputs.is_failing { ATTEMPT_TIMEOUT_AFTER_FAILURE } else { ATTEMPT_TIMEOUT };
         let try_until = self.attempt_until.map_or(longest, |until| until.min(longest));
         self.attempt_until = Some(try_until);
         if try_until <= now {
             self.watching = false;
             self.attempt_until = None;
-            self.backoff_until = Some(now + backoff_for(state.recent_peers));
+            self.backoff_until = Some(now + backoff_for(inputs.recent_peers));
         }
     }
 
     /// Begins to follow the store after the pause, unless enough others are trying or this balancer
     /// backs off.
-    fn consider_following(&mut self, state: RoleInputs, now: Instant) {
-        let wanted =
-            if state.is_complete { MAX_CONCURRENT_ATTEMPTS } else { MAX_CONCURRENT_READERS };
+    fn consider_following(&mut self, inputs: RoleInputs, now: Instant) {
+        let limit =
+            if inputs.is_complete { MAX_CONCURRENT_ATTEMPTS } else { MAX_CONCURRENT_READERS };
         let trying = self.sightings.values().filter(|sighting| !sighting.is_answered).count();
         // Without any state in the cluster, backing off would only delay the first read.
-        let has_alternative = state.is_complete || trying > 0;
-        let rests = has_alternative && self.backoff_until.is_some_and(|until| until > now);
-        let is_served = !state.is_complete && (state.is_being_told || self.is_outranked(state));
-        if trying >= wanted || rests || is_served {
+        let has_alternative = inputs.is_complete || trying > 0;
+        let is_backing_off = has_alternative && self.backoff_until.is_some_and(|until| until > now);
+        let is_served =
+            !inputs.is_complete && (inputs.is_receiving_answer || self.is_outranked(inputs));
+        if trying >= limit || is_backing_off || is_served {
             self.begin_at = None;
             return;
         }
 
-        let jitter = MAX_JITTER.mul_f64(state.draw);
+        let jitter = MAX_JITTER.mul_f64(inputs.draw);
         let begin_at = *self.begin_at.get_or_insert(now + jitter);
         if begin_at <= now {
             self.begin_at = None;
@@ -356,26 +357,26 @@
     /// Reports whether enough balancers with a better rank are reading what no balancer knows yet.
     /// A long list takes longer to read than any pause before the next balancers begin, and all
     /// that read it share the store's link.
-    fn is_outranked(&self, state: RoleInputs) -> bool {
-        let own = reader_rank(state.page_time.map(whole_millis), self.own);
+    fn is_outranked(&self, inputs: RoleInputs) -> bool {
+        let own = reader_rank(inputs.page_time.map(whole_millis), self.own);
         let is_before = |(peer, sighting): &(&SocketAddrV4, &Sighting)| {
             sighting.page_ms.is_some() && reader_rank(sighting.page_ms, **peer) < own
         };
         let before = self.sightings.iter().filter(is_before).count();
 
-        !state.hears_complete && before >= MAX_CONCURRENT_READERS
+        !inputs.has_complete_peer && before >= MAX_CONCURRENT_READERS
     }
 
     /// Reports whether the store answers enough other balancers: two, in different availability
     /// zones where there is more than one.
-    fn has_enough(&self, state: RoleInputs) -> bool {
+    fn has_enough(&self, inputs: RoleInputs) -> bool {
         let answered = self.answered();
         let mut zones: Vec<&ZoneName> = answered.iter().map(|(_, zone)| *zone).collect();
         zones.sort_unstable();
         zones.dedup();
 
-        let wanted_zones = if state.has_zones { REQUIRED_WATCHERS } else { 1 };
-        answered.len() >= REQUIRED_WATCHERS && zones.len() >= wanted_zones
+        let required_zones = if inputs.has_zones { REQUIRED_WATCHERS } else { 1 };
+        answered.len() >= REQUIRED_WATCHERS && zones.len() >= required_zones
     }
 
     /// Returns the other balancers that the store answers, ordered by address.
--- a/crates/valvestage-policy/tests/control.rs
+++ b/crates/valvestage-policy/tests/control.rs
@@ -27,7 +27,7 @@
         peer_address: address,
         started_ms: 1,
         revision: 0,
-        beat: 0,
+        heartbeat_count: 0,
         state: PeerState::Joining,
         lease_epoch: 0,
         configuration: 0,
--- a/crates/valvestage-policy/tests/fault_matrix/node.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/node.rs
@@ -66,7 +66,7 @@
         peer_address: node_address(id),
         started_ms: to_unix_millis(now),
         revision: 0,
-        beat: 0,
+        heartbeat_count: 0,
         state: PeerState::Joining,
         lease_epoch: 0,
         configuration: 0,
--- a/crates/valvestage-policy/tests/fault_matrix/scenario.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/scenario.rs
@@ -332,7 +332,7 @@
         let Some(shown) = self.platform.watch() else {
             return;
         };
-        node.control.on_platform_heard(now);
+        node.control.record_platform_contact(now);
         let mut actions = Vec::new();
         for (key, version, value) in shown {
             let _ = node.control.on_object(key, version, value, &mut actions);
--- a/crates/valvestage-policy/tests/fault_matrix/world.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/world.rs
@@ -586,9 +586,9 @@
             return;
         }
 
-        node.control.give_lease_back();
+        node.control.release_lease();
         let noticed = node.stop_began.is_some_and(|began| now >= began + crate::node::DEAD_AFTER);
-        if noticed && node.policy.open_work() == 0 && node.control.is_lease_given_back() {
+        if noticed && node.policy.open_work() == 0 && node.control.is_lease_released() {
             node.life = Life::Dead;
             self.tell(format!("balancer {id} has stopped as planned"));
         }
@@ -614,7 +614,7 @@
         let key = keys.hasher().key(caller, service);
         let packet = FlowPacket { key, service, opening, closing: false, token, hop };
         match node.policy.on_flow(now, &packet) {
-            FlowVerdict::Forward { backend, tell_binding, .. } => {
+            FlowVerdict::Forward { backend, reply_with_binding, .. } => {
                 let unchecked = self.switch == Switch::ServiceCheck;
                 let history = node.policy.director().history();
                 let found = if unchecked {
@@ -630,7 +630,7 @@
                     self.reach(Step::FlowOpening, id, Some(record.address));
                 }
                 self.send_flow_to_vm(id, flow, opening, record);
-                if let Some(home) = home.filter(|home| tell_binding && *home != id) {
+                if let Some(home) = home.filter(|home| reply_with_binding && *home != id) {
                     self.send_to_node(id, home, NodeEvent::Binding(Binding { key, backend }));
                 }
             }
--- a/crates/valvestage-policy/tests/simulation/store.rs
+++ b/crates/valvestage-policy/tests/simulation/store.rs
@@ -148,16 +148,16 @@
     }
 
     /// The operator evacuates a zone, or takes it back.
-    pub fn evacuate(&mut self, zone: &str, is_asked: bool) {
+    pub fn evacuate(&mut self, zone: &str, is_requested: bool) {
         self.revision += 1;
-        if is_asked {
+        if is_requested {
             self.evacuated.insert(zone.to_owned());
         } else {
             self.evacuated.remove(zone);
         }
         let (zone, position) = (zone.to_owned(), self.position());
         if !self.hides_evacuations {
-            self.evacuation_changes.push(EvacuationUpdate { zone, position, is_asked });
+            self.evacuation_changes.push(EvacuationUpdate { zone, position, is_requested });
         }
     }
 
@@ -220,7 +220,7 @@
         self.routes = routes.map(|(_, routes)| routes.clone()).unwrap_or_default();
         self.evacuated.clear();
         for news in &self.evacuation_changes {
-            if news.is_asked {
+            if news.is_requested {
                 self.evacuated.insert(news.zone.clone());
             } else {
                 self.evacuated.remove(&news.zone);
@@ -340,7 +340,8 @@
             }
             (StoreKind::Evacuations, None) => {
                 let shown = self.evacuated.iter().filter(|_| !self.hides_evacuations).cloned();
-                let objects = shown.map(|zone| EvacuationUpdate { zone, position, is_asked: true });
+                let objects =
+                    shown.map(|zone| EvacuationUpdate { zone, position, is_requested: true });
                 let objects = objects.collect();
                 StoreAnswer::Evacuations(StoreReply::Page { objects, next_after: None, position })
             }
--- a/crates/valvestage-policy/tests/simulation/world/flows.rs
+++ b/crates/valvestage-policy/tests/simulation/world/flows.rs
@@ -87,7 +87,7 @@
             }
             PacketVerdict::Reset(_) if packet.opening => self.refuse_opening(balancer, flow),
             PacketVerdict::Reset(_) => self.reset_flow(balancer, packet.flow),
-            PacketVerdict::Drop(reason) if reason.may_pass() => {
+            PacketVerdict::Drop(reason) if reason.is_transient() => {
                 let copies = self.copies_with(balancer, flow, &packet);
                 if !self.balancers[balancer].held.hold(packet, copies, now) {
                     self.note_drop(balancer, flow);
--- a/crates/valvestage-policy/tests/steering/backend_health.rs
+++ b/crates/valvestage-policy/tests/steering/backend_health.rs
@@ -107,11 +107,11 @@
     for port in 1..=2 {
         health.observe(SERVER, flow(port), LivenessSignal::Unanswered(now), now + millis(200));
     }
-    assert!(!health.is_given_up(SERVER, now + millis(201)));
+    assert!(!health.is_considered_dead(SERVER, now + millis(201)));
     health.observe(SERVER, flow(3), LivenessSignal::Unanswered(now), now + millis(202));
-    assert!(health.is_given_up(SERVER, now + millis(203)));
+    assert!(health.is_considered_dead(SERVER, now + millis(203)));
     health.observe(SERVER, flow(4), ALIVE, now + millis(204));
-    assert!(!health.is_given_up(SERVER, now + millis(205)));
+    assert!(!health.is_considered_dead(SERVER, now + millis(205)));
 }
 
 #[test]
@@ -120,11 +120,11 @@
 
     health.on_peer_suspicion(SERVER, now + millis(190));
     assert!(
-        !health.is_given_up(SERVER, now + millis(191)),
+        !health.is_considered_dead(SERVER, now + millis(191)),
         "a report of another balancer alone ends no flow"
     );
     health.observe(SERVER, flow(1), LivenessSignal::Unanswered(now), now + millis(200));
-    assert!(health.is_given_up(SERVER, now + millis(211)));
+    assert!(health.is_considered_dead(SERVER, now + millis(211)));
 }
 
 #[test]
--- a/crates/valvestage-policy/tests/steering/backend_restarts.rs
+++ b/crates/valvestage-policy/tests/steering/backend_restarts.rs
@@ -47,11 +47,11 @@
 fn a_new_incarnation_ends_the_one_before_it() {
     let mut directory = directory();
 
-    let changed = directory.admit(incarnation(SECOND, 1_100), start());
+    let changed = directory.apply_entry(incarnation(SECOND, 1_100), start());
     assert_eq!(changed, [FIRST, SECOND]);
     assert_superseded(&directory, FIRST);
     assert_eq!(directory.take_newly_gone(), [FIRST]);
-    assert_eq!(directory.living(name_of(NAME)), [SECOND]);
+    assert_eq!(directory.live_of(name_of(NAME)), [SECOND]);
 }
 
 #[test]
@@ -63,7 +63,7 @@
         ..incarnation(SECOND, 1_100)
     };
 
-    directory.admit(elsewhere, start());
+    directory.apply_entry(elsewhere, start());
     assert_superseded(&directory, FIRST);
 }
 
@@ -71,9 +71,9 @@
 fn a_draining_backend_server_that_restarts_is_ready() {
     let mut directory = directory();
     let draining = BackendEntry { phase: BackendPhase::Draining, ..incarnation(FIRST, 1_050) };
-    directory.admit(draining, start());
+    directory.apply_entry(draining, start());
 
-    directory.admit(incarnation(SECOND, 1_100), start());
+    directory.apply_entry(incarnation(SECOND, 1_100), start());
     assert_eq!(directory.get(SECOND).unwrap().phase, BackendPhase::Ready);
     assert!(directory.get(FIRST).unwrap().is_gone());
 }
@@ -81,21 +81,21 @@
 #[test]
 fn an_older_incarnation_does_not_return_by_a_late_report() {
     let mut directory = directory();
-    directory.admit(incarnation(SECOND, 1_100), start());
+    directory.apply_entry(incarnation(SECOND, 1_100), start());
 
-    assert!(directory.admit(incarnation(FIRST, 900), start()).is_empty());
-    assert!(directory.admit_told(incarnation(FIRST, 1_090), start()).is_empty());
-    assert_eq!(directory.living(name_of(NAME)), [SECOND]);
+    assert!(directory.apply_entry(incarnation(FIRST, 900), start()).is_empty());
+    assert!(directory.apply_peer_entry(incarnation(FIRST, 1_090), start()).is_empty());
+    assert_eq!(directory.live_of(name_of(NAME)), [SECOND]);
 }
 
 #[test]
 fn an_older_incarnation_does_not_return_by_its_own_late_write() {
     let mut directory = directory();
-    directory.admit(incarnation(SECOND, 1_100), start());
+    directory.apply_entry(incarnation(SECOND, 1_100), start());
 
-    assert!(directory.admit(incarnation(FIRST, 1_200), start()).is_empty());
-    assert_eq!(directory.living(name_of(NAME)), [SECOND]);
-    directory.admit(incarnation(SECOND, 1_300), start());
+    assert!(directory.apply_entry(incarnation(FIRST, 1_200), start()).is_empty());
+    assert_eq!(directory.live_of(name_of(NAME)), [SECOND]);
+    directory.apply_entry(incarnation(SECOND, 1_300), start());
     assert_eq!(directory.get(SECOND).unwrap().phase, BackendPhase::Ready);
 }
 
@@ -103,9 +103,9 @@
 fn incarnations_learned_in_any_order_leave_the_last_one() {
     let mut directory = BackendDirectory::default();
 
-    directory.admit(incarnation(SECOND, 1_100), start());
-    directory.admit(incarnation(FIRST, 500), start());
-    assert_eq!(directory.living(name_of(NAME)), [SECOND]);
+    directory.apply_entry(incarnation(SECOND, 1_100), start());
+    directory.apply_entry(incarnation(FIRST, 500), start());
+    assert_eq!(directory.live_of(name_of(NAME)), [SECOND]);
     assert_superseded(&directory, FIRST);
 }
 
@@ -114,7 +114,7 @@
 fn peers_exchange_incarnations_and_names() {
     let now = start();
     let mut sender = directory();
-    sender.admit(incarnation(SECOND, 1_100), now);
+    sender.apply_entry(incarnation(SECOND, 1_100), now);
     sender.complete(at(1_100));
 
     let mut receiver = BackendDirectory::default();
@@ -122,12 +122,12 @@
     for message in backends_messages(&sender, pull, now) {
         let PeerMessage::Backends(part) = message else { panic!("not a part of backends") };
         for entry in entries_of(part, now) {
-            receiver.admit_told(entry, now);
+            receiver.apply_peer_entry(entry, now);
         }
     }
-    assert_eq!(receiver.living(name_of(NAME)), [SECOND]);
-    assert!(receiver.admit(incarnation(FIRST, 1_200), now).is_empty());
-    assert_eq!(receiver.living(name_of(NAME)), [SECOND]);
+    assert_eq!(receiver.live_of(name_of(NAME)), [SECOND]);
+    assert!(receiver.apply_entry(incarnation(FIRST, 1_200), now).is_empty());
+    assert_eq!(receiver.live_of(name_of(NAME)), [SECOND]);
 }
 
 struct Site {
@@ -171,8 +171,8 @@
         site.now += START_KNOWN_AFTER / 6;
         site.known.confirm(Some(site.now));
     }
-    site.known.directory.admit(incarnation(SECOND, 1_100), site.now);
-    site.policy.end_flows(&mut site.known, site.now);
+    site.known.directory.apply_entry(incarnation(SECOND, 1_100), site.now);
+    site.policy.reset_ended_flows(&mut site.known, site.now);
     let reset_flows: Vec<_> = site.policy.take_resets().iter().map(|reset| reset.flow).collect();
     assert_eq!(reset_flows, [flow(1)]);
 }
@@ -184,8 +184,8 @@
     let mut site = Site::with_open_flow();
 
     site.now += millis(500);
-    site.known.directory.admit(incarnation(SECOND, 1_100), site.now);
-    site.policy.end_flows(&mut site.known, site.now);
+    site.known.directory.apply_entry(incarnation(SECOND, 1_100), site.now);
+    site.policy.reset_ended_flows(&mut site.known, site.now);
     assert!(site.policy.take_resets().is_empty());
     let verdict = site.request(1);
     assert!(matches!(verdict, PacketVerdict::Forward { instance: SECOND, .. }), "{verdict:?}");
@@ -196,7 +196,7 @@
 fn the_token_of_an_ended_incarnation_leads_to_its_successor() {
     let mut site = Site::with_open_flow();
 
-    site.known.directory.admit(incarnation(SECOND, 1_100), site.now);
+    site.known.directory.apply_entry(incarnation(SECOND, 1_100), site.now);
     let verdict = site.request(2);
     assert!(
         matches!(verdict, PacketVerdict::Forward { instance: SECOND, number: NAME, .. }),
@@ -220,7 +220,7 @@
     let mut site = Site::with_open_flow();
     let second = BackendEntry { service: "photos".to_owned(), ..incarnation(SECOND, 1_100) };
 
-    site.known.directory.admit(second, site.now);
+    site.known.directory.apply_entry(second, site.now);
     assert_eq!(site.request(2), PacketVerdict::Reset(ResetReason::BackendGone));
 }
 
@@ -228,7 +228,7 @@
 fn packets_carry_the_number_in_the_name() {
     let mut site = Site::with_open_flow();
 
-    site.known.directory.admit(incarnation(SECOND, 1_100), site.now);
+    site.known.directory.apply_entry(incarnation(SECOND, 1_100), site.now);
     let verdict = site.policy.on_packet(&site.known, &opening(flow(3), 0), site.now);
     assert!(
         matches!(verdict, PacketVerdict::Forward { instance: SECOND, number: NAME, .. }),
@@ -250,7 +250,7 @@
     }
     assert_eq!(site.policy.suspects(site.now), [FIRST]);
 
-    site.known.directory.admit(incarnation(SECOND, 1_100), site.now);
+    site.known.directory.apply_entry(incarnation(SECOND, 1_100), site.now);
     assert!(!site.policy.suspects(site.now).contains(&SECOND));
     let verdict = site.policy.on_packet(&site.known, &opening(flow(20), 0), site.now);
     assert!(matches!(verdict, PacketVerdict::Forward { instance: SECOND, .. }), "{verdict:?}");
@@ -263,7 +263,7 @@
     other.name = BackendName { digest: 1, ..other.name };
     other.address = backend(9, "core", OWN_ZONE).address;
 
-    directory.admit(other, start());
+    directory.apply_entry(other, start());
     assert_eq!(directory.get(FIRST).unwrap().phase, BackendPhase::Ready);
     assert_eq!(directory.get(SECOND).unwrap().phase, BackendPhase::Ready);
 }
@@ -280,7 +280,7 @@
     let mut other = of_unknown_service(1_100);
     other.name = BackendName { digest: 1, ..other.name };
 
-    site.known.directory.admit(other, site.now);
+    site.known.directory.apply_entry(other, site.now);
     assert!(matches!(site.request(1), PacketVerdict::Forward { instance: FIRST, .. }));
     assert_eq!(site.known.directory.get(FIRST).unwrap().phase, BackendPhase::Ready);
 }
@@ -289,12 +289,12 @@
 fn an_entry_of_an_unknown_service_ends_no_flow_under_its_name_but_stops_new_ones() {
     let mut site = Site::with_open_flow();
 
-    site.known.directory.admit(of_unknown_service(1_100), site.now);
+    site.known.directory.apply_entry(of_unknown_service(1_100), site.now);
     assert!(matches!(site.request(1), PacketVerdict::Forward { instance: FIRST, .. }));
     let verdict = site.policy.on_packet(&site.known, &opening(flow(5), 0), site.now);
     assert_eq!(verdict, PacketVerdict::Reset(ResetReason::NoBackend));
 
-    site.known.directory.admit(incarnation(FIRST, 1_200), site.now);
+    site.known.directory.apply_entry(incarnation(FIRST, 1_200), site.now);
     let verdict = site.policy.on_packet(&site.known, &opening(flow(6), 0), site.now);
     assert!(matches!(verdict, PacketVerdict::Forward { instance: FIRST, .. }), "{verdict:?}");
 }
@@ -318,9 +318,9 @@
     directory.mark_gone(FIRST, at(1_050), start());
     directory.mark_unusable(FIRST, at(1_200));
 
-    directory.admit(incarnation(SECOND, 1_100), start());
+    directory.apply_entry(incarnation(SECOND, 1_100), start());
     assert_superseded(&directory, FIRST);
-    assert_eq!(directory.living(name_of(NAME)), [SECOND]);
+    assert_eq!(directory.live_of(name_of(NAME)), [SECOND]);
 }
 
 #[test]
@@ -328,8 +328,8 @@
     let mut directory = directory();
     directory.mark_unusable(FIRST, at(1_200));
 
-    directory.admit(incarnation(SECOND, 400), start());
-    assert_eq!(directory.living(name_of(NAME)), [FIRST]);
+    directory.apply_entry(incarnation(SECOND, 400), start());
+    assert_eq!(directory.live_of(name_of(NAME)), [FIRST]);
 }
 
 /// The store was read while the entry was unusable, and a peer reports the incarnation that it
@@ -342,7 +342,7 @@
     let peer_entry = BackendEntry { phase: BackendPhase::Unusable, ..incarnation(SECOND, 1_200) };
 
     assert!(!directory.is_obsolete(&peer_entry, start()));
-    directory.admit_told(peer_entry, start());
-    assert_eq!(directory.living(name_of(NAME)), [SECOND]);
+    directory.apply_peer_entry(peer_entry, start());
+    assert_eq!(directory.live_of(name_of(NAME)), [SECOND]);
     assert!(directory.is_obsolete(&incarnation(SECOND + (1 << 40), 450), start()));
 }
--- a/crates/valvestage-policy/tests/steering/cold_backends.rs
+++ b/crates/valvestage-policy/tests/steering/cold_backends.rs
@@ -108,7 +108,7 @@
 
     fn tick(&mut self) {
         for (policy, members) in self.policies.iter_mut().zip(&self.members) {
-            policy.look_at_members(&self.known, members, self.now);
+            policy.update_cold_shares(&self.known, members, self.now);
         }
     }
 
@@ -249,7 +249,7 @@
     rates(&mut known, 50.0);
     let mut policy = policy(1);
 
-    policy.look_at_members(&known, &view(0, 3), now);
+    policy.update_cold_shares(&known, &view(0, 3), now);
     let verdict = policy.on_packet(&known, &opening(flow(1), 0), now);
     assert_eq!(verdict, PacketVerdict::Reset(ResetReason::BackendsCold));
 }
@@ -260,7 +260,7 @@
     let known = knowledge(&[cold(1, OTHER_ZONE, now)]);
     let mut policy = policy(1);
 
-    policy.look_at_members(&known, &view(0, 3), now);
+    policy.update_cold_shares(&known, &view(0, 3), now);
     for port in 1..30 {
         let verdict = policy.on_packet(&known, &opening(flow(port), 0), now);
         assert!(matches!(verdict, PacketVerdict::Forward { instance: 1, .. }), "{verdict:?}");
@@ -286,7 +286,7 @@
     rates(&mut known, 5.0);
     let mut policy = policy(1);
 
-    policy.look_at_members(&known, &view(0, 1), now);
+    policy.update_cold_shares(&known, &view(0, 1), now);
     (policy, known, now)
 }
 
--- a/crates/valvestage-policy/tests/steering/comparisons.rs
+++ b/crates/valvestage-policy/tests/steering/comparisons.rs
@@ -62,12 +62,12 @@
     let known = deployment.node(node).knowledge();
     let heartbeat = PeerHeartbeat {
         zone: OWN_ZONE.to_owned(),
-        asks: false,
+        wants_answer: false,
         version: known.routes.version,
         complete_until: sender.complete_until(),
         changed_at: sender.changed_at(),
         era_head: sender.era_head(),
-        living: sender.living_digest(),
+        live_digest: sender.live_digest(),
         age_ms: 0,
         outage_age_ms: u32::MAX,
         watchers: Vec::new(),
@@ -75,7 +75,7 @@
         health: HealthReport::default(),
         evacuations: None,
         demands: None,
-        wanted: Vec::new(),
+        unresolved_tokens: Vec::new(),
     };
 
     let policy = deployment.nodes[node].as_mut().expect("the balancer runs");
@@ -133,9 +133,9 @@
         other.put(BackendEntry { position: at(50), ..backend(4 - instance, "core", OWN_ZONE) });
     }
 
-    assert_eq!(one.living_digest(), other.living_digest());
+    assert_eq!(one.live_digest(), other.live_digest());
     other.mark_gone(2, at(60), start());
-    assert_ne!(one.living_digest(), other.living_digest());
+    assert_ne!(one.live_digest(), other.live_digest());
 }
 
 /// A lapsed entry was written again, and overwritten by another writer before this balancer read
@@ -169,11 +169,15 @@
     directory.mark_missing(1, start() + millis(2_000));
     directory.complete(at(54));
 
-    directory
-        .admit_told(BackendEntry { position: at(23), ..backend(7, "core", OWN_ZONE) }, start());
+    directory.apply_peer_entry(
+        BackendEntry { position: at(23), ..backend(7, "core", OWN_ZONE) },
+        start(),
+    );
     assert!(directory.get(7).is_some_and(|entry| entry.missing_until.is_some()));
-    directory
-        .admit_told(BackendEntry { position: at(60), ..backend(8, "core", OWN_ZONE) }, start());
+    directory.apply_peer_entry(
+        BackendEntry { position: at(60), ..backend(8, "core", OWN_ZONE) },
+        start(),
+    );
     assert!(directory.get(8).is_some_and(|entry| entry.missing_until.is_none()));
 }
 
@@ -182,7 +186,7 @@
 fn directory_with_obsolete_entry(instance: u64, read_until: u64) -> BackendDirectory {
     let mut directory = BackendDirectory::default();
     directory.complete(at(read_until));
-    directory.admit_obsolete(backend(instance, "core", OWN_ZONE), start());
+    directory.apply_obsolete_entry(backend(instance, "core", OWN_ZONE), start());
     directory
 }
 
@@ -208,7 +212,7 @@
     }
     directory.complete(at(9));
 
-    let ended = directory.end_told(&[2].into(), at(9), None, start());
+    let ended = directory.apply_peer_removals(&[2].into(), at(9), None, start());
     assert_eq!(ended, [2]);
     assert!(directory.get(2).is_some_and(BackendEntry::is_gone));
     assert!(directory.get(3).is_some_and(|entry| !entry.is_gone()));
@@ -220,7 +224,7 @@
     directory.put(backend(2, "core", OWN_ZONE));
     directory.complete(at(9));
 
-    directory.end_told(&[2].into(), at(9), Some(start() + millis(2_000)), start());
+    directory.apply_peer_removals(&[2].into(), at(9), Some(start() + millis(2_000)), start());
     let entry = directory.get(2).expect("entry 2 is known");
     assert!(!entry.is_gone() && entry.missing_until.is_some());
 }
--- a/crates/valvestage-policy/tests/steering/deployment.rs
+++ b/crates/valvestage-policy/tests/steering/deployment.rs
@@ -57,16 +57,16 @@
         entry.position = self.position(self.revision);
         let (name, revision, position) = (entry.name, self.revision, self.position(self.revision));
         self.backends.insert(entry.instance, entry.clone());
-        let news = BackendUpdate { name, position, change: EntryChange::Written(entry) };
-        self.history.push((revision, StoreKind::Backends, None, Some(news)));
+        let update = BackendUpdate { name, position, change: EntryChange::Written(entry) };
+        self.history.push((revision, StoreKind::Backends, None, Some(update)));
     }
 
     pub fn delete_backend(&mut self, instance: u64) {
         self.revision += 1;
         self.backends.remove(&instance);
         let (name, position) = (name_of(instance), self.position(self.revision));
-        let news = BackendUpdate { name, position, change: EntryChange::Deleted };
-        self.history.push((self.revision, StoreKind::Backends, None, Some(news)));
+        let update = BackendUpdate { name, position, change: EntryChange::Deleted };
+        self.history.push((self.revision, StoreKind::Backends, None, Some(update)));
     }
 
     /// Restores the state from before the last `lost_changes` changes, in the next era.
@@ -74,23 +74,23 @@
         self.era += 1;
         self.revision -= lost_changes;
         self.history.retain(|(at, ..)| *at <= self.revision);
-        self.evacuations.retain(|news| news.position.revision <= self.revision);
+        self.evacuations.retain(|update| update.position.revision <= self.revision);
         self.enter_era();
 
         self.routes = self.history.iter().rev().find_map(|(_, _, routes, _)| routes.clone());
         self.backends.clear();
-        for news in self.history.iter().filter_map(|(_, _, _, news)| news.as_ref()) {
-            self.backends.retain(|_, entry| entry.name != news.name);
-            if let EntryChange::Written(entry) = &news.change {
+        for update in self.history.iter().filter_map(|(_, _, _, update)| update.as_ref()) {
+            self.backends.retain(|_, entry| entry.name != update.name);
+            if let EntryChange::Written(entry) = &update.change {
                 self.backends.insert(entry.instance, entry.clone());
             }
         }
         self.evacuated.clear();
-        for news in &self.evacuations {
-            if news.is_asked {
-                self.evacuated.insert(news.zone.clone());
+        for update in &self.evacuations {
+            if update.is_requested {
+                self.evacuated.insert(update.zone.clone());
             } else {
-                self.evacuated.remove(&news.zone);
+                self.evacuated.remove(&update.zone);
             }
         }
     }
@@ -100,14 +100,14 @@
     fn enter_era(&mut self) {
         let era = self.era;
 
-        for news in self.history.iter_mut().filter_map(|(_, _, _, news)| news.as_mut()) {
-            news.position.era = era;
-            if let EntryChange::Written(entry) = &mut news.change {
+        for update in self.history.iter_mut().filter_map(|(_, _, _, update)| update.as_mut()) {
+            update.position.era = era;
+            if let EntryChange::Written(entry) = &mut update.change {
                 entry.position.era = era;
             }
         }
-        for news in &mut self.evacuations {
-            news.position.era = era;
+        for update in &mut self.evacuations {
+            update.position.era = era;
         }
     }
 
@@ -122,15 +122,15 @@
     }
 
     /// Evacuates a zone for the operator, or revokes its evacuation.
-    pub fn evacuate(&mut self, zone: &str, is_asked: bool) {
+    pub fn evacuate(&mut self, zone: &str, is_requested: bool) {
         self.revision += 1;
-        if is_asked {
+        if is_requested {
             self.evacuated.insert(zone.to_owned());
         } else {
             self.evacuated.remove(zone);
         }
         let (zone, position) = (zone.to_owned(), self.position(self.revision));
-        self.evacuations.push(EvacuationUpdate { zone, position, is_asked });
+        self.evacuations.push(EvacuationUpdate { zone, position, is_requested });
     }
 
     /// Returns the number of calls for a kind of objects; only calls for evacuations are counted
@@ -148,7 +148,8 @@
             StoreCall::List { .. } => {
                 let zones = self.evacuated.iter().cloned();
                 let position = self.position(revision);
-                let objects = zones.map(|zone| EvacuationUpdate { zone, position, is_asked: true });
+                let objects =
+                    zones.map(|zone| EvacuationUpdate { zone, position, is_requested: true });
                 StoreReply::Page {
                     objects: objects.collect(),
                     next_after: None,
@@ -157,8 +158,9 @@
             }
             StoreCall::Watch { revision, .. } if self.lacks(*revision) => StoreReply::HistoryGone,
             StoreCall::Watch { revision: after, .. } => {
-                let news = self.evacuations.iter().filter(|news| news.position.revision > *after);
-                let objects: Vec<_> = news.cloned().collect();
+                let update =
+                    self.evacuations.iter().filter(|update| update.position.revision > *after);
+                let objects: Vec<_> = update.cloned().collect();
                 if objects.is_empty() {
                     return None;
                 }
@@ -176,8 +178,9 @@
             },
             StoreCall::Watch { revision, .. } if self.lacks(*revision) => StoreReply::HistoryGone,
             StoreCall::Watch { revision, .. } => {
-                let news = self.news(*revision, StoreKind::Configuration);
-                let objects: Vec<_> = news.filter_map(|(_, _, routes, _)| routes.clone()).collect();
+                let update = self.changes_after(*revision, StoreKind::Configuration);
+                let objects: Vec<_> =
+                    update.filter_map(|(_, _, routes, _)| routes.clone()).collect();
                 if objects.is_empty() {
                     return None;
                 }
@@ -203,8 +206,9 @@
             }
             StoreCall::Watch { revision, .. } if self.lacks(*revision) => StoreReply::HistoryGone,
             StoreCall::Watch { revision, .. } => {
-                let news = self.news(*revision, StoreKind::Backends);
-                let objects: Vec<_> = news.filter_map(|(_, _, _, news)| news.clone()).collect();
+                let update = self.changes_after(*revision, StoreKind::Backends);
+                let objects: Vec<_> =
+                    update.filter_map(|(_, _, _, update)| update.clone()).collect();
                 if objects.is_empty() {
                     return None;
                 }
@@ -214,7 +218,7 @@
         })
     }
 
-    fn news(
+    fn changes_after(
         &self,
         after: u64,
         kind: StoreKind,
@@ -251,11 +255,11 @@
     /// Number of availability zones; the balancers are distributed evenly, by address.
     zones: usize,
     /// Balancers whose calls to the store are never answered.
-    pub cut_from_store: Vec<usize>,
+    pub disconnected_from_store: Vec<usize>,
     /// Balancers that neither receive nor deliver messages of peers.
-    pub cut_from_peers: Vec<usize>,
+    pub disconnected_from_peers: Vec<usize>,
     /// Balancers that receive no messages of peers; their own messages are delivered.
-    pub deaf: Vec<usize>,
+    pub disconnected_inbound: Vec<usize>,
     /// Balancers that are paused: they do not tick, and lose the datagrams that arrive meanwhile.
     pub paused: Vec<usize>,
     /// Whether the store fails every call.
@@ -291,9 +295,9 @@
             now: Instant::now(),
             store: FakeStore::default(),
             nodes: (0..count).map(|_| None).collect(),
-            cut_from_store: Vec::new(),
-            cut_from_peers: Vec::new(),
-            deaf: Vec::new(),
+            disconnected_from_store: Vec::new(),
+            disconnected_from_peers: Vec::new(),
+            disconnected_inbound: Vec::new(),
             paused: Vec::new(),
             store_down: false,
             configuration_time: Duration::ZERO,
@@ -388,8 +392,9 @@
     fn deliver(&mut self) {
         while self.datagrams.front().is_some_and(|(at, ..)| *at <= self.now) {
             let Some((_, from, to, message)) = self.datagrams.pop_front() else { return };
-            let is_cut = self.cut_from_peers.contains(&from) || self.cut_from_peers.contains(&to);
-            if is_cut || self.deaf.contains(&to) || self.paused.contains(&to) {
+            let is_cut = self.disconnected_from_peers.contains(&from)
+                || self.disconnected_from_peers.contains(&to);
+            if is_cut || self.disconnected_inbound.contains(&to) || self.paused.contains(&to) {
                 continue;
             }
             if let Some(policy) = &mut self.nodes[to] {
@@ -405,7 +410,7 @@
                 self.calls.push(call);
                 continue;
             }
-            let is_cut = call.is_silent || self.cut_from_store.contains(&call.node);
+            let is_cut = call.is_silent || self.disconnected_from_store.contains(&call.node);
             let is_over = call.ends_at <= self.now;
             if self.store_down || is_cut && call.times_out_at <= self.now {
                 self.reply(&call, None);
--- a/crates/valvestage-policy/tests/steering/directory.rs
+++ b/crates/valvestage-policy/tests/steering/directory.rs
@@ -54,8 +54,8 @@
 
     assert!(directory.is_obsolete(&backend(5, "core", OWN_ZONE), start()));
     assert!(!directory.is_obsolete(&backend(31, "core", OWN_ZONE), start()));
-    assert!(!directory.remembers(at(19)), "a removal after 19 was forgotten");
-    assert!(directory.remembers(at(20)));
+    assert!(!directory.knows_changes_after(at(19)), "a removal after 19 was forgotten");
+    assert!(directory.knows_changes_after(at(20)));
 }
 
 #[test]
@@ -147,8 +147,11 @@
     directory.put(backend(5, "core", OWN_ZONE));
     directory.complete(at(40));
 
-    assert!(!directory.remembers(at(39)), "peers may know an entry that was removed before 40");
-    assert!(directory.remembers(at(40)));
+    assert!(
+        !directory.knows_changes_after(at(39)),
+        "peers may know an entry that was removed before 40"
+    );
+    assert!(directory.knows_changes_after(at(40)));
 }
 
 #[test]
@@ -158,14 +161,14 @@
     directory.complete(at(1));
     directory.mark_missing(1, now + millis(2_300));
 
-    assert!(directory.admit_told(backend(1, "core", OWN_ZONE), now).is_empty());
+    assert!(directory.apply_peer_entry(backend(1, "core", OWN_ZONE), now).is_empty());
     assert!(directory.has_missing());
     // The store shows it again at the same position: it was never removed. Later a peer reports
     // that it has returned.
-    assert_eq!(directory.admit(backend(1, "core", OWN_ZONE), now), [1]);
+    assert_eq!(directory.apply_entry(backend(1, "core", OWN_ZONE), now), [1]);
     directory.mark_missing(1, now + millis(2_300));
     let returned = BackendEntry { position: at(9), ..backend(1, "core", OWN_ZONE) };
-    assert_eq!(directory.admit_told(returned, now), [1]);
+    assert_eq!(directory.apply_peer_entry(returned, now), [1]);
     assert!(!directory.has_missing());
 }
 
@@ -180,7 +183,7 @@
     directory.complete(at(9));
 
     let peer_entry = BackendEntry { position: at(6), ..backend(1, "core", OWN_ZONE) };
-    directory.admit_told(peer_entry, now);
+    directory.apply_peer_entry(peer_entry, now);
     assert!(directory.has_missing());
     assert_eq!(directory.get(1).unwrap().position, at(6));
     // The next list began after its deadline.
--- a/crates/valvestage-policy/tests/steering/ended_flows.rs
+++ b/crates/valvestage-policy/tests/steering/ended_flows.rs
@@ -71,7 +71,7 @@
     /// Runs one round, and returns the proactive resets.
     fn round(&mut self) -> Vec<FlowReset> {
         self.now += ROUND;
-        self.policy.end_flows(&mut self.known, self.now);
+        self.policy.reset_ended_flows(&mut self.known, self.now);
         self.policy.take_resets()
     }
 
--- a/crates/valvestage-policy/tests/steering/evacuations.rs
+++ b/crates/valvestage-policy/tests/steering/evacuations.rs
@@ -227,8 +227,8 @@
 
 /// Cuts the balancers of the first zone off from the other balancers and from the store.
 fn partition_first_zone(mut deployment: Deployment) -> Deployment {
-    deployment.cut_from_peers = vec![0, 1, 2];
-    deployment.cut_from_store = vec![0, 1, 2];
+    deployment.disconnected_from_peers = vec![0, 1, 2];
+    deployment.disconnected_from_store = vec![0, 1, 2];
     deployment
 }
 
@@ -243,8 +243,8 @@
     let zones = zones_of_flows(&mut deployment, 0, 10);
     assert!(zones.iter().any(|zone| zone == "zone-a"), "{zones:?}");
 
-    deployment.cut_from_peers.clear();
-    deployment.cut_from_store.clear();
+    deployment.disconnected_from_peers.clear();
+    deployment.disconnected_from_store.clear();
     deployment.run(TARGET_TIME);
     let zones = zones_of_flows(&mut deployment, 0, 40);
     assert!(zones.iter().all(|zone| zone != "zone-a"), "{zones:?}");
@@ -297,10 +297,10 @@
     zones.replace(report(20, &["zone-a"]), now);
 
     zones.replace(report(30, &[]), now);
-    assert!(zones.holds("zone-a"));
+    assert!(zones.blocks_new_flows("zone-a"));
     assert!(zones.release_returning(Some(at(29)), now).is_empty());
     assert_eq!(zones.release_returning(Some(at(30)), now), ["zone-a"]);
-    assert!(!zones.holds("zone-a"));
+    assert!(!zones.blocks_new_flows("zone-a"));
 }
 
 #[test]
@@ -321,7 +321,7 @@
     zones.replace(report(30, &[]), now);
     zones.replace(report(31, &["zone-a"]), now);
     assert!(zones.release_returning(None, now).is_empty());
-    assert!(zones.holds("zone-a"));
+    assert!(zones.blocks_new_flows("zone-a"));
 }
 
 #[test]
--- a/crates/valvestage-policy/tests/steering/fixtures.rs
+++ b/crates/valvestage-policy/tests/steering/fixtures.rs
@@ -30,12 +30,12 @@
 }
 
 /// Returns the service address with a port, which callers send to.
-pub fn front(port: u16) -> SocketAddrV4 {
+pub fn service_address(port: u16) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), port)
 }
 
 pub fn flow(caller_port: u16) -> FlowAddresses {
-    FlowAddresses { caller: address(200, caller_port), service: front(443) }
+    FlowAddresses { caller: address(200, caller_port), service: service_address(443) }
 }
 
 pub fn target(service: &str, weight: u32) -> RouteTarget {
@@ -43,7 +43,8 @@
 }
 
 pub fn routes(version: u64, targets: &[(u16, &str)]) -> RouteMap {
-    let routes = targets.iter().map(|(port, service)| (front(*port), vec![target(service, 1)]));
+    let routes =
+        targets.iter().map(|(port, service)| (service_address(*port), vec![target(service, 1)]));
 
     RouteMap { version, routes: routes.collect(), idle_timeout_ms: 15_000, ..Default::default() }
 }
--- a/crates/valvestage-policy/tests/steering/fleet.rs
+++ b/crates/valvestage-policy/tests/steering/fleet.rs
@@ -150,7 +150,7 @@
 
     fn tick(&mut self) {
         for balancer in &mut self.balancers {
-            balancer.look_at_demand(&self.known, BALANCERS - 1, self.now);
+            balancer.update_demand(&self.known, BALANCERS - 1, self.now);
             balancer.on_tick(&mut self.known, self.now);
         }
     }
@@ -277,7 +277,7 @@
     let (known, now) = (few_slots_here(), start());
     let mut policies: Vec<_> = (0..100).map(|seed| policy_in_short_zone(seed, now)).collect();
     for policy in &mut policies {
-        policy.look_at_demand(&known, 3, now);
+        policy.update_demand(&known, 3, now);
     }
 
     let homes = zones_of_flows(&policies);
@@ -293,12 +293,12 @@
     let (known, now) = (few_slots_here(), start());
     let mut policy = policy_in_short_zone(1, now);
 
-    policy.look_at_demand(&known, 3, now);
+    policy.update_demand(&known, 3, now);
     assert!(policy.demand().shares("core").is_some());
     let later = now + millis(3_100);
     report_demand(&mut policy, 0, later);
     report_demand(&mut policy, 2, later);
-    policy.look_at_demand(&known, 3, later);
+    policy.update_demand(&known, 3, later);
     let homes = zones_of_flows(std::slice::from_ref(&policy));
     assert!(
         homes.iter().all(|home| home != "zone-1"),
@@ -312,6 +312,6 @@
     let (known, now) = (few_slots_here(), start());
     let mut policy = policy_in_short_zone(1, now);
 
-    policy.look_at_demand(&known, 3, now + millis(3_100));
+    policy.update_demand(&known, 3, now + millis(3_100));
     assert!(policy.demand().shares("core").is_none());
 }
--- a/crates/valvestage-policy/tests/steering/flow_record.rs
+++ b/crates/valvestage-policy/tests/steering/flow_record.rs
@@ -9,8 +9,8 @@
     let now = start();
     let mut record = FlowRecord::open_at(7, now);
 
-    let sign = record.observe(&opening(flow(1), 1), now + millis(200));
-    assert_eq!(sign, LivenessSignal::Unanswered(now));
+    let signal = record.observe(&opening(flow(1), 1), now + millis(200));
+    assert_eq!(signal, LivenessSignal::Unanswered(now));
 }
 
 #[test]
@@ -18,9 +18,9 @@
     let now = start();
     let mut record = FlowRecord::open_at(7, now);
 
-    let sign = record.observe(&data(flow(1), 9, 1_001, 0, 501), now + millis(7));
+    let signal = record.observe(&data(flow(1), 9, 1_001, 0, 501), now + millis(7));
     let answer = AnswerSignal { opening: true, since: Some(now) };
-    assert_eq!(sign, LivenessSignal::Alive(answer));
+    assert_eq!(signal, LivenessSignal::Alive(answer));
     assert!(record.open);
     assert!(!record.is_busy());
 }
@@ -44,8 +44,8 @@
     record.observe(&data(flow(1), 9, 1_001, 0, 501), now);
     record.observe(&data(flow(1), 9, 1_001, 100, 501), now + millis(1));
 
-    let sign = record.observe(&data(flow(1), 9, 1_001, 100, 501), now + millis(201));
-    assert_eq!(sign, LivenessSignal::Unanswered(now + millis(1)));
+    let signal = record.observe(&data(flow(1), 9, 1_001, 100, 501), now + millis(201));
+    assert_eq!(signal, LivenessSignal::Unanswered(now + millis(1)));
 }
 
 #[test]
@@ -55,9 +55,9 @@
     record.observe(&data(flow(1), 9, u32::MAX - 10, 0, u32::MAX - 5), now);
 
     record.observe(&data(flow(1), 9, u32::MAX - 10, 100, u32::MAX - 5), now + millis(1));
-    let sign = record.observe(&data(flow(1), 9, 89, 0, 200), now + millis(30));
+    let signal = record.observe(&data(flow(1), 9, 89, 0, 200), now + millis(30));
     let answer = AnswerSignal { opening: false, since: Some(now + millis(1)) };
-    assert_eq!(sign, LivenessSignal::Alive(answer));
+    assert_eq!(signal, LivenessSignal::Alive(answer));
 }
 
 /// For any packets, a record never reports an answer without a new acknowledgement, and nothing
@@ -76,11 +76,11 @@
                 data(flow(1), 9, sequence, length.into(), ack)
             };
             let is_same = acknowledged == Some(ack);
-            let sign = record.observe(&packet, now);
+            let signal = record.observe(&packet, now);
             if !is_opening {
                 acknowledged = Some(ack);
             }
-            !matches!(sign, LivenessSignal::Alive(_)) || !is_opening && !is_same
+            !matches!(signal, LivenessSignal::Alive(_)) || !is_opening && !is_same
         })
     }
 
@@ -97,8 +97,8 @@
 
     // Callers acknowledge every second packet: the last one of an answer only with their next
     // request, however much later. The backend server may have died meanwhile.
-    let sign = record.observe(&data(flow(1), 9, 1_101, 100, 1_000), now + millis(5_000));
-    assert_eq!(sign, LivenessSignal::Neutral);
-    let sign = record.observe(&data(flow(1), 9, 1_101, 100, 1_000), now + millis(5_200));
-    assert_eq!(sign, LivenessSignal::Unanswered(now + millis(5_000)));
+    let signal = record.observe(&data(flow(1), 9, 1_101, 100, 1_000), now + millis(5_000));
+    assert_eq!(signal, LivenessSignal::Neutral);
+    let signal = record.observe(&data(flow(1), 9, 1_101, 100, 1_000), now + millis(5_200));
+    assert_eq!(signal, LivenessSignal::Unanswered(now + millis(5_000)));
 }
--- a/crates/valvestage-policy/tests/steering/held_packets.rs
+++ b/crates/valvestage-policy/tests/steering/held_packets.rs
@@ -29,7 +29,7 @@
 
     let verdict = policy.on_packet(&knowledge(&[backend(1, "core", OWN_ZONE)]), &request(1), now);
     let PacketVerdict::Drop(reason) = verdict else { panic!("packet not dropped: {verdict:?}") };
-    assert!(reason.may_pass());
+    assert!(reason.is_transient());
     assert!(held.hold(request(1), 1, now));
     (policy, held, now)
 }
@@ -57,7 +57,7 @@
 
     assert!(held.take_expired(now + millis(1_900)).is_empty());
     for expired in held.take_expired(now + millis(2_000)) {
-        policy.on_held_too_long(&known, &expired.packet, now + millis(2_000));
+        policy.on_hold_expired(&known, &expired.packet, now + millis(2_000));
     }
     let decisions = policy.take_decisions();
     let [Decision::Dropped(dropped)] = &decisions[..] else { panic!("{decisions:?}") };
--- a/crates/valvestage-policy/tests/steering/keepers.rs
+++ b/crates/valvestage-policy/tests/steering/keepers.rs
@@ -93,7 +93,7 @@
 #[test]
 fn a_configuration_comes_in_time_when_both_followers_lose_the_store() {
     let mut deployment = settled(12);
-    deployment.cut_from_store =
+    deployment.disconnected_from_store =
         (0..12).filter(|node| deployment.node(*node).keeper().is_watching()).collect();
 
     deployment.store.put_routes(routes(8, &[(443, "core")]));
@@ -116,7 +116,7 @@
 #[test]
 fn a_balancer_that_the_store_refuses_stays_up_to_date() {
     let mut deployment = settled(8);
-    deployment.cut_from_store = vec![5];
+    deployment.disconnected_from_store = vec![5];
 
     deployment.start(5);
     deployment.store.put_routes(routes(8, &[(443, "core")]));
@@ -213,15 +213,15 @@
 
     // All balancers know that it is missing. One of them hears nothing more while it returns.
     let isolated = 5;
-    deployment.cut_from_store = vec![isolated];
-    deployment.cut_from_peers = vec![isolated];
+    deployment.disconnected_from_store = vec![isolated];
+    deployment.disconnected_from_peers = vec![isolated];
     deployment.store.put_backend(backend(1, "core", OWN_ZONE));
     for _ in 0..6_000 {
         deployment.run(millis(1));
         assert_not_gone(&deployment, 1);
     }
-    deployment.cut_from_store.clear();
-    deployment.cut_from_peers.clear();
+    deployment.disconnected_from_store.clear();
+    deployment.disconnected_from_peers.clear();
     deployment.run(millis(4_000));
     assert_not_gone(&deployment, 1);
 }
@@ -253,13 +253,13 @@
 #[test]
 fn history_that_the_store_forgets_is_read_anew() {
     let mut deployment = settled(8);
-    deployment.cut_from_store = (0..8).collect();
+    deployment.disconnected_from_store = (0..8).collect();
     deployment.run(millis(100));
 
     deployment.store.delete_backend(4);
     deployment.store.put_routes(routes(8, &[(443, "core")]));
     deployment.store.forgotten = deployment.store.revision;
-    deployment.cut_from_store.clear();
+    deployment.disconnected_from_store.clear();
     deployment.run(millis(5_000));
     assert!(all_have_version(&deployment, 8));
     assert!(all_know_gone(&deployment, 4));
@@ -276,16 +276,16 @@
 
 fn check_nothing_returns_after(partition_ms: u64) {
     let mut deployment = settled(8);
-    deployment.cut_from_store = vec![3];
-    deployment.cut_from_peers = vec![3];
+    deployment.disconnected_from_store = vec![3];
+    deployment.disconnected_from_peers = vec![3];
     deployment.run(millis(1_000));
     deployment.store.delete_backend(4);
     deployment.store.put_routes(routes(8, &[(443, "core")]));
     // Long enough for the others to forget the backend server.
     deployment.run(millis(partition_ms));
 
-    deployment.cut_from_store.clear();
-    deployment.cut_from_peers.clear();
+    deployment.disconnected_from_store.clear();
+    deployment.disconnected_from_peers.clear();
     // An entry that may have lapsed has 3.1 s from the last failed call to return. A heartbeat
     // comes 0.4 s later.
     for _ in 0..350 {
@@ -331,7 +331,7 @@
 #[test]
 fn a_balancer_that_starts_among_others_does_not_call_the_store() {
     let mut deployment = settled(8);
-    deployment.cut_from_store = (0..7).collect();
+    deployment.disconnected_from_store = (0..7).collect();
     deployment.run(millis(10));
 
     let before = deployment.store.calls;
@@ -359,7 +359,7 @@
 #[test]
 fn a_store_that_answers_only_some_balancers_is_enough() {
     let mut deployment = settled(30);
-    deployment.cut_from_store = (0..25).collect();
+    deployment.disconnected_from_store = (0..25).collect();
 
     deployment.store.put_routes(routes(8, &[(443, "core")]));
     let took = deployment.run_until(|now| all_have_version(now, 8));
@@ -467,10 +467,10 @@
 
     // It reads the list without the lapsed entries, and the others learn from it that there is a
     // newer state.
-    deployment.cut_from_peers = vec![6];
+    deployment.disconnected_from_peers = vec![6];
     deployment.start(6);
     deployment.run_until(|now| now.node(6).is_ready());
-    deployment.cut_from_peers.clear();
+    deployment.disconnected_from_peers.clear();
     for _ in 0..1_000 {
         deployment.run(millis(1));
         let others = deployment.nodes.iter().flatten().enumerate().filter(|(node, _)| *node != 6);
@@ -495,7 +495,8 @@
         for follower in 0..2 {
             let mut deployment = settled(4);
             let follows = |node: &usize| deployment.node(*node).keeper().is_watching();
-            deployment.deaf = (0..4).filter(follows).skip(follower).take(1).collect();
+            deployment.disconnected_inbound =
+                (0..4).filter(follows).skip(follower).take(1).collect();
             deployment.run(millis(step * 20));
 
             deployment.store.put_routes(routes(8, &[(443, "core")]));
--- a/crates/valvestage-policy/tests/steering/lapses.rs
+++ b/crates/valvestage-policy/tests/steering/lapses.rs
@@ -245,7 +245,7 @@
     for message in backends_messages(&sender, pull, site.now) {
         let PeerMessage::Backends(part) = message else { panic!("not a part of backends") };
         for entry in entries_of(part, site.now) {
-            site.known.directory.admit(entry, site.now);
+            site.known.directory.apply_entry(entry, site.now);
         }
     }
     site
@@ -266,7 +266,7 @@
 fn lapsed_after_start() -> Site {
     let mut site = Site::with_open_flow(OWN_ZONE);
     site.known.directory.put(backend(3, "core", OTHER_ZONE));
-    site.known.see_from(site.now);
+    site.known.set_packets_seen_from(site.now);
 
     site.wait(millis(600));
     site.known.directory.mark_gone(3, at(2_000), site.now);
@@ -297,7 +297,7 @@
 fn a_balancer_that_has_run_for_long_takes_silence_for_an_end() {
     let mut site = Site::with_open_flow(OWN_ZONE);
     site.known.directory.put(backend(3, "core", OTHER_ZONE));
-    site.known.see_from(site.now);
+    site.known.set_packets_seen_from(site.now);
 
     site.wait(SILENT_BEFORE_LAPSE);
     site.known.directory.mark_gone(3, at(2_000), site.now);
--- a/crates/valvestage-policy/tests/steering/large_answers.rs
+++ b/crates/valvestage-policy/tests/steering/large_answers.rs
@@ -182,7 +182,7 @@
     deployment.run(millis(10_000));
 
     // It cannot read the store itself.
-    deployment.cut_from_store = vec![5];
+    deployment.disconnected_from_store = vec![5];
     deployment.start(5);
     let took = deployment.run_until(|now| now.node(5).is_ready());
     assert!(took <= millis(BOUND_MS), "{took:?}");
