--- a/crates/valvestage-policy/tests/steering/late_messages.rs
+++ b/crates/valvestage-policy/tests/steering/late_messages.rs
@@ -30,12 +30,12 @@
 
     PeerHeartbeat {
         zone: OTHER_ZONE.to_owned(),
-        asks: false,
+        wants_answer: false,
         version: 0,
         complete_until: at(0),
         changed_at: at(0),
         era_head: at(0),
-        living: 0,
+        live_digest: 0,
         age_ms: SENT_AGE_MS,
         outage_age_ms: u32::MAX,
         watchers: vec![follower],
@@ -43,7 +43,7 @@
         health: Default::default(),
         evacuations: None,
         demands: None,
-        wanted: Vec::new(),
+        unresolved_tokens: Vec::new(),
     }
 }
 
--- a/crates/valvestage-policy/tests/steering/outliers.rs
+++ b/crates/valvestage-policy/tests/steering/outliers.rs
@@ -119,7 +119,7 @@
         &first.reports(now + millis(10)),
         now + millis(20),
     );
-    assert!(matches!(decisions[..], [Decision::Avoided { told_by: 1, .. }]));
+    assert!(matches!(decisions[..], [Decision::Avoided { reporting_peers: 1, .. }]));
 }
 
 #[test]
--- a/crates/valvestage-policy/tests/steering/packets.rs
+++ b/crates/valvestage-policy/tests/steering/packets.rs
@@ -8,8 +8,8 @@
 };
 
 use crate::fixtures::{
-    OTHER_ZONE, OWN_ZONE, at, backend, data, flow, front, knowledge, millis, opening, routes,
-    start, target,
+    OTHER_ZONE, OWN_ZONE, at, backend, data, flow, knowledge, millis, opening, routes,
+    service_address, start, target,
 };
 
 fn policy() -> SteeringPolicy {
@@ -190,7 +190,7 @@
     let mut policy = SteeringPolicy::new(
         SteeringOptions {
             zone: OWN_ZONE.to_owned(),
-            far_zones: [FAR.to_owned()].into(),
+            other_region_zones: [FAR.to_owned()].into(),
             ..Default::default()
         },
         1,
@@ -207,7 +207,7 @@
     let now = start();
     let known = knowledge(&[backend(1, "core", OWN_ZONE)]);
     let mut packet = opening(flow(1), 0);
-    packet.flow.service = front(9_999);
+    packet.flow.service = service_address(9_999);
 
     let verdict = policy().on_packet(&known, &packet, now);
     assert_eq!(verdict, PacketVerdict::Reset(ResetReason::NoRoute));
@@ -218,7 +218,7 @@
     let now = start();
     let known = knowledge(&[backend(1, "core", OWN_ZONE)]);
     let mut packet = opening(flow(1), 0);
-    packet.flow.service = front(9_999);
+    packet.flow.service = service_address(9_999);
 
     // The store has not confirmed the configuration for a while: the route may exist by now.
     let verdict = policy().on_packet(&known, &packet, now + millis(20_000));
@@ -299,10 +299,11 @@
 #[test]
 fn a_split_route_gives_each_service_its_share() {
     let mut map = routes(1, &[]);
-    map.routes.insert(front(443), vec![target("core", 90), target("photos", 10)]);
+    map.routes.insert(service_address(443), vec![target("core", 90), target("photos", 10)]);
 
     let draws = (0..10_000_u64).map(|draw| draw.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 7);
-    let to_core = draws.filter(|draw| map.target(front(443), *draw).unwrap() == "core").count();
+    let to_core =
+        draws.filter(|draw| map.target(service_address(443), *draw).unwrap() == "core").count();
     assert!((8_800..=9_200).contains(&to_core), "{to_core} of 10,000");
 }
 
--- a/crates/valvestage-policy/tests/steering/cut_zones.rs
+++ b/crates/valvestage-policy/tests/steering/partitioned_zones.rs
@@ -25,7 +25,7 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Duration of the partition.
-const CUT: Duration = Duration::from_millis(2_800);
+const PARTITION_TIME: Duration = Duration::from_millis(2_800);
 
 struct Site {
     policy: SteeringPolicy,
@@ -70,7 +70,7 @@
                 self.known.confirm(Some(self.now));
             }
             self.now += HEARTBEAT_INTERVAL.min(until - self.now);
-            self.policy.end_flows(&mut self.known, self.now);
+            self.policy.reset_ended_flows(&mut self.known, self.now);
             resets.extend(self.policy.take_resets().into_iter().map(|reset| reset.flow));
         }
         resets
@@ -87,9 +87,9 @@
 
     /// Cuts off the zone of the backend server, whose entry lapses just before the end of the
     /// partition. Returns the flows that were reset meanwhile.
-    fn cut_off_other_zone(&mut self) -> Vec<FlowAddresses> {
+    fn partition_other_zone(&mut self) -> Vec<FlowAddresses> {
         self.reachable_zones = vec![THIRD];
-        let mut resets = self.advance(CUT - millis(100));
+        let mut resets = self.advance(PARTITION_TIME - millis(100));
         assert!(self.known.directory.mark_gone(1, at(2_000), self.now));
         resets.extend(self.advance(millis(100)));
         resets
@@ -114,7 +114,7 @@
 fn flows_that_may_go_on_at_the_other_side_of_a_cut_are_not_reset() {
     let mut site = Site::with_flow_in(OTHER_ZONE);
 
-    assert_eq!(site.cut_off_other_zone(), []);
+    assert_eq!(site.partition_other_zone(), []);
     site.heal();
     assert_eq!(site.advance(millis(2_200)), [], "the entry may return");
 }
@@ -123,7 +123,7 @@
 fn flows_are_reset_after_the_return_time_of_their_entry_since_the_cut() {
     let mut site = Site::with_flow_in(OTHER_ZONE);
 
-    site.cut_off_other_zone();
+    site.partition_other_zone();
     site.heal();
     assert_eq!(site.advance(millis(3_200)), [flow(1)]);
 }
@@ -132,7 +132,7 @@
 fn flows_are_not_reset_while_the_store_confirms_nothing() {
     let mut site = Site::with_flow_in(OTHER_ZONE);
 
-    site.cut_off_other_zone();
+    site.partition_other_zone();
     site.heal();
     site.is_confirmed = false;
     assert_eq!(site.advance(millis(3_200)), []);
@@ -142,7 +142,7 @@
 fn flows_are_not_reset_if_their_entry_returns() {
     let mut site = Site::with_flow_in(OTHER_ZONE);
 
-    site.cut_off_other_zone();
+    site.partition_other_zone();
     site.heal();
     site.advance(millis(800));
     site.known
@@ -169,7 +169,7 @@
 fn a_flow_that_comes_after_a_cut_gets_one_packet_to_its_backend_server() {
     let mut site = Site::with_flow_in(OTHER_ZONE);
 
-    site.cut_off_other_zone();
+    site.partition_other_zone();
     site.heal();
     site.advance(millis(1_100));
     assert_forwarded(site.request(2));
@@ -181,7 +181,7 @@
 fn a_packet_sent_during_the_cut_shows_nothing() {
     let mut site = Site::with_flow_in(OTHER_ZONE);
 
-    site.cut_off_other_zone();
+    site.partition_other_zone();
     assert_forwarded(site.request(2));
     site.heal();
     site.advance(millis(200));
@@ -195,7 +195,7 @@
     let mut site = Site::with_flow_in(OTHER_ZONE);
     let acknowledgement = data(flow(2), BackendDirectory::token_of(1), 2_001, 0, 900);
 
-    site.cut_off_other_zone();
+    site.partition_other_zone();
     site.heal();
     site.advance(millis(100));
     assert_forwarded(site.send(&acknowledgement));
@@ -208,7 +208,7 @@
 fn an_answer_shows_that_the_backend_server_is_alive() {
     let mut site = Site::with_flow_in(OTHER_ZONE);
 
-    site.cut_off_other_zone();
+    site.partition_other_zone();
     site.heal();
     site.advance(millis(100));
     assert_forwarded(site.request(2));
--- a/crates/valvestage-policy/tests/steering/pauses.rs
+++ b/crates/valvestage-policy/tests/steering/pauses.rs
@@ -59,7 +59,7 @@
             seed: 1,
         };
         let mut policy = EntryPolicy::new(options, now);
-        let news = servers.iter().map(|instance| BackendUpdate {
+        let updates = servers.iter().map(|instance| BackendUpdate {
             name: name_of(*instance),
             position: at(*instance),
             change: EntryChange::Written(backend(*instance, "core", OWN_ZONE)),
@@ -69,7 +69,7 @@
         policy.on_tick(now + millis(100));
         policy.on_tick(now + millis(200));
         policy.on_routes_reply(page(vec![routes(1, &[(443, "core")])]), now + millis(200));
-        policy.on_backends_reply(page(news.collect()), now + millis(200));
+        policy.on_backends_reply(page(updates.collect()), now + millis(200));
         assert!(policy.is_ready());
         Self { policy, now: now + millis(200) }
     }
@@ -185,8 +185,8 @@
     balancer.tick_after(millis(100));
     let lapsed =
         BackendUpdate { name: name_of(SERVER), position: at(11), change: EntryChange::Deleted };
-    let news = StoreReply::Changes { objects: vec![lapsed], position: at(11) };
-    balancer.policy.on_backends_reply(news, balancer.now);
+    let reply = StoreReply::Changes { objects: vec![lapsed], position: at(11) };
+    balancer.policy.on_backends_reply(reply, balancer.now);
 
     // The store may have been unavailable during the stall: peers report that only a moment after
     // this balancer resumes.
--- a/crates/valvestage-policy/tests/steering/peers.rs
+++ b/crates/valvestage-policy/tests/steering/peers.rs
@@ -10,7 +10,7 @@
 use valvestage_policy::steering::seeded_draw::SeededDraw;
 use valvestage_policy::steering::{BackendDirectory, RouteMap};
 
-use crate::fixtures::{OWN_ZONE, address, at, backend, front, millis, start, target};
+use crate::fixtures::{OWN_ZONE, address, at, backend, millis, service_address, start, target};
 
 #[test]
 fn every_balancer_has_its_turn() {
@@ -21,7 +21,7 @@
     }
 
     let mut draw = SeededDraw::new(1);
-    let mut chosen: Vec<_> = (0..2).flat_map(|_| table.choose(4, &mut draw)).collect();
+    let mut chosen: Vec<_> = (0..2).flat_map(|_| table.next_in_turn(4, &mut draw)).collect();
     chosen.sort_unstable();
     let all: Vec<_> = (2..=9).map(|last| address(last, 7)).collect();
     assert_eq!(chosen, all);
@@ -33,8 +33,8 @@
     let mut table = PeerTable::new(address(1, 7), &[address(1, 7)], start());
 
     table.on_heard(address(1, 7), now);
-    table.on_told(address(1, 7), now);
-    assert!(table.choose(4, &mut SeededDraw::new(1)).is_empty());
+    table.on_reported(address(1, 7), now);
+    assert!(table.next_in_turn(4, &mut SeededDraw::new(1)).is_empty());
 }
 
 #[test]
@@ -45,7 +45,7 @@
     table.on_heard(address(3, 7), now);
 
     table.forget_silent(now + millis(60_000));
-    assert_eq!(table.choose(4, &mut SeededDraw::new(1)), [address(2, 7)]);
+    assert_eq!(table.next_in_turn(4, &mut SeededDraw::new(1)), [address(2, 7)]);
 }
 
 #[test]
@@ -53,15 +53,18 @@
     let now = start();
     let mut table = PeerTable::new(address(1, 7), &[], start());
     table.on_heard(address(3, 7), now);
-    table.on_told(address(4, 7), now);
+    table.on_reported(address(4, 7), now);
 
-    assert_eq!(table.sample(4, 0, now), [address(3, 7)]);
-    assert!(table.sample(4, 0, now + millis(5_000)).is_empty());
+    assert_eq!(table.sample_recent(4, 0, now), [address(3, 7)]);
+    assert!(table.sample_recent(4, 0, now + millis(5_000)).is_empty());
 }
 
 fn big_map() -> RouteMap {
     let routes = (0..400).map(|number| {
-        (front(10_000 + number), vec![target("a-service-name", 9), target("another-one", 1)])
+        (
+            service_address(10_000 + number),
+            vec![target("a-service-name", 9), target("another-one", 1)],
+        )
     });
 
     RouteMap { version: 3, routes: routes.collect(), idle_timeout_ms: 15_000, ..Default::default() }
@@ -85,7 +88,8 @@
 
 #[test]
 fn removing_a_route_changes_few_chunks() {
-    let routes = (0..4_000).map(|number| (front(10_000 + number), vec![target("streams", 1)]));
+    let routes =
+        (0..4_000).map(|number| (service_address(10_000 + number), vec![target("streams", 1)]));
     let map = RouteMap {
         version: 3,
         routes: routes.collect(),
@@ -95,7 +99,7 @@
     let before = index_of(&RouteCatalogue::new(&map)).digests;
     let new_ones = |place: u16| {
         let mut map = map.clone();
-        map.routes.remove(&front(10_000 + 40 * place));
+        map.routes.remove(&service_address(10_000 + 40 * place));
         let after = index_of(&RouteCatalogue::new(&map)).digests;
         after.iter().filter(|digest| !before.contains(digest)).count()
     };
@@ -109,7 +113,7 @@
 #[test]
 fn an_address_with_more_targets_than_a_datagram_takes_comes_whole() {
     let targets = (0..300).map(|number| target(&format!("a-service-{number}"), 1 << 20)).collect();
-    let routes = [(front(443), targets), (front(80), Vec::new())].into();
+    let routes = [(service_address(443), targets), (service_address(80), Vec::new())].into();
     let map = RouteMap { version: 3, routes, idle_timeout_ms: 15_000, ..Default::default() };
 
     let catalogue = RouteCatalogue::new(&map);
--- a/crates/valvestage-policy/tests/steering/regions.rs
+++ b/crates/valvestage-policy/tests/steering/regions.rs
@@ -7,7 +7,8 @@
 };
 
 use crate::fixtures::{
-    OTHER_ZONE, OWN_ZONE, at, backend, flow, front, knowledge, opening, routes, start, target,
+    OTHER_ZONE, OWN_ZONE, at, backend, flow, knowledge, opening, routes, service_address, start,
+    target,
 };
 
 /// Returns a balancer in the region west. There is one backend server in that region and one in the
@@ -18,7 +19,7 @@
         zone_regions: [(OWN_ZONE, "west"), (OTHER_ZONE, "east")]
             .map(|(zone, region)| (zone.to_owned(), region.to_owned()))
             .into(),
-        far_zones: [OTHER_ZONE.to_owned()].into(),
+        other_region_zones: [OTHER_ZONE.to_owned()].into(),
         ..Default::default()
     };
 
@@ -29,7 +30,7 @@
     let mut known = knowledge(&[backend(1, "core", OWN_ZONE), backend(2, "core", OTHER_ZONE)]);
     let regions = regions.iter().map(|region| (*region).to_owned());
 
-    known.routes.allowed_regions.insert(front(443), regions.collect());
+    known.routes.allowed_regions.insert(service_address(443), regions.collect());
     known
 }
 
@@ -62,12 +63,12 @@
 #[test]
 fn an_unknown_region_harms_no_other_address() {
     let (mut policy, mut known, now) = (balancer(), with_regions(&["nowhere"]), start());
-    known.routes.routes.insert(front(80), vec![target("core", 1)]);
+    known.routes.routes.insert(service_address(80), vec![target("core", 1)]);
 
     let verdict = policy.on_packet(&known, &opening(flow(1), 0), now);
     assert_eq!(verdict, PacketVerdict::Reset(ResetReason::NoBackendInRegion));
     let mut other = flow(1);
-    other.service = front(80);
+    other.service = service_address(80);
     let verdict = policy.on_packet(&known, &opening(other, 0), now);
     assert!(matches!(verdict, PacketVerdict::Forward { .. }), "{verdict:?}");
 }
@@ -94,7 +95,7 @@
 fn a_route_catalogue_carries_regions_and_rates() {
     let mut map = routes(3, &[(443, "core"), (80, "photos"), (81, "core")]);
     let regions = ["east", "west"].map(str::to_owned);
-    map.allowed_regions.insert(front(443), regions.into());
+    map.allowed_regions.insert(service_address(443), regions.into());
     map.cold_rates.insert("photos".to_owned(), 0.5.try_into().unwrap());
     map.cold_rates.insert("core".to_owned(), 7.25.try_into().unwrap());
 
@@ -109,7 +110,7 @@
     };
     let map = routes(3, &[(443, "core")]);
     let mut regional = map.clone();
-    regional.allowed_regions.insert(front(443), ["east".to_owned()].into());
+    regional.allowed_regions.insert(service_address(443), ["east".to_owned()].into());
     let mut rated = map.clone();
     rated.cold_rates.insert("core".to_owned(), 1.0.try_into().unwrap());
 
--- a/crates/valvestage-policy/tests/steering/restarts.rs
+++ b/crates/valvestage-policy/tests/steering/restarts.rs
@@ -12,8 +12,8 @@
 };
 
 use crate::fixtures::{
-    OTHER_ZONE, OWN_ZONE, at, backend, data, flow, front, knowledge, millis, opening, routes,
-    seeded, start,
+    OTHER_ZONE, OWN_ZONE, at, backend, data, flow, knowledge, millis, opening, routes, seeded,
+    service_address, start,
 };
 
 fn restarted() -> SteeringPolicy {
@@ -91,7 +91,7 @@
 fn a_packet_for_an_address_without_a_route_is_reset() {
     let known = known_after_move();
     let mut packet = data(flow(1), BackendDirectory::token_of(1), 1_001, 100, 501);
-    packet.flow.service = front(9_999);
+    packet.flow.service = service_address(9_999);
 
     let verdict = restarted().on_packet(&known, &packet, start());
     assert_eq!(verdict, PacketVerdict::Reset(ResetReason::NoRoute));
--- a/crates/valvestage-policy/tests/steering/restored_store.rs
+++ b/crates/valvestage-policy/tests/steering/restored_store.rs
@@ -227,10 +227,10 @@
 
     deployment.stop(5);
     restore(&mut deployment, 1);
-    deployment.cut_from_peers = vec![5];
+    deployment.disconnected_from_peers = vec![5];
     deployment.start(5);
     deployment.run(millis(1_000));
-    deployment.cut_from_peers.clear();
+    deployment.disconnected_from_peers.clear();
     deployment.run(millis(5_000));
     assert!(is_draining_everywhere(&deployment, 2));
 }
@@ -272,7 +272,8 @@
     restore(&mut deployment, 1);
     for _ in 0..200 {
         deployment.run(millis(10));
-        let holds = |node: usize| deployment.node(node).knowledge().evacuated.holds(OWN_ZONE);
+        let holds =
+            |node: usize| deployment.node(node).knowledge().evacuated.blocks_new_flows(OWN_ZONE);
         assert!((0..8).all(holds));
     }
     deployment.store.evacuate(OWN_ZONE, true);
@@ -288,5 +289,7 @@
     deployment.run(millis(2_000));
     deployment.store.evacuate(OWN_ZONE, false);
     deployment.run(millis(6_000));
-    assert!((0..8).all(|node| !deployment.node(node).knowledge().evacuated.holds(OWN_ZONE)));
+    assert!(
+        (0..8).all(|node| !deployment.node(node).knowledge().evacuated.blocks_new_flows(OWN_ZONE))
+    );
 }
--- a/crates/valvestage-policy/tests/steering/successors.rs
+++ b/crates/valvestage-policy/tests/steering/successors.rs
@@ -61,7 +61,7 @@
     let token = BackendDirectory::token_of(FORMER);
     policy.on_packet(&known, &data(flow(1), token, 1_001, 100, 501), now);
 
-    assert_eq!(known.directory.admit(successor(), now), [FORMER, SUCCESSOR]);
+    assert_eq!(known.directory.apply_entry(successor(), now), [FORMER, SUCCESSOR]);
     let verdict = policy.on_packet(&known, &data(flow(1), token, 1_101, 100, 501), now);
     assert_eq!(verdict, PacketVerdict::Reset(ResetReason::BackendGone));
     for port in 2..20 {
@@ -77,8 +77,8 @@
     let mut policy = with_answered_flow(&known, now);
 
     let other = BackendEntry { service: "photos".to_owned(), ..successor() };
-    known.directory.admit(other, now + millis(30));
-    policy.end_flows(&mut known, now + millis(100));
+    known.directory.apply_entry(other, now + millis(30));
+    policy.reset_ended_flows(&mut known, now + millis(100));
     let resets: Vec<_> = policy.take_resets().into_iter().map(|reset| reset.flow).collect();
     assert_eq!(resets, [flow(1)]);
 }
@@ -90,7 +90,7 @@
     let token = BackendDirectory::token_of(FORMER);
 
     assert!(known.directory.mark_gone(FORMER, successor().position, now + millis(30)));
-    known.directory.admit(successor(), now + millis(30));
+    known.directory.apply_entry(successor(), now + millis(30));
     let request = data(flow(1), token, 1_101, 100, 901);
     let verdict = policy.on_packet(&known, &request, now + millis(40));
     assert_eq!(verdict, PacketVerdict::Reset(ResetReason::BackendGone));
@@ -101,7 +101,7 @@
     let (mut known, now) = site();
 
     // A peer reports the entry late: it is older than the present one.
-    known.directory.admit(BackendEntry { position: at(0), ..successor() }, now);
+    known.directory.apply_entry(BackendEntry { position: at(0), ..successor() }, now);
     assert!(!is_gone(&known));
 }
 
@@ -110,8 +110,8 @@
     let mut known = Knowledge::default();
     let now = start();
 
-    known.directory.admit(backend(FORMER, "core", OWN_ZONE), now);
-    known.directory.admit(successor(), now);
+    known.directory.apply_entry(backend(FORMER, "core", OWN_ZONE), now);
+    known.directory.apply_entry(successor(), now);
     assert!(!is_gone(&known));
 }
 
@@ -120,16 +120,16 @@
     let (mut known, now) = site();
     let leaving = BackendEntry { phase: BackendPhase::Draining, ..backend(2, "core", OWN_ZONE) };
 
-    known.directory.admit(BackendEntry { position: at(2_000), ..leaving }, now);
+    known.directory.apply_entry(BackendEntry { position: at(2_000), ..leaving }, now);
     assert!(known.directory.iter().all(|entry| !entry.is_gone()));
 }
 
 #[test]
 fn an_ended_backend_server_stays_ended_when_a_list_still_has_its_entry() {
     let (mut known, now) = site();
-    known.directory.admit(successor(), now);
+    known.directory.apply_entry(successor(), now);
 
-    assert_eq!(known.directory.admit(backend(FORMER, "core", OWN_ZONE), now), []);
+    assert_eq!(known.directory.apply_entry(backend(FORMER, "core", OWN_ZONE), now), []);
     assert!(is_gone(&known));
 }
 
@@ -139,15 +139,16 @@
 fn the_entry_of_a_superseded_backend_server_is_removed_also_after_an_outage() {
     let (mut known, now) = site();
     let mut link = StoreLink::new(None, now);
-    known.directory.admit(successor(), now);
+    known.directory.apply_entry(successor(), now);
     link.on_backends_reply(&mut known, StoreReply::Failed, now);
 
-    let news = |instance| BackendUpdate {
+    let update = |instance| BackendUpdate {
         name: name_of(instance),
         position: at(2_500),
         change: EntryChange::Deleted,
     };
-    let reply = StoreReply::Changes { objects: vec![news(FORMER), news(2)], position: at(2_500) };
+    let reply =
+        StoreReply::Changes { objects: vec![update(FORMER), update(2)], position: at(2_500) };
     let changed = link.on_backends_reply(&mut known, reply, now + millis(500));
     assert_eq!(changed, [FORMER, 2]);
     let former = known.directory.get(FORMER).unwrap();
--- a/crates/valvestage-policy/tests/steering/unresolved_tokens.rs
+++ b/crates/valvestage-policy/tests/steering/unresolved_tokens.rs
@@ -32,8 +32,8 @@
     }
     deployment.run(millis(4_000));
 
-    deployment.cut_from_peers = vec![0];
-    deployment.cut_from_store = vec![0];
+    deployment.disconnected_from_peers = vec![0];
+    deployment.disconnected_from_store = vec![0];
     deployment.run(millis(1_000));
     deployment.store.delete_backend(LAPSED);
     deployment.start(1);
@@ -41,8 +41,8 @@
     deployment.run(millis(1_500));
     assert!(deployment.node(1).is_ready());
     deployment.store_down = true;
-    deployment.cut_from_store.clear();
-    deployment.cut_from_peers.clear();
+    deployment.disconnected_from_store.clear();
+    deployment.disconnected_from_peers.clear();
     deployment.run(millis(500));
     deployment
 }
@@ -100,15 +100,15 @@
 
 #[test]
 fn wanted_tokens_are_limited_in_number_and_time() {
-    let mut wanted =
+    let mut unresolved =
         valvestage_policy::steering::packets::unresolved_tokens::UnresolvedTokens::default();
     let (nothing, now): (_, Instant) = (BackendDirectory::default(), start());
 
-    (1..=100).for_each(|token| wanted.add(token, now));
-    assert_eq!(wanted.list().len(), 8);
-    wanted.add(3, now + millis(1_000));
-    wanted.drop_resolved(&nothing, now + millis(2_000));
-    assert_eq!(wanted.list(), [3]);
+    (1..=100).for_each(|token| unresolved.add(token, now));
+    assert_eq!(unresolved.list().len(), 8);
+    unresolved.add(3, now + millis(1_000));
+    unresolved.drop_resolved(&nothing, now + millis(2_000));
+    assert_eq!(unresolved.list(), [3]);
 }
 
 /// A balancer that starts reads all that a peer knows, including entries that the peer keeps as
--- a/crates/valvestage-policy/tests/steering/watch_role.rs
+++ b/crates/valvestage-policy/tests/steering/watch_role.rs
@@ -22,15 +22,15 @@
     if last % 2 == 1 { OWN_ZONE } else { OTHER_ZONE }
 }
 
-fn state(is_answering: bool, draw: f64) -> RoleInputs {
+fn inputs(is_answering: bool, draw: f64) -> RoleInputs {
     RoleInputs {
         is_answering,
         is_failing: false,
         is_complete: true,
         has_zones: true,
         page_time: None,
-        hears_complete: false,
-        is_being_told: false,
+        has_complete_peer: false,
+        is_receiving_answer: false,
         recent_peers: 7,
         draw,
     }
@@ -39,7 +39,7 @@
 fn watching(last: u8, now: Instant) -> WatchRole {
     let mut role = starting(last, 0.0, now);
 
-    role.step(state(true, 0.5), now + millis(15));
+    role.step(inputs(true, 0.5), now + millis(15));
     assert!(role.is_watching());
     role
 }
@@ -55,7 +55,7 @@
 
     role.on_sighting(&sighting(1, 0), now);
     role.on_sighting(&sighting(2, 0), now);
-    role.step(state(true, 0.5), now);
+    role.step(inputs(true, 0.5), now);
     assert!(!role.is_watching());
     role
 }
@@ -65,7 +65,7 @@
     let now = start();
     let mut role = watching(9, now);
 
-    role.step(state(false, 0.5), now);
+    role.step(inputs(false, 0.5), now);
     assert!(role.is_watching());
 }
 
@@ -78,7 +78,7 @@
         for other in 1..=4 {
             role.on_sighting(&sighting(other, 0), now);
         }
-        role.step(state(true, 0.5), now);
+        role.step(inputs(true, 0.5), now);
         assert_eq!(role.is_watching(), stays, "balancer {own}");
     }
 }
@@ -90,7 +90,7 @@
     role.on_sighting(&sighting(2, 0), now);
     role.on_sighting(&sighting(3, 0), now);
 
-    role.step(state(false, 0.5), now);
+    role.step(inputs(false, 0.5), now);
     assert!(!role.is_watching());
 }
 
@@ -103,7 +103,7 @@
     let mut at = now;
     while !role.is_watching() {
         at += millis(100);
-        role.step(state(false, 0.99), at);
+        role.step(inputs(false, 0.99), at);
     }
     assert!(at - now <= millis(3_300), "took over after {:?}", at - now);
 }
@@ -115,7 +115,7 @@
         let (mut role, mut at) = (stopped(now), now);
         while !role.is_watching() {
             at += millis(10);
-            role.step(state(false, draw), at);
+            role.step(inputs(false, draw), at);
         }
         at - now
     };
@@ -128,11 +128,11 @@
     let now = start();
     let mut role = stopped(now);
     let late = now + millis(2_700);
-    role.step(state(false, 0.9), late);
+    role.step(inputs(false, 0.9), late);
 
     role.on_sighting(&sighting(3, 0), late);
     role.on_sighting(&sighting(4, 0), late);
-    role.step(state(false, 0.9), late + millis(1_000));
+    role.step(inputs(false, 0.9), late + millis(1_000));
     assert!(!role.is_watching());
 }
 
@@ -143,14 +143,14 @@
 
     role.on_sighting(&sighting(1, 5_000), now);
     role.on_sighting(&sighting(2, 5_000), now);
-    role.step(state(true, 0.5), now);
+    role.step(inputs(true, 0.5), now);
     assert!(role.is_watching());
 }
 
 #[test]
 fn a_balancer_that_starts_waits_for_its_peers() {
     let now = start();
-    let unknowing = RoleInputs { is_complete: false, ..state(false, 0.5) };
+    let unknowing = RoleInputs { is_complete: false, ..inputs(false, 0.5) };
     let mut role = starting(9, 0.0, now);
     role.step(unknowing, now);
     assert!(!role.is_watching());
@@ -163,7 +163,7 @@
 #[test]
 fn a_peer_that_was_asked_gets_time_to_answer() {
     let now = start();
-    let unknowing = RoleInputs { is_complete: false, ..state(false, 0.5) };
+    let unknowing = RoleInputs { is_complete: false, ..inputs(false, 0.5) };
     let mut role = starting(9, 0.0, now);
     role.on_pull_sent(now + millis(10));
     role.step(unknowing, now + millis(20));
@@ -183,13 +183,13 @@
     role.on_sighting(&sighting(1, 0), now);
     role.on_sighting(&sighting(3, 0), now);
 
-    role.step(state(true, 0.5), now + millis(50));
+    role.step(inputs(true, 0.5), now + millis(50));
     assert!(role.is_watching());
     // Of the three, the second one of the same zone has to stop.
     let mut second = watching(3, now);
     second.on_sighting(&sighting(1, 0), now);
     second.on_sighting(&sighting(8, 0), now);
-    second.step(state(true, 0.5), now);
+    second.step(inputs(true, 0.5), now);
     assert!(!second.is_watching());
 }
 
@@ -200,7 +200,7 @@
     role.on_sighting(&sighting(1, 0), now);
     role.on_sighting(&sighting(3, 0), now);
 
-    role.step(RoleInputs { has_zones: false, ..state(true, 0.5) }, now);
+    role.step(RoleInputs { has_zones: false, ..inputs(true, 0.5) }, now);
     assert!(!role.is_watching());
 }
 
@@ -223,7 +223,7 @@
         let mut at = now;
         while !role.is_watching() {
             at += millis(1);
-            role.step(state(false, 0.5), at);
+            role.step(inputs(false, 0.5), at);
         }
         at - now
     };
@@ -241,26 +241,26 @@
     role.on_sighting(&trying(1), now);
     role.on_sighting(&trying(2), now);
     role.on_sighting(&trying(3), now);
-    role.step(state(false, 0.0), now + millis(100));
+    role.step(inputs(false, 0.0), now + millis(100));
     assert!(!role.is_watching());
 
     // The sightings of the others have expired.
     let later = now + millis(2_000);
-    role.step(state(false, 0.0), later);
+    role.step(inputs(false, 0.0), later);
     assert!(role.is_watching());
-    role.step(state(false, 0.0), later + millis(10));
-    role.step(state(false, 0.0), later + millis(1_700));
+    role.step(inputs(false, 0.0), later + millis(10));
+    role.step(inputs(false, 0.0), later + millis(1_700));
     assert!(!role.is_watching(), "it lets others try");
-    role.step(state(false, 0.0), later + millis(1_800));
+    role.step(inputs(false, 0.0), later + millis(1_800));
     assert!(!role.is_watching());
-    role.step(state(false, 0.0), later + millis(6_000));
+    role.step(inputs(false, 0.0), later + millis(6_000));
     assert!(role.is_watching(), "nobody else tries");
 }
 
 #[test]
 fn one_whose_calls_fail_lets_others_try_soon() {
     let now = start();
-    let failing = RoleInputs { is_failing: true, ..state(false, 0.5) };
+    let failing = RoleInputs { is_failing: true, ..inputs(false, 0.5) };
     let mut role = watching(9, now);
 
     role.step(failing, now + millis(100));
@@ -284,7 +284,7 @@
     for other in [1, 3, 5, 7, 11, 13] {
         role.on_sighting(&sighting(other, 0), later);
     }
-    role.step(state(true, 0.5), later);
+    role.step(inputs(true, 0.5), later);
     let announced: Vec<_> =
         role.sightings(None, None, later).iter().map(|follower| follower.peer).collect();
     assert!(announced.contains(&address(1, 7_000)), "{announced:?}");
@@ -299,7 +299,7 @@
 /// Returns the state of a balancer that knows nothing yet, and that reads a long list if the time
 /// of its last page is given.
 fn without_knowledge(page_ms: Option<u64>) -> RoleInputs {
-    RoleInputs { is_complete: false, page_time: page_ms.map(millis), ..state(true, 0.0) }
+    RoleInputs { is_complete: false, page_time: page_ms.map(millis), ..inputs(true, 0.0) }
 }
 
 /// Guards against all balancers of a large fleet reading the list of backend servers together: when
@@ -360,8 +360,8 @@
         role.on_sighting(&reader(last, 6), now);
     }
 
-    role.step(RoleInputs { hears_complete: true, ..without_knowledge(Some(60)) }, now);
+    role.step(RoleInputs { has_complete_peer: true, ..without_knowledge(Some(60)) }, now);
     assert!(role.is_watching());
-    role.step(RoleInputs { is_being_told: true, ..without_knowledge(Some(60)) }, now);
+    role.step(RoleInputs { is_receiving_answer: true, ..without_knowledge(Some(60)) }, now);
     assert!(!role.is_watching());
 }
