--- a/crates/valvestage-policy/src/steering/decision.rs
+++ b/crates/valvestage-policy/src/steering/decision.rs
@@ -255,7 +255,7 @@
     /// Number of backend servers that take new flows but were excluded: not allowed for this
     /// address, or not at present.
     pub excluded: usize,
-    /// The backend server that did not answer this flow before, if the packet is a copy of the
+    /// The backend server that did not answer this flow before, if the packet retransmits the
     /// opening packet.
     pub instead_of: Option<InstanceId>,
     /// Version of the configuration in force.
--- a/crates/valvestage-policy/src/steering/packets/caller_packet.rs
+++ b/crates/valvestage-policy/src/steering/packets/caller_packet.rs
@@ -28,8 +28,8 @@
     pub token: ShortToken,
     /// Sequence number of the first data byte.
     pub sequence: u32,
-    /// Sequence number of the byte that the caller expects next. On an opening packet: how many
-    /// copies of the packet were sent before.
+    /// Sequence number of the byte that the caller expects next. On an opening packet: how often
+    /// the packet was sent before.
     pub acknowledged: u32,
     /// Length of the data in bytes.
     pub data_length: u32,
@@ -103,8 +103,8 @@
     NoRoute,
     /// The token and the flow record name no backend server that is known.
     UnknownToken,
-    /// The packet is a copy of an opening packet whose first copy went to a backend server that
-    /// takes no new flows any more, and no other backend server can take the flow. The first copy
+    /// The packet retransmits an opening packet that first went to a backend server that takes no
+    /// new flows any more, and no other backend server can take the flow. The first transmission
     /// may still be answered, so the flow is not reset.
     NoOther,
     /// The caller was sent a reset a moment ago, and sent this packet before it got the reset.
--- a/crates/valvestage-policy/src/steering/packets/flow_backend.rs
+++ b/crates/valvestage-policy/src/steering/packets/flow_backend.rs
@@ -8,8 +8,8 @@
 use crate::steering::knowledge::backend_entry::BackendEntry;
 
 /// Returns the backend server of a flow. Before the flow is open, the token takes precedence over
-/// the record: the caller may have accepted the answer of a backend server that got another copy of
-/// the opening packet.
+/// the record: the caller may have accepted the answer of a backend server that got another
+/// transmission of the opening packet.
 pub(in crate::steering) fn instance_of(
     flows: &FlowTracker,
     knowledge: &Knowledge,
--- a/crates/valvestage-policy/src/steering/packets/flow_record.rs
+++ b/crates/valvestage-policy/src/steering/packets/flow_record.rs
@@ -108,7 +108,8 @@
         signal
     }
 
-    /// Handles a copy of the opening packet, which shows that no earlier copy was answered so far.
+    /// Handles a retransmitted opening packet, which shows that no earlier transmission of it was
+    /// answered so far.
     fn observe_opening(&mut self) -> LivenessSignal {
         match self.waiting_since {
             Some(since) if !self.open => LivenessSignal::Unanswered(since),
@@ -210,8 +211,9 @@
     }
 
     /// Handles a packet as a probe of a suspected backend server, if the packet asks for an answer.
-    /// Returns true if an earlier probe is still unanswered after `MAX_ANSWER_TIME`. A probe sent at or
-    /// before `not_before` does not count, since it may have been lost in a network partition.
+    /// Returns true if an earlier probe is still unanswered after `MAX_ANSWER_TIME`. A probe sent
+    /// at or before `not_before` does not count, since it may have been lost in a network
+    /// partition.
     pub fn has_failed_probe(
         &mut self,
         packet: &CallerPacket,
--- a/crates/valvestage-policy/src/steering/packets/held_packets.rs
+++ b/crates/valvestage-policy/src/steering/packets/held_packets.rs
@@ -3,8 +3,8 @@
 //! A balancer that has just started knows no backend servers, and after a restart of all balancers
 //! none knows the backend servers whose entries lapsed during a network partition: they return
 //! within some 2 s. A caller retransmits after 200 ms, and then doubles the interval each time. A
-//! held packet is decided about as soon as possible, which may be a second before its next copy
-//! comes.
+//! held packet is decided about as soon as possible, which may be a second before its next
+//! retransmission comes.
 
 use std::time::{Duration, Instant};
 
@@ -13,8 +13,8 @@
 /// Maximum number of held packets, of 1.3 KB each.
 const MAX_HELD: usize = 256;
 
-/// Time for which a packet is held: a caller that still wants an answer has sent a copy by then,
-/// since copies are at most 1.6 s apart.
+/// Time for which a packet is held: a caller that still wants an answer has retransmitted it by
+/// then, since retransmissions are at most 1.6 s apart.
 const HOLD_TIME: Duration = Duration::from_secs(2);
 
 /// Held packet, with the payload that its driver needs to forward it.
@@ -30,7 +30,7 @@
     until: Instant,
 }
 
-/// Bounded collection of held packets, in the order in which their first copies came.
+/// Bounded collection of held packets, in the order in which they first came.
 #[derive(Debug)]
 pub struct HeldPackets<T> {
     packets: Vec<HeldPacket<T>>,
@@ -46,7 +46,9 @@
     /// Holds a packet, replacing an earlier copy. Returns false if there is no room for it.
     pub fn hold(&mut self, packet: CallerPacket, payload: T, now: Instant) -> bool {
         let until = now + HOLD_TIME;
-        if let Some(held) = self.packets.iter_mut().find(|held| is_copy(&held.packet, &packet)) {
+        if let Some(held) =
+            self.packets.iter_mut().find(|held| is_retransmission(&held.packet, &packet))
+        {
             *held = HeldPacket { packet, payload, copies: held.copies + 1, until };
             return true;
         }
@@ -90,7 +92,7 @@
 }
 
 /// Reports whether two packets carry the same bytes of the same flow.
-fn is_copy(one: &CallerPacket, other: &CallerPacket) -> bool {
+fn is_retransmission(one: &CallerPacket, other: &CallerPacket) -> bool {
     one.flow == other.flow
         && one.opening == other.opening
         && one.closing == other.closing
--- a/crates/valvestage-policy/src/steering/packets/opening_packets.rs
+++ b/crates/valvestage-policy/src/steering/packets/opening_packets.rs
@@ -22,7 +22,7 @@
         packet: &CallerPacket,
         now: Instant,
     ) -> PacketVerdict {
-        if let Some(verdict) = self.on_opening_copy(knowledge, packet, now) {
+        if let Some(verdict) = self.on_opening_retransmission(knowledge, packet, now) {
             return verdict;
         }
 
@@ -33,10 +33,10 @@
         }
     }
 
-    /// Decides about a copy of an opening packet. A copy goes where the first one went, unless that
+    /// Decides about a retransmitted opening packet. It goes where the first one went, unless that
     /// backend server does not answer or takes no new flows any more. Returns `None` if the packet
     /// is to be handled like a first one.
-    fn on_opening_copy(
+    fn on_opening_retransmission(
         &mut self,
         knowledge: &Knowledge,
         packet: &CallerPacket,
--- a/crates/valvestage-policy/src/steering/peers/backend_parts.rs
+++ b/crates/valvestage-policy/src/steering/peers/backend_parts.rs
@@ -111,7 +111,7 @@
 
 fn change_of(entry: &BackendEntry, names: &mut Vec<String>, now: Instant) -> BackendChange {
     let cold_until = entry.cold_until.unwrap_or(now);
-    let standing = match entry.phase {
+    let phase = match entry.phase {
         BackendPhase::Ready => RecordedPhase::Ready,
         BackendPhase::Draining => RecordedPhase::Draining,
         BackendPhase::Unusable => RecordedPhase::Unusable,
@@ -131,7 +131,7 @@
             address: entry.address,
             slots: entry.slots,
             cold_for_ms: millis_since(now, cold_until),
-            phase: standing,
+            phase,
         },
     }
 }
--- a/crates/valvestage-policy/src/steering/placement/flow_placer.rs
+++ b/crates/valvestage-policy/src/steering/placement/flow_placer.rs
@@ -208,6 +208,6 @@
 }
 
 /// Time within which a backend server answers an opening packet or acknowledges data. Callers
-/// retransmit after 200 ms; a copy that arrives earlier says nothing, since two packets may have
-/// been read together.
+/// retransmit after 200 ms; a retransmission that arrives earlier says nothing, since two packets
+/// may have been read together.
 pub(in crate::steering) const MAX_ANSWER_TIME: Duration = Duration::from_millis(150);
--- a/crates/valvestage-policy/src/steering/store/watch_role.rs
+++ b/crates/valvestage-policy/src/steering/store/watch_role.rs
@@ -321,9 +321,9 @@
 
         let longest =
             now + if inputs.is_failing { ATTEMPT_TIMEOUT_AFTER_FAILURE } else { ATTEMPT_TIMEOUT };
-        let try_until = self.attempt_until.map_or(longest, |until| until.min(longest));
-        self.attempt_until = Some(try_until);
-        if try_until <= now {
+        let attempt_until = self.attempt_until.map_or(longest, |until| until.min(longest));
+        self.attempt_until = Some(attempt_until);
+        if attempt_until <= now {
             self.watching = false;
             self.attempt_until = None;
             self.backoff_until = Some(now + backoff_for(inputs.recent_peers));
--- a/crates/valvestage-policy/tests/steering/backend_health.rs
+++ b/crates/valvestage-policy/tests/steering/backend_health.rs
@@ -14,8 +14,8 @@
 fn one_flow_without_an_answer_is_no_evidence() {
     let (mut health, now) = (BackendHealth::default(), start());
 
-    for copy in 1..4 {
-        let at = now + millis(200 * copy);
+    for retransmission in 1..4 {
+        let at = now + millis(200 * retransmission);
         assert!(health.observe(SERVER, flow(1), LivenessSignal::Unanswered(now), at).is_none());
     }
     assert!(!health.is_suspect(SERVER, now + millis(600)));
--- a/crates/valvestage-policy/tests/steering/cold_backends.rs
+++ b/crates/valvestage-policy/tests/steering/cold_backends.rs
@@ -291,19 +291,20 @@
 }
 
 #[test]
-fn copies_of_opening_packets_count_too() {
+fn retransmitted_opening_packets_count_too() {
     let (mut policy, known, now) = sole_balancer();
 
     let mut taken = 0;
-    for copies in 0..20 {
-        let verdict = policy.on_packet(&known, &opening(flow(1), copies), now + millis(10));
+    for retransmissions in 0..20 {
+        let verdict =
+            policy.on_packet(&known, &opening(flow(1), retransmissions), now + millis(10));
         taken += usize::from(matches!(verdict, PacketVerdict::Forward { .. }));
     }
     assert_eq!(taken, holder_share(12.5, 0, 1));
 }
 
 #[test]
-fn a_copy_without_another_backend_server_does_not_reset_the_flow() {
+fn a_retransmission_without_another_backend_server_does_not_reset_the_flow() {
     let (mut policy, known, now) = sole_balancer();
     for port in 1..=6 {
         policy.on_packet(&known, &opening(flow(port), 0), now);
--- a/crates/valvestage-policy/tests/steering/fixtures.rs
+++ b/crates/valvestage-policy/tests/steering/fixtures.rs
@@ -83,8 +83,8 @@
     knowledge
 }
 
-/// Returns the opening packet of a flow, sent after that many copies.
-pub fn opening(flow: FlowAddresses, copies: u32) -> CallerPacket {
+/// Returns the opening packet of a flow, retransmitted that many times so far.
+pub fn opening(flow: FlowAddresses, retransmissions: u32) -> CallerPacket {
     CallerPacket {
         flow,
         opening: true,
@@ -92,7 +92,7 @@
         reset: false,
         token: 0,
         sequence: 1_000,
-        acknowledged: copies,
+        acknowledged: retransmissions,
         data_length: 0,
     }
 }
--- a/crates/valvestage-policy/tests/steering/flow_record.rs
+++ b/crates/valvestage-policy/tests/steering/flow_record.rs
@@ -5,7 +5,7 @@
 use crate::fixtures::{data, flow, millis, opening, seeded, start};
 
 #[test]
-fn a_copy_of_the_opening_packet_shows_that_an_answer_is_missing() {
+fn a_retransmitted_opening_packet_shows_that_an_answer_is_missing() {
     let now = start();
     let mut record = FlowRecord::open_at(7, now);
 
--- a/crates/valvestage-policy/tests/steering/held_packets.rs
+++ b/crates/valvestage-policy/tests/steering/held_packets.rs
@@ -3,8 +3,8 @@
 //! All balancers restart while an availability zone is cut off. The entries of its backend servers
 //! have lapsed, so no balancer knows the backend servers of their flows until the entries return,
 //! some 0.8 s after the partition. Callers retransmit a request after 200 ms, and then double the
-//! interval: a copy that arrives just before the entry is read would be the last one for 0.8 to 1.6
-//! s, more than half of the time that a caller allows for a request.
+//! interval: a retransmission that arrives just before the entry is read would be the last for 0.8
+//! to 1.6 s, more than half of the time that a caller allows for a request.
 
 use std::time::Instant;
 
@@ -65,14 +65,14 @@
 }
 
 #[test]
-fn a_copy_replaces_the_copy_before() {
+fn a_retransmission_replaces_the_packet_before() {
     let (_, mut held, now) = policy_with_held_packet();
 
     assert!(held.hold(request(1), 2, now + millis(200)));
     assert!(held.hold(request(2), 3, now + millis(300)));
     assert!(
         held.take_expired(now + millis(2_100)).is_empty(),
-        "the copy has a hold time of its own"
+        "the retransmission has a hold time of its own"
     );
     let all = held.take_decidable(|_| true);
     let all: Vec<_> = all.iter().map(|held| (held.payload, held.copies)).collect();
@@ -96,5 +96,5 @@
 
     let taken = (1..=1_000).filter(|port| held.hold(request(*port), *port, now)).count();
     assert_eq!(taken, 256);
-    assert!(held.hold(request(1), 1, now), "a copy needs no room");
+    assert!(held.hold(request(1), 1, now), "a retransmission needs no room");
 }
--- a/crates/valvestage-policy/tests/steering/packets.rs
+++ b/crates/valvestage-policy/tests/steering/packets.rs
@@ -85,45 +85,45 @@
 }
 
 #[test]
-fn a_copy_of_an_opening_packet_leaves_a_backend_server_that_is_draining_by_now() {
+fn a_retransmitted_opening_packet_leaves_a_backend_server_that_is_draining_by_now() {
     let (mut policy, mut known, now) =
         site(&[backend(1, "core", OWN_ZONE), backend(2, "core", OWN_ZONE)]);
     let server = instance(policy.on_packet(&known, &opening(flow(1), 0), now));
 
     drain(&mut known, server);
-    let copy = policy.on_packet(&known, &opening(flow(1), 1), now + millis(200));
-    assert_ne!(instance(copy), server);
+    let retransmission = policy.on_packet(&known, &opening(flow(1), 1), now + millis(200));
+    assert_ne!(instance(retransmission), server);
 }
 
 #[test]
-fn copies_read_together_go_to_one_backend_server() {
+fn retransmissions_read_together_go_to_one_backend_server() {
     let (mut policy, known, now) =
         site(&[backend(1, "core", OWN_ZONE), backend(2, "core", OWN_ZONE)]);
 
-    // The balancer was slow: the packet and its copy were both queued to be read.
+    // The balancer was slow: the packet and its retransmission were both queued to be read.
     let first = instance(policy.on_packet(&known, &opening(flow(1), 0), now));
-    let copy = policy.on_packet(&known, &opening(flow(1), 1), now + millis(1));
-    assert_eq!(instance(copy), first);
+    let retransmission = policy.on_packet(&known, &opening(flow(1), 1), now + millis(1));
+    assert_eq!(instance(retransmission), first);
 }
 
 #[test]
-fn a_copy_leaves_a_backend_server_that_does_not_answer() {
+fn a_retransmission_leaves_a_backend_server_that_does_not_answer() {
     let (mut policy, known, now) =
         site(&[backend(1, "core", OWN_ZONE), backend(2, "core", OWN_ZONE)]);
 
     let first = instance(policy.on_packet(&known, &opening(flow(1), 0), now));
-    let copy = policy.on_packet(&known, &opening(flow(1), 1), now + millis(200));
-    assert_ne!(instance(copy), first);
+    let retransmission = policy.on_packet(&known, &opening(flow(1), 1), now + millis(200));
+    assert_ne!(instance(retransmission), first);
 }
 
 #[test]
-fn a_copy_stays_with_a_backend_server_that_answers_others() {
+fn a_retransmission_stays_with_a_backend_server_that_answers_others() {
     let (mut policy, known, now) = site(&[backend(1, "core", OWN_ZONE)]);
     let first = instance(policy.on_packet(&known, &opening(flow(1), 0), now));
 
     open(&mut policy, &known, 2, now + millis(50));
-    let copy = policy.on_packet(&known, &opening(flow(1), 1), now + millis(200));
-    assert_eq!(instance(copy), first);
+    let retransmission = policy.on_packet(&known, &opening(flow(1), 1), now + millis(200));
+    assert_eq!(instance(retransmission), first);
 }
 
 #[test]
--- a/crates/valvestage-policy/tests/steering/partitioned_zones.rs
+++ b/crates/valvestage-policy/tests/steering/partitioned_zones.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn flows_that_may_go_on_at_the_other_side_of_a_cut_are_not_reset() {
+fn flows_that_may_go_on_at_the_other_side_of_a_partition_are_not_reset() {
     let mut site = Site::with_flow_in(OTHER_ZONE);
 
     assert_eq!(site.partition_other_zone(), []);
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn flows_are_reset_after_the_return_time_of_their_entry_since_the_cut() {
+fn flows_are_reset_after_the_return_time_of_their_entry_since_the_partition() {
     let mut site = Site::with_flow_in(OTHER_ZONE);
 
     site.partition_other_zone();
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn flows_are_not_reset_in_a_zone_that_was_cut_off_itself() {
+fn flows_are_not_reset_in_a_zone_that_was_partitioned_itself() {
     let mut site = Site::with_flow_in(OWN_ZONE);
 
     site.reachable_zones = Vec::new();
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_packet_sent_during_the_cut_shows_nothing() {
+fn a_packet_sent_during_the_partition_shows_nothing() {
     let mut site = Site::with_flow_in(OTHER_ZONE);
 
     site.partition_other_zone();
@@ -220,7 +220,7 @@
 
 /// Flows are ended without delay if the zone was reachable all the time.
 #[test]
-fn without_a_cut_a_lapse_after_silence_resets_flows_at_once() {
+fn without_a_partition_a_lapse_after_silence_resets_flows_at_once() {
     let mut site = Site::with_flow_in(OTHER_ZONE);
 
     site.advance(millis(3_000));
--- a/crates/valvestage-policy/tests/steering/regions.rs
+++ b/crates/valvestage-policy/tests/steering/regions.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_copy_of_an_opening_packet_follows_a_change_of_the_regions() {
+fn a_retransmitted_opening_packet_follows_a_change_of_the_regions() {
     let (mut policy, now) = (balancer(), start());
     policy.on_packet(&with_regions(&["west"]), &opening(flow(1), 0), now);
 
--- a/crates/valvestage-policy/tests/steering/unresolved_tokens.rs
+++ b/crates/valvestage-policy/tests/steering/unresolved_tokens.rs
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn wanted_tokens_are_limited_in_number_and_time() {
+fn unresolved_tokens_are_limited_in_number_and_time() {
     let mut unresolved =
         valvestage_policy::steering::packets::unresolved_tokens::UnresolvedTokens::default();
     let (nothing, now): (_, Instant) = (BackendDirectory::default(), start());
