--- a/crates/valvestage-core/src/settings/entry.rs
+++ b/crates/valvestage-core/src/settings/entry.rs
@@ -68,7 +68,7 @@
     /// Availability zone of this VM; not empty.
     pub zone: ZoneName,
     /// Availability zones of other regions; never the own one.
-    pub far_zones: BTreeSet<ZoneName>,
+    pub other_region_zones: BTreeSet<ZoneName>,
     /// The region of each availability zone, as far as it is known.
     pub zone_regions: BTreeMap<ZoneName, RegionName>,
     /// Whether operators evacuate availability zones.
@@ -172,7 +172,7 @@
         let seeds = seeds.filter(|ip| *ip != own_ip && *ip != advertised_ip);
         Ok(Self {
             name: raw.name,
-            far_zones: far_zones(&raw.zone, &raw.zone_regions),
+            other_region_zones: other_region_zones(&raw.zone, &raw.zone_regions),
             zone_regions: raw.zone_regions,
             has_evacuations: raw.evacuations,
             cold_limit: is_limited.then_some(ColdSettings { over: cold_over, slack: cold_slack }),
@@ -193,7 +193,10 @@
 }
 
 /// The zones whose region is known to be another one than that of a zone.
-fn far_zones(zone: &ZoneName, regions: &BTreeMap<ZoneName, RegionName>) -> BTreeSet<ZoneName> {
+fn other_region_zones(
+    zone: &ZoneName,
+    regions: &BTreeMap<ZoneName, RegionName>,
+) -> BTreeSet<ZoneName> {
     let Some(own) = regions.get(zone) else { return BTreeSet::new() };
     let far = regions.iter().filter(|(_, region)| *region != own);
 
--- a/crates/valvestage-core/tests/entry_settings.rs
+++ b/crates/valvestage-core/tests/entry_settings.rs
@@ -28,15 +28,15 @@
         "[zone_regions]\n\"zone-a\" = \"west\"\n\"zone-b\" = \"west\"\n\"zone-c\" = \"east\"\n",
     );
 
-    assert_eq!(settings.far_zones, ["zone-c".to_owned()].into());
+    assert_eq!(settings.other_region_zones, ["zone-c".to_owned()].into());
 }
 
 #[test]
 fn without_regions_no_zone_is_far() {
-    assert!(read("").far_zones.is_empty());
-    assert!(read("[zone_regions]\n").far_zones.is_empty());
+    assert!(read("").other_region_zones.is_empty());
+    assert!(read("[zone_regions]\n").other_region_zones.is_empty());
     // The own zone is not named: which region it is in is not known.
-    assert!(read("[zone_regions]\nzone-b = \"west\"\n").far_zones.is_empty());
+    assert!(read("[zone_regions]\nzone-b = \"west\"\n").other_region_zones.is_empty());
 }
 
 #[test]
--- a/crates/valvestage-entry/src/process.rs
+++ b/crates/valvestage-entry/src/process.rs
@@ -100,7 +100,7 @@
 fn options(settings: &EntrySettings) -> EntryOptions {
     let steering = SteeringOptions {
         zone: settings.zone.clone(),
-        other_region_zones: settings.far_zones.clone(),
+        other_region_zones: settings.other_region_zones.clone(),
         zone_regions: settings.zone_regions.clone(),
         cold_limit: settings
             .cold_limit
--- a/crates/valvestage-entry/src/store_tasks.rs
+++ b/crates/valvestage-entry/src/store_tasks.rs
@@ -86,12 +86,12 @@
 }
 
 fn read_backend_event(event: &WireEvent) -> Option<BackendUpdate> {
-    let BackendReading { news, fault } = logged(read_backend(event, Instant::now()))?;
+    let BackendReading { update, fault } = logged(read_backend(event, Instant::now()))?;
 
     if let Some(fault) = fault {
         log::error!("{fault}; it names no backend server to use");
     }
-    Some(news)
+    Some(update)
 }
 
 fn logged<T>(result: Result<T, PlatformError>) -> Option<T> {
--- a/crates/valvestage-policy/src/steering/knowledge/ready_backends.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/ready_backends.rs
@@ -11,7 +11,7 @@
 pub struct ZoneBackends {
     instances: BTreeSet<InstanceId>,
     /// The backend servers whose entries said when they were read that a slow start was under way.
-    started: BTreeSet<InstanceId>,
+    with_slow_start: BTreeSet<InstanceId>,
     /// Number of requests that all of them process concurrently.
     slots: u64,
 }
@@ -24,7 +24,7 @@
 
     /// Returns the backend servers that are, or were, in slow start.
     pub fn with_slow_start(&self) -> impl Iterator<Item = InstanceId> {
-        self.started.iter().copied()
+        self.with_slow_start.iter().copied()
     }
 
     /// Returns the number of backend servers.
@@ -91,7 +91,7 @@
 
         zone.instances.insert(entry.instance);
         if entry.cold_until.is_some() {
-            zone.started.insert(entry.instance);
+            zone.with_slow_start.insert(entry.instance);
         }
         zone.slots += u64::from(entry.slots);
         self.count += 1;
@@ -102,7 +102,7 @@
         let Some(zone) = zones.get_mut(&entry.zone) else { return };
 
         zone.instances.remove(&entry.instance);
-        zone.started.remove(&entry.instance);
+        zone.with_slow_start.remove(&entry.instance);
         zone.slots -= u64::from(entry.slots);
         self.count -= 1;
         if zone.is_empty() {
--- a/crates/valvestage-policy/src/steering/packets/steering_policy.rs
+++ b/crates/valvestage-policy/src/steering/packets/steering_policy.rs
@@ -140,7 +140,7 @@
         demands: &[ServiceDemand],
         now: Instant,
     ) {
-        self.demand.on_told(peer, zone, demands, now);
+        self.demand.on_peer_report(peer, zone, demands, now);
     }
 
     /// Returns the demand of all known balancers.
--- a/crates/valvestage-policy/src/steering/placement/fleet_demand.rs
+++ b/crates/valvestage-policy/src/steering/placement/fleet_demand.rs
@@ -126,7 +126,7 @@
 
 impl FleetDemand {
     /// Records the demand that another balancer reports.
-    pub fn on_told(
+    pub fn on_peer_report(
         &mut self,
         peer: SocketAddrV4,
         zone: &ZoneName,
