--- a/crates/valvestage-entry/src/control_thread.rs
+++ b/crates/valvestage-entry/src/control_thread.rs
@@ -1,4 +1,5 @@
-//! Store, readiness and signals, on an actix system of one thread.
+//! The control thread: store access, readiness and metrics endpoints, settings and signals, on a
+//! single-threaded actix system.
 
 use std::io;
 use std::net::TcpListener;
@@ -18,50 +19,51 @@
 use crate::updates::{ControlUpdate, UpdateSender};
 use crate::{metrics_server, ready_server, settings_task, store_tasks};
 
-/// Longest wait for an answer of the store, which takes 4 ms on a calm day and is at times some 60
-/// times slower.
+/// Time limit for a response of the store. The store usually responds in 4 ms, but can be about 60
+/// times slower at times.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Time from SIGTERM to the end of the process. The routers ask twice a second and need two misses;
-/// the rest is for packets under way.
+/// Time from SIGTERM to the end of the process. The routers check readiness twice a second and
+/// remove a balancer after two failed checks; the rest of the time is for packets in flight.
 const FORWARD_AFTER_TERM: Duration = Duration::from_millis(2_000);
 
-/// Time left before SIGKILL.
+/// Time reserved between the planned end of the process and SIGKILL.
 const KILL_MARGIN: Duration = Duration::from_millis(500);
 
-/// `ControlThread` is what the thread needs.
+/// State with which the control thread starts.
 pub struct ControlThread {
-    /// The file that the settings were read from.
+    /// Settings file, which is watched for changes.
     pub settings_file: PathBuf,
-    /// Settings of this VM.
+    /// Settings of this VM as read at the start.
     pub settings: EntrySettings,
-    /// Where readiness is asked for.
+    /// Listener of the readiness endpoint.
     pub ready_listener: TcpListener,
-    /// Where metrics are asked for.
+    /// Listener of the metrics endpoint.
     pub metrics_listener: TcpListener,
-    /// What is counted.
+    /// Metrics, shared with the data thread.
     pub metrics: Arc<EntryMetrics>,
-    /// Whether this VM takes packets.
+    /// Readiness of this VM. Set by the data thread, and cleared here on SIGTERM.
     pub ready: Arc<AtomicBool>,
-    /// Calls to the store that the data thread asks for.
+    /// Store requests from the data thread.
     pub orders: Receiver<StoreOrder>,
-    /// News for the data thread.
+    /// Sends updates to the data thread.
     pub updates: UpdateSender,
-    /// Why the data thread has ended, which it never should.
+    /// Receives the error with which the data thread ended. It runs as long as the process
+    /// otherwise.
     pub data_end: oneshot::Receiver<io::Error>,
-    /// Whether SIGTERM came before it was watched here.
+    /// Whether SIGTERM arrived before this thread handled signals.
     pub told_to_stop: Arc<AtomicBool>,
 }
 
 impl ControlThread {
-    /// `run` serves until SIGTERM, and forwards for a while after it.
+    /// Runs until SIGTERM, then keeps the process forwarding packets for a grace period.
     pub fn run(self) -> io::Result<()> {
         actix_rt::System::new().block_on(self.serve())
     }
 
     async fn serve(self) -> io::Result<()> {
         let mut terminate = signal(SignalKind::terminate())?;
-        // Watched from now on, so that none falls between.
+        // Read only after the handler above is installed, so that no SIGTERM in between is missed.
         let was_told = self.told_to_stop.load(Ordering::Relaxed);
         let client = StoreClient::new(StoreOptions {
             address: self.settings.store_address.into(),
@@ -90,12 +92,13 @@
         tokio::select! {
             _ = terminate.recv(), if !was_told => {}
             () = std::future::ready(()), if was_told => {}
-            // Without packets there is nothing left to do: the platform starts the process again.
+            // The balancer is useless without the data thread: end the process, which the platform
+            // then restarts.
             end = self.data_end => {
-                return Err(end.unwrap_or_else(|_| io::Error::other("the data thread has ended")));
+                return Err(end.unwrap_or_else(|_| io::Error::other("the data thread ended unexpectedly")));
             }
         }
-        log::info!("SIGTERM: no longer ready, forwarding for a while");
+        log::info!("SIGTERM received: no longer ready, still forwarding packets");
         self.updates.send(ControlUpdate::Stop);
         self.ready.store(false, Ordering::Relaxed);
         let longest = self.settings.stop_within.saturating_sub(KILL_MARGIN);
@@ -107,6 +110,6 @@
 
 fn log_end(what: &str, result: io::Result<()>) {
     if let Err(error) = result {
-        log::error!("{what} cannot be served any more: {error}");
+        log::error!("the {what} server failed: {error}");
     }
 }
--- a/crates/valvestage-entry/src/data_thread.rs
+++ b/crates/valvestage-entry/src/data_thread.rs
@@ -1,4 +1,4 @@
-//! Packets of callers and messages of other balancers, in and out.
+//! The data thread: receives and sends callers' packets and messages of other balancers.
 
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -21,61 +21,61 @@
 use crate::store_tasks::StoreOrder;
 use crate::updates::ControlUpdate;
 
-/// Marks events of the data socket.
+/// Poll token of the data socket.
 const DATA_SOCKET: Token = Token(0);
 
-/// Marks events of the peer socket.
+/// Poll token of the peer socket.
 const PEER_SOCKET: Token = Token(1);
 
-/// Marks updates of the control thread.
+/// Poll token of the waker for updates from the control thread.
 pub const UPDATES: Token = Token(2);
 
-/// Time between two readings of the gauges.
+/// Interval between updates of the gauges.
 const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Datagrams read from one socket before the other one has its turn.
+/// Datagrams read from one socket before the other socket is read.
 const BATCH: usize = 64;
 
-/// Batches of each socket in one turn: some 1,000 packets take about 5 ms on a fast core and 90 ms on
-/// one of 0.055, less than a tick.
+/// Largest number of batches read from each socket in one iteration of the loop. About 1,000
+/// packets take some 5 ms on a fast core and 90 ms on 0.055 of a core, which is less than a tick.
 const BATCHES: usize = 16;
 
-/// `DataLinks` is what joins the data thread to the world.
+/// Sockets, channels and shared state of the data thread.
 pub struct DataLinks {
-    /// Waits for all of them.
+    /// Waits for events of both sockets and of the updates' waker.
     pub poll: Poll,
-    /// Packets of callers.
+    /// Socket for callers' packets.
     pub data_socket: UdpSocket,
-    /// Messages of other balancers.
+    /// Socket for messages between balancers.
     pub peer_socket: UdpSocket,
-    /// News of the control thread.
+    /// Updates from the control thread.
     pub updates: Receiver<ControlUpdate>,
-    /// Calls to the store.
+    /// Store requests to the control thread.
     pub orders: mpsc::Sender<StoreOrder>,
-    /// Whether this VM takes packets.
+    /// Readiness of this VM, which the readiness endpoint reports.
     pub ready: Arc<AtomicBool>,
-    /// What is counted.
+    /// Metrics, shared with the control thread.
     pub metrics: Arc<EntryMetrics>,
 }
 
-/// `DataThread` forwards packets as the policy says.
+/// Event loop that forwards packets as the policy decides.
 pub struct DataThread {
     links: DataLinks,
     policy: EntryPolicy,
-    /// Whether the process was told to stop; it is never ready again.
+    /// Whether the process is stopping. A stopping process never becomes ready again.
     stopping: bool,
-    /// Datagrams about which nothing can be decided yet.
+    /// Packets held until the policy can decide about them.
     held: HeldPackets<Vec<u8>>,
-    /// Room for the datagram being sent.
+    /// Reused buffer for the datagram to be sent.
     outgoing: Vec<u8>,
     log: DecisionLog,
-    /// Datagrams that could not be sent in this turn.
+    /// Datagrams that could not be sent since decisions were last logged.
     unsent: Option<UnsentDatagrams>,
     next_gauges: Instant,
 }
 
 impl DataThread {
-    /// `new` prepares the thread.
+    /// Registers the sockets with the poll and creates the event loop.
     pub fn new(mut links: DataLinks, policy: EntryPolicy, log: DecisionLog) -> io::Result<Self> {
         let registry = links.poll.registry();
         registry.register(&mut links.data_socket, DATA_SOCKET, Interest::READABLE)?;
@@ -93,9 +93,9 @@
         })
     }
 
-    /// `run` forwards packets as long as the process lives.
+    /// Runs the event loop until the process ends. Returns only if polling fails.
     pub fn run(mut self) -> io::Result<()> {
-        /// Events taken from one poll; there are three sources.
+        /// Capacity for the events of one poll, of which there are three sources.
         const MAX_EVENTS: usize = 8;
         let mut events = Events::with_capacity(MAX_EVENTS);
         let mut has_more = false;
@@ -119,8 +119,9 @@
         }
     }
 
-    /// Reads datagrams until there are none, or for so long that updates and ticks have to have their
-    /// turn; true if there may be more. An event comes only once for what is not read.
+    /// Reads datagrams until both sockets are empty, or until [`BATCHES`] is reached, so that
+    /// updates and ticks are not delayed. Returns whether there may be more datagrams: events are
+    /// edge-triggered, so none reports datagrams that are left unread.
     fn receive(&mut self) -> bool {
         for _ in 0..BATCHES {
             let has_packets = self.receive_packets();
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Becomes ready as soon as enough is known.
+    /// Sets this VM ready once the policy knows enough, unless the process is stopping.
     fn check_ready(&mut self) {
         if !self.policy.is_ready() || self.stopping {
             return;
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Handles the packets that waited for what is known now.
+    /// Handles the held packets about which the policy can now decide.
     fn release_held(&mut self) {
         let Self { held, policy, .. } = self;
 
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Reads a batch of packets; true if there may be more.
+    /// Reads a batch of packets. Returns whether there may be more.
     fn receive_packets(&mut self) -> bool {
         let mut datagram = [0; packet::MAX_PACKET_BYTES + 1];
 
@@ -205,13 +206,13 @@
             match self.links.data_socket.recv(&mut datagram) {
                 Ok(length) => self.handle_packet(&datagram[..length]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return false,
-                Err(error) => log::warn!("receive packet: {error}"),
+                Err(error) => log::warn!("failed to receive a packet: {error}"),
             }
         }
         true
     }
 
-    /// Reads a batch of messages; true if there may be more.
+    /// Reads a batch of messages. Returns whether there may be more.
     fn receive_messages(&mut self) -> bool {
         let mut datagram = [0; peer_codec::MAX_DATAGRAM_BYTES];
 
@@ -222,7 +223,7 @@
                 }
                 Ok(_) => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return false,
-                Err(error) => log::warn!("receive message: {error}"),
+                Err(error) => log::warn!("failed to receive a message from a peer: {error}"),
             }
         }
         true
@@ -231,7 +232,7 @@
     fn handle_message(&mut self, sender: SocketAddrV4, datagram: &[u8]) {
         let Some(message) = peer_codec::decode(datagram) else {
             self.links.metrics.on_unreadable();
-            log::debug!("a datagram of {sender} is no message");
+            log::debug!("ignored a datagram from {sender}: not a message of this version");
             return;
         };
 
@@ -250,7 +251,7 @@
                 }
                 KeeperAction::Call(kind, call) => {
                     if let Err(error) = self.links.orders.try_send((kind, call)) {
-                        log::error!("a call to the store is lost: {error}");
+                        log::error!("store request dropped: {error}");
                     }
                 }
             }
@@ -283,7 +284,7 @@
         }
     }
 
-    /// Tells the callers whose flows are over.
+    /// Sends resets to the callers whose flows the policy has ended.
     fn send_resets(&mut self) {
         for reset in self.policy.take_resets() {
             self.send_reset(reset);
@@ -291,7 +292,7 @@
     }
 
     fn send_reset(&mut self, reset: FlowReset) {
-        // Callers are reached on the port that data addresses have.
+        // Callers receive datagrams on the same port as the balancers' data sockets.
         let port = self.links.data_socket.local_addr().map_or(0, |address| address.port());
         let caller = SocketAddr::new((*reset.flow.caller.ip()).into(), port);
 
@@ -299,7 +300,8 @@
         self.note_sent(self.links.data_socket.send_to(&reset, caller), caller);
     }
 
-    /// A datagram that cannot be sent is like one that is lost: its sender sends it again.
+    /// Counts a datagram that could not be sent. It is treated like a lost datagram, which the
+    /// original sender retransmits.
     fn note_sent(&mut self, sent: io::Result<usize>, peer: SocketAddr) {
         let Err(error) = sent else { return };
 
--- a/crates/valvestage-entry/src/decision_lines.rs
+++ b/crates/valvestage-entry/src/decision_lines.rs
@@ -1,4 +1,4 @@
-//! Decisions as JSON log lines.
+//! Log of the policy's decisions as JSON lines.
 
 use std::fmt::Display;
 use std::io;
@@ -18,35 +18,36 @@
 
 use crate::log_budget::LogBudget;
 
-/// `DecisionLog` writes decisions within a budget.
+/// Rate-limited log of decisions.
 pub struct DecisionLog {
     ring: Option<LogRing>,
-    /// Name of this VM.
+    /// Name of this VM, which is part of each line.
     vm: String,
     budget: LogBudget,
 }
 
 impl DecisionLog {
-    /// `new` writes to a ring; without one it writes nothing.
+    /// Creates a log that writes to `ring`, or writes nothing if it is `None`.
     #[must_use]
     pub fn new(ring: Option<LogRing>, vm: String) -> Self {
         Self { ring, vm, budget: LogBudget::default() }
     }
 
-    /// `left_out` gives the number of lines that the ring had no room for and no line has told of.
+    /// Returns the number of lines that were dropped since the ring was full and that no later line
+    /// has reported.
     #[must_use]
     pub fn left_out(&self) -> u64 {
         self.ring.as_ref().map_or(0, LogRing::left_out)
     }
 
-    /// `write` writes the line of a decision if the budget allows it.
+    /// Writes a decision unless the rate limit of its event is reached.
     pub fn write(&mut self, decision: &Decision, now: Instant) {
         let is_ordinary = is_ordinary(decision);
 
         self.write_line(event_name(decision), is_ordinary, now, |line| fill(line, decision));
     }
 
-    /// `write_unsent` writes that datagrams were not sent, if the budget allows it.
+    /// Writes that datagrams could not be sent, unless the rate limit of this event is reached.
     pub fn write_unsent(&mut self, unsent: UnsentDatagrams, now: Instant) {
         self.write_line("unsent", false, now, |line| {
             line.put("datagrams", unsent.count);
@@ -75,18 +76,18 @@
     }
 }
 
-/// `UnsentDatagrams` is what the operating system did not take in one turn.
+/// Datagrams that the operating system did not accept in one iteration of the data thread's loop.
 #[derive(Debug, Clone, Copy)]
 pub struct UnsentDatagrams {
-    /// How many.
+    /// Number of these datagrams.
     pub count: u64,
-    /// Where the last of them was to go.
+    /// Destination of the last one.
     pub peer: SocketAddr,
-    /// Why it was not taken.
+    /// Why the operating system did not accept the last one.
     pub cause: io::ErrorKind,
 }
 
-/// `event_name` gives the name of a decision in logs.
+/// Returns the event name of a decision in logs and metrics.
 #[must_use]
 pub fn event_name(decision: &Decision) -> &'static str {
     match decision {
@@ -123,12 +124,12 @@
     }
 }
 
-/// Those that come with every flow.
+/// Reports whether a decision is one that is made for every new flow.
 fn is_ordinary(decision: &Decision) -> bool {
     matches!(decision, Decision::Placed(placement) if placement.instead_of.is_none())
 }
 
-/// Fields of a line.
+/// Fields of a log line.
 struct LineFields {
     fields: Map<String, Value>,
 }
@@ -150,12 +151,13 @@
         self.put(name, value.to_string());
     }
 
-    /// The same form as in the store: hex digits.
+    /// Puts an instance in hexadecimal digits, as in the names of the store's entries.
     fn put_instance(&mut self, name: &str, instance: u64) {
         self.put(name, format!("{:x}", shown_digits(instance)));
     }
 
-    /// The same, and which start of it.
+    /// Puts the instance of a backend server, and its birth, which distinguishes restarts under the
+    /// same name.
     fn put_backend(&mut self, instance: u64) {
         self.put_instance("backend", instance);
         self.put("birth", format!("{:x}", shown_birth(instance)));
@@ -170,7 +172,7 @@
         self.put_text("address", flow.service);
     }
 
-    /// Puts a revision under a key, and beside it the era of the store that it is of.
+    /// Puts the revision of a position under `key`, and its era under `era`.
     fn put_position(&mut self, key: &'static str, position: StorePosition) {
         self.put(key, position.revision);
         self.put("era", position.era);
@@ -343,7 +345,7 @@
     line.put_time("waited_ms", answer.waited);
 }
 
-/// Two digits after the point are enough for a reader.
+/// Rounds to two decimal places, which is precise enough for a reader of the log.
 fn rounded(number: f64) -> f64 {
     (number * 100.0).round() / 100.0
 }
--- a/crates/valvestage-entry/src/entry_metrics.rs
+++ b/crates/valvestage-entry/src/entry_metrics.rs
@@ -1,7 +1,7 @@
 //! Counters, gauges and histograms of one entry VM.
 //!
-//! Label values are bounded: reasons and events are fixed names, and of services and availability zones
-//! only so many are told apart.
+//! The number of label values is bounded: reasons and events have fixed names, and the number of
+//! distinct services and availability zones is limited.
 
 use std::collections::BTreeSet;
 use std::sync::Mutex;
@@ -21,54 +21,55 @@
 
 use crate::decision_lines::event_name;
 
-/// Prefix of all names.
+/// Prefix of all metric names.
 const PREFIX: &str = "valvestage_entry";
 
-/// Services, and availability zones, that are told apart; the rest is `other`.
+/// Half of the largest number of distinct service and availability zone names in labels, both
+/// counted together. Further names are reported as `other`.
 const MAX_NAMES: usize = 64;
 
-/// Age of what was never confirmed, milliseconds: some 49 days. The exposition format has no room for
-/// the largest numbers.
+/// Largest age in milliseconds, about 49 days, which is also reported if the store never confirmed
+/// the knowledge. The exposition format cannot represent the largest 64-bit numbers.
 const NEVER_MS: u64 = u32::MAX as u64;
 
-/// Upper bounds of the answer times, seconds: around the aims of the deployments, 0.1 to 2 s, and the
-/// callers' waits of 0.2, 0.6 and 1.4 s.
+/// Upper bounds of the histogram buckets in seconds. They are placed around the deployments'
+/// response time targets of 0.1 to 2 s and around the callers' timeouts of 0.2, 0.6 and 1.4 s.
 const ANSWER_BOUNDS: [f64; 12] =
     [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.6, 1.0, 1.4, 3.0];
 
-/// `EventLabel` names an event of the log.
+/// Label set with the event name of a decision.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct EventLabel {
-    /// Its name.
+    /// Event name as in the log.
     pub event: &'static str,
 }
 
-/// `ReasonLabel` names a reason.
+/// Label set with the reason for a reset or a drop.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ReasonLabel {
-    /// Its name.
+    /// Name of the reason as in the log.
     pub reason: &'static str,
 }
 
-/// `PlaceLabel` names a service and an availability zone.
+/// Label set with a service and an availability zone.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct PlaceLabel {
-    /// The service.
+    /// Name of the service, or `other`.
     pub service: String,
-    /// The availability zone of the backend server.
+    /// Availability zone of the backend server, or `other`.
     pub zone: String,
 }
 
-/// `CallLabel` names a call to the store and how it ended.
+/// Label set with the kind and the outcome of a store request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CallLabel {
-    /// Kind of objects.
+    /// Kind of the requested objects.
     pub kind: &'static str,
     /// `answered` or `failed`.
     pub outcome: &'static str,
 }
 
-/// `EntryMetrics` is shared by all threads.
+/// Metrics of the balancer, shared by its threads.
 pub struct EntryMetrics {
     registry: Registry,
     events: Family<EventLabel, Counter>,
@@ -174,18 +175,18 @@
         );
     }
 
-    /// `text` gives all of them in the exposition format.
+    /// Encodes all metrics in the exposition format.
     #[must_use]
     pub fn text(&self) -> String {
         let mut text = String::new();
 
         match encode(&mut text, &self.registry) {
             Ok(()) => text,
-            Err(error) => format!("# the metrics cannot be written: {error}\n"),
+            Err(error) => format!("# failed to encode the metrics: {error}\n"),
         }
     }
 
-    /// `on_decision` counts a decision.
+    /// Counts a decision by its event, and by its reason or placement.
     pub fn on_decision(&self, decision: &Decision) {
         let event = event_name(decision);
         self.events.get_or_create(&EventLabel { event }).inc();
@@ -205,7 +206,7 @@
         }
     }
 
-    /// `on_answer` takes in how long a backend server took.
+    /// Records the response time of a backend server. An unknown backend server is ignored.
     pub fn on_answer(&self, knowledge: &Knowledge, answer: AnswerTime) {
         let Some(entry) = knowledge.directory.get(answer.instance) else { return };
 
@@ -214,7 +215,7 @@
         family.get_or_create(&label).observe(answer.time.as_secs_f64());
     }
 
-    /// `on_store_call` counts a call to the store.
+    /// Counts a store request by its kind and outcome.
     pub fn on_store_call(&self, kind: StoreKind, is_answered: bool) {
         let kind = match kind {
             StoreKind::Configuration => "configuration",
@@ -226,17 +227,17 @@
         self.store_calls.get_or_create(&CallLabel { kind, outcome }).inc();
     }
 
-    /// `on_unreadable` counts a datagram that is no packet or message.
+    /// Counts a received datagram that is neither a valid packet nor a valid message.
     pub fn on_unreadable(&self) {
         self.unreadable.inc();
     }
 
-    /// `on_unsent` counts a datagram that the operating system did not take.
+    /// Counts a datagram that the operating system did not accept for sending.
     pub fn on_unsent(&self) {
         self.unsent.inc();
     }
 
-    /// `observe` sets the gauges.
+    /// Sets the gauges from the state of the policy and the number of unreported dropped log lines.
     pub fn observe(&self, policy: &EntryPolicy, lines_left_out: u64, now: Instant) {
         let knowledge = policy.knowledge();
         let age = knowledge.confirmed_at().map(|at| now.saturating_duration_since(at));
--- a/crates/valvestage-entry/src/errors.rs
+++ b/crates/valvestage-entry/src/errors.rs
@@ -5,28 +5,28 @@
 
 use thiserror::Error;
 
-/// `EntryError` tells which step of running the balancer failed.
+/// Error at the start or during the run of the balancer, with the step that failed.
 #[derive(Debug, Error)]
 pub enum EntryError {
-    /// An address cannot be served.
+    /// A socket could not be bound to an address of the settings.
     #[error("{step} on {address}: {cause}")]
     Socket {
-        /// What was being done.
+        /// The step that failed, such as `bind data socket`.
         step: &'static str,
-        /// The address.
+        /// Address of the socket.
         address: SocketAddrV4,
-        /// What the operating system said.
+        /// Error of the operating system.
         cause: io::Error,
     },
-    /// The process cannot be set up.
+    /// Another step of the start or of the run failed.
     #[error("{step}: {cause}")]
     Setup {
-        /// What was being done.
+        /// The step that failed, such as `register sockets`.
         step: &'static str,
-        /// What the operating system said.
+        /// Error of the operating system.
         cause: io::Error,
     },
-    /// Log lines cannot be written.
+    /// The log could not be started.
     #[error("{0}")]
     Log(valvestage_process::ProcessError),
 }
--- a/crates/valvestage-entry/src/http_server.rs
+++ b/crates/valvestage-entry/src/http_server.rs
@@ -1,8 +1,8 @@
-//! HTTP for the routers' question and for metrics, on the control thread itself.
+//! HTTP server for the readiness and metrics endpoints, on the control thread.
 //!
-//! `actix-web`'s server starts an accept thread and workers, which takes a third of the time to
-//! readiness on a small VM and two wake-ups more for each call. The protocol underneath, `actix-http`,
-//! runs on this thread as well.
+//! It uses `actix-http` directly. The server of `actix-web` starts an accept thread and worker
+//! threads, which takes a third of the time to readiness on a small VM and costs two more wake-ups
+//! per request.
 
 use std::convert::Infallible;
 use std::io;
@@ -12,15 +12,16 @@
 use actix_service::{Service, ServiceFactory, fn_service};
 use tokio::net::TcpListener;
 
-/// `HttpAnswer` is the status and the text of an answer.
+/// Response to a request for a path.
 pub struct HttpAnswer {
-    /// Its status.
+    /// Status code.
     pub status: actix_http::StatusCode,
-    /// Its body.
+    /// Body, which may be empty.
     pub text: String,
 }
 
-/// `serve` answers requests by their path as long as the process lives.
+/// Serves requests until the process ends. `answer` returns the response for a request's path.
+/// Returns only if the server cannot be started.
 pub async fn serve(
     listener: std::net::TcpListener,
     answer: impl Fn(&str) -> HttpAnswer + 'static,
@@ -36,7 +37,7 @@
         }))
         .tcp();
     let service = factory.new_service(()).await;
-    let service = service.map_err(|()| io::Error::other("the HTTP service cannot be made"))?;
+    let service = service.map_err(|()| io::Error::other("failed to create the HTTP service"))?;
 
     loop {
         match listener.accept().await {
@@ -44,13 +45,13 @@
                 let call = service.call(stream);
                 actix_rt::spawn(async move {
                     if let Err(error) = call.await {
-                        log::debug!("HTTP connection: {error}");
+                        log::debug!("HTTP connection failed: {error}");
                     }
                 });
             }
-            // Such as too many open files: others may close theirs meanwhile.
+            // For example, too many open files: wait until other connections are closed.
             Err(error) => {
-                log::warn!("accept HTTP connection: {error}");
+                log::warn!("failed to accept an HTTP connection: {error}");
                 tokio::time::sleep(std::time::Duration::from_millis(100)).await;
             }
         }
--- a/crates/valvestage-entry/src/lib.rs
+++ b/crates/valvestage-entry/src/lib.rs
@@ -1,21 +1,21 @@
-//! The balancer of one entry VM on the users' platform.
+//! The balancer process of one entry VM.
 //!
-//! The decisions are in `valvestage-policy`, the platform's spelling is in `valvestage-platform`; here
-//! are the sockets and threads around them.
+//! `valvestage-policy` makes the decisions and `valvestage-platform` implements the platform's
+//! protocols. This crate provides the sockets and threads around them.
 //!
 //! | module | contents |
 //! |---|---|
-//! | [`process`] | start and planned stop |
-//! | [`data_thread`] | packets of callers, in and out |
-//! | [`control_thread`] | store, readiness |
-//! | [`store_tasks`] | calls to the store |
-//! | [`peer_codec`] | messages between balancers as datagrams |
-//! | [`http_server`] | HTTP on the control thread |
-//! | [`ready_server`] | the routers' question whether this VM takes packets |
-//! | [`decision_lines`], [`log_budget`] | decisions as log lines, so many a second |
-//! | [`entry_metrics`], [`metrics_server`] | counters and histograms |
-//! | [`settings_task`] | settings that change while the process runs |
-//! | [`updates`] | what the control thread and the data thread tell each other |
+//! | [`process`] | start and graceful shutdown |
+//! | [`data_thread`] | event loop for callers' packets and for messages between balancers |
+//! | [`control_thread`] | store access, HTTP endpoints, settings and signals |
+//! | [`store_tasks`] | requests to the store |
+//! | [`peer_codec`] | encoding of messages between balancers |
+//! | [`http_server`] | HTTP server on the control thread |
+//! | [`ready_server`] | readiness endpoint for the routers |
+//! | [`decision_lines`], [`log_budget`] | rate-limited log of decisions |
+//! | [`entry_metrics`], [`metrics_server`] | metrics and their endpoint |
+//! | [`settings_task`] | reload of the settings |
+//! | [`updates`] | updates from the control thread to the data thread |
 //! | [`errors`] | the error type of this crate |
 
 pub mod control_thread;
--- a/crates/valvestage-entry/src/log_budget.rs
+++ b/crates/valvestage-entry/src/log_budget.rs
@@ -1,29 +1,30 @@
-//! How many lines of each event a second are written.
+//! Rate limit of log lines per event.
 //!
-//! Ordinary events come with every flow and would grow with the load; exceptions are what somebody
-//! looks for. So each event has its own number of lines a second, and what is left out is counted in
-//! the next line of the event.
+//! Lines of ordinary events are written for every new flow, so their number grows with the load,
+//! while a reader of the log looks for the exceptional events. Therefore each event has a limit of
+//! its own, and the next line of an event contains the number of its omitted lines.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Lines a second of an event that comes with every flow. 5 cost under a twentieth of the process's
-/// time on a calm day (docs/OPERATIONS.md has the measurement).
+/// Largest number of lines per second of an event that is logged for every new flow. 5 lines per
+/// second take less than a twentieth of the process's CPU time under normal load (see
+/// docs/OPERATIONS.md).
 const ORDINARY: u32 = 20;
 
-/// Lines a second of every other event.
+/// Largest number of lines per second of every other event.
 const EXCEPTIONAL: u32 = 50;
 
-/// Time over which lines are counted.
+/// Length of the window in which lines are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// `LogBudget` counts lines of each event.
+/// Rate limiter for log lines, with a fixed window per event.
 #[derive(Debug, Default)]
 pub struct LogBudget {
     counts: HashMap<&'static str, EventCount>,
 }
 
-/// Lines of one event in the present window.
+/// Counts of one event in its current window.
 #[derive(Debug)]
 struct EventCount {
     window_ends: Instant,
@@ -32,7 +33,8 @@
 }
 
 impl LogBudget {
-    /// `admit` tells whether a line may be written, and how many were left out since the last one.
+    /// Reports whether a line of an event may be written. Returns the number of lines omitted since
+    /// the last one that was written, or `None` if this line is to be omitted as well.
     pub fn admit(&mut self, event: &'static str, is_ordinary: bool, now: Instant) -> Option<u64> {
         let limit = if is_ordinary { ORDINARY } else { EXCEPTIONAL };
         let count = self.counts.entry(event).or_insert_with(|| EventCount {
--- a/crates/valvestage-entry/src/main.rs
+++ b/crates/valvestage-entry/src/main.rs
@@ -1,4 +1,4 @@
-//! `valvestage-entry`: the balancer of one entry VM on the users' platform.
+//! `valvestage-entry`: the balancer process of one entry VM.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -15,10 +15,10 @@
 use valvestage_process::log_ring::LogRing;
 use valvestage_process::{exit_codes, structured_log};
 
-/// Name in messages.
+/// Program name in error messages.
 const PROGRAM: &str = "valvestage-entry";
 
-/// Longest wait for the last log lines at the end.
+/// Time limit for writing the remaining log lines before the process ends.
 const LAST_LINES: Duration = Duration::from_millis(500);
 
 /// Steers callers' packets to backend servers.
@@ -59,15 +59,16 @@
     }
 }
 
-/// Signals end a process that does not handle them, and may come before the control thread does.
-/// SIGHUP asks for what is done at a start anyway; that SIGTERM came is kept in the flag.
+/// Handles SIGHUP and SIGTERM until the control thread does, since an unhandled signal would end
+/// the process. SIGHUP is ignored, because the settings are about to be read anyway. SIGTERM sets
+/// the returned flag.
 fn watch_early_signals() -> Arc<AtomicBool> {
     let ignored = Arc::new(AtomicBool::new(false));
     let told_to_stop = Arc::new(AtomicBool::new(false));
 
     for (signal, flag) in [(SIGHUP, ignored), (SIGTERM, told_to_stop.clone())] {
         if let Err(error) = signal_hook::flag::register(signal, flag) {
-            eprintln!("{PROGRAM}: signal {signal} cannot be handled: {error}");
+            eprintln!("{PROGRAM}: failed to handle signal {signal}: {error}");
         }
     }
     told_to_stop
@@ -85,7 +86,7 @@
     let log = DecisionLog::new(Some(ring.clone()), settings.name.clone());
     let result = EntryProcess::bind(file, settings, log, told_to_stop).and_then(EntryProcess::run);
     if !ring.flush(LAST_LINES) {
-        eprintln!("{PROGRAM}: the last log lines are not written");
+        eprintln!("{PROGRAM}: failed to write the remaining log lines in time");
     }
     result
 }
--- a/crates/valvestage-entry/src/metrics_server.rs
+++ b/crates/valvestage-entry/src/metrics_server.rs
@@ -1,4 +1,4 @@
-//! Metrics over HTTP.
+//! HTTP endpoint for metrics.
 
 use std::io;
 use std::net::TcpListener;
@@ -9,10 +9,10 @@
 use crate::entry_metrics::EntryMetrics;
 use crate::http_server::{HttpAnswer, serve};
 
-/// Where they are asked for.
+/// Path of the endpoint.
 const PATH: &str = "/metrics";
 
-/// `run` answers on a listener.
+/// Serves the metrics endpoint until the process ends.
 pub async fn run(listener: TcpListener, metrics: Arc<EntryMetrics>) -> io::Result<()> {
     serve(listener, move |path| match path {
         PATH => HttpAnswer { status: StatusCode::OK, text: metrics.text() },
--- a/crates/valvestage-entry/src/peer_codec.rs
+++ b/crates/valvestage-entry/src/peer_codec.rs
@@ -1,22 +1,23 @@
-//! Messages between balancers as datagrams: a version byte, then the message in postcard.
+//! Encoding of messages between balancers: a version byte followed by the message in postcard
+//! format.
 
 use valvestage_policy::steering::PeerMessage;
 
-/// Version of the messages. A balancer of another version is not understood, and ignored.
+/// Version of the message format. Messages of any other version are ignored.
 const VERSION: u8 = 8;
 
-/// Room for the longest message.
+/// Length of the receive buffer, which holds the longest datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 2_048;
 
-/// `encode` gives the datagram of a message; none if it cannot be written.
+/// Encodes a message as a datagram. `None` if serialization fails, which is logged.
 #[must_use]
 pub fn encode(message: &PeerMessage) -> Option<Vec<u8>> {
     postcard::to_extend(message, vec![VERSION])
-        .inspect_err(|error| log::error!("a message to a peer cannot be written: {error}"))
+        .inspect_err(|error| log::error!("failed to encode a message to a peer: {error}"))
         .ok()
 }
 
-/// `decode` reads a datagram; none if it is not a message of this version.
+/// Decodes a datagram. `None` if it is not a valid message of this version.
 #[must_use]
 pub fn decode(datagram: &[u8]) -> Option<PeerMessage> {
     let (version, message) = datagram.split_first()?;
--- a/crates/valvestage-entry/src/process.rs
+++ b/crates/valvestage-entry/src/process.rs
@@ -1,4 +1,4 @@
-//! Start and planned stop.
+//! Start and graceful shutdown of the process.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io;
@@ -24,20 +24,22 @@
 use crate::errors::EntryError;
 use crate::updates;
 
-/// Calls to the store under way at most: one for each kind of objects.
+/// Capacity of the queue of store requests. At most one request per kind of objects is in flight.
 const ORDERS: usize = 8;
 
-/// `EntryProcess` has its sockets bound and is ready to run.
+/// A balancer whose sockets are bound and whose threads are ready to start.
 pub struct EntryProcess {
     data: DataThread,
-    /// Tells the control thread why the data thread has ended.
+    /// Sends the control thread the error with which the data thread ended.
     data_end: oneshot::Sender<io::Error>,
     control: ControlThread,
 }
 
 impl EntryProcess {
-    /// `bind` takes the addresses of the settings, which are read again when the file changes. The flag
-    /// says whether SIGTERM has come already.
+    /// Binds the sockets to the addresses of the settings.
+    ///
+    /// `settings_file` is read again when it changes. `told_to_stop` is set if SIGTERM arrives
+    /// before the control thread handles it.
     pub fn bind(
         settings_file: PathBuf,
         settings: EntrySettings,
@@ -81,14 +83,14 @@
         Ok(Self { data, data_end, control })
     }
 
-    /// `run` serves until the process is told to stop.
+    /// Runs until SIGTERM, or until the data thread fails.
     pub fn run(self) -> Result<(), EntryError> {
         let Self { data, data_end, control } = self;
 
         let spawned = thread::Builder::new().name("data".into()).spawn(move || {
             if let Err(error) = data.run() {
-                log::error!("the data thread ends: {error}");
-                // Nobody listens any more when the process is ending anyway.
+                log::error!("the data thread failed: {error}");
+                // The receiver is gone if the process is already stopping.
                 let _ = data_end.send(error);
             }
         });
@@ -108,7 +110,7 @@
         entry_times: EntryTimes::new(settings.heartbeat),
         ..Default::default()
     };
-    // Differs between VMs, and between two starts of one.
+    // The seed differs between VMs, and between two starts of the same VM.
     let mut hasher = DefaultHasher::new();
     settings.name.hash(&mut hasher);
     SystemTime::now().hash(&mut hasher);
--- a/crates/valvestage-entry/src/ready_server.rs
+++ b/crates/valvestage-entry/src/ready_server.rs
@@ -1,4 +1,4 @@
-//! The routers' question whether this VM takes packets.
+//! HTTP endpoint by which the routers check whether this VM is ready.
 
 use std::io;
 use std::net::TcpListener;
@@ -10,7 +10,7 @@
 
 use crate::http_server::{HttpAnswer, serve};
 
-/// `run` answers on a listener.
+/// Serves the readiness endpoint until the process ends.
 pub async fn run(listener: TcpListener, ready: Arc<AtomicBool>) -> io::Result<()> {
     let status = move |path: &str| match (path, ready.load(Ordering::Relaxed)) {
         (READY_PATH, true) => StatusCode::OK,
--- a/crates/valvestage-entry/src/settings_task.rs
+++ b/crates/valvestage-entry/src/settings_task.rs
@@ -1,8 +1,9 @@
-//! Settings that change while the process runs.
+//! Reload of the settings while the process runs.
 //!
-//! SIGHUP says that the file has changed; it may also change without a signal, so its time of change
-//! is looked at now and then. Seeds and the store's address take effect at once. Addresses of this VM
-//! cannot change under open sockets: they take effect at the next start.
+//! The settings are read again on SIGHUP, and when the file's modification time has changed, which
+//! is polled since the file may also change without a signal. Changed seeds and a changed store
+//! address take effect at once. Changed addresses of this VM take effect at the next start, since
+//! the sockets are already bound.
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
@@ -14,10 +15,11 @@
 
 use crate::updates::{ControlUpdate, UpdateSender};
 
-/// Time between two looks at the file. One system call each; nothing on the platform asks for more.
+/// Interval between checks of the file's modification time. Each check costs one system call, and
+/// the platform does not require a faster reaction.
 const LOOK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// `run` keeps the settings up to date.
+/// Watches the settings file and applies its changes until the process ends.
 pub async fn run(
     file: PathBuf,
     mut settings: EntrySettings,
@@ -27,7 +29,7 @@
     let mut hangup = match signal(SignalKind::hangup()) {
         Ok(hangup) => hangup,
         Err(error) => {
-            log::error!("SIGHUP cannot be watched: {error}");
+            log::error!("failed to handle SIGHUP, so the settings are never reloaded: {error}");
             return;
         }
     };
@@ -76,9 +78,9 @@
     );
 }
 
-/// When the file last changed; none if that cannot be told, which counts as no change.
+/// Returns the file's modification time, or `None` with a warning in the log if it cannot be read.
 fn modified(file: &Path) -> Option<SystemTime> {
     let metadata = std::fs::metadata(file).and_then(|metadata| metadata.modified());
 
-    metadata.inspect_err(|error| log::warn!("look at {}: {error}", file.display())).ok()
+    metadata.inspect_err(|error| log::warn!("cannot stat {}: {error}", file.display())).ok()
 }
--- a/crates/valvestage-entry/src/store_tasks.rs
+++ b/crates/valvestage-entry/src/store_tasks.rs
@@ -1,4 +1,4 @@
-//! Calls to the store that the policy asks for.
+//! Execution of the store requests that the policy asks for.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -15,21 +15,22 @@
 use crate::entry_metrics::EntryMetrics;
 use crate::updates::{ControlUpdate, UpdateSender};
 
-/// `StoreOrder` is one call that the policy asks for.
+/// A request to the store, with the kind of objects that it is for.
 pub type StoreOrder = (StoreKind, StoreCall);
 
-/// `StoreLinks` is what a call needs.
+/// What a task needs to execute a store request.
 #[derive(Clone)]
 pub struct StoreLinks {
-    /// Calls the store.
+    /// Client for the store.
     pub client: StoreClient,
-    /// Replies for the data thread.
+    /// Sends the replies to the data thread.
     pub updates: UpdateSender,
-    /// What is counted.
+    /// Metrics, which count the requests.
     pub metrics: Arc<EntryMetrics>,
 }
 
-/// `run` carries out orders, one for each kind at a time, until the data thread ends.
+/// Executes store requests, each in a task of its own, until the data thread ends. The policy has
+/// at most one request per kind in flight.
 pub async fn run(links: StoreLinks, mut orders: Receiver<StoreOrder>) {
     while let Some((kind, call)) = orders.recv().await {
         actix_rt::spawn(answer(links.clone(), kind, call));
@@ -80,7 +81,8 @@
     })
 }
 
-/// A configuration stays in force until another one comes, so its deletion says nothing.
+/// Parses a change of the configuration. A deletion is ignored: the configuration stays in force
+/// until it is replaced.
 fn read_configuration(event: &WireEvent) -> Option<RouteMap> {
     if event.deleted { None } else { logged(read_routes(&event.object)) }
 }
@@ -89,7 +91,7 @@
     let BackendReading { news, fault } = logged(read_backend(event, Instant::now()))?;
 
     if let Some(fault) = fault {
-        log::error!("{fault}; it names no backend server to use");
+        log::error!("{fault}; the backend server's entry is unusable");
     }
     Some(news)
 }
--- a/crates/valvestage-entry/src/updates.rs
+++ b/crates/valvestage-entry/src/updates.rs
@@ -1,4 +1,4 @@
-//! What the control thread and the data thread tell each other, over bounded rings.
+//! Updates from the control thread to the data thread, over a bounded channel.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -7,25 +7,26 @@
 use mio::Waker;
 use valvestage_policy::steering::{BackendNews, EvacuationNews, RouteMap, StoreReply};
 
-/// Updates under way at most: there is one call for each kind of objects at a time.
+/// Capacity of the channel. It rarely fills up, since there is at most one store reply per kind of
+/// objects at a time.
 const RING_LENGTH: usize = 64;
 
-/// `ControlUpdate` is one piece of news for the data thread, where the policy lives.
+/// Update for the data thread, which owns the policy.
 #[derive(Debug)]
 pub enum ControlUpdate {
-    /// The store's answer about the configuration.
+    /// The store's reply about the configuration.
     Routes(StoreReply<RouteMap>),
-    /// The store's answer about backend servers.
+    /// The store's reply about backend servers.
     Backends(StoreReply<BackendNews>),
-    /// The store's answer about evacuated availability zones.
+    /// The store's reply about evacuated availability zones.
     Evacuations(StoreReply<EvacuationNews>),
-    /// The settings name other balancers.
+    /// The addresses of seed balancers from reloaded settings.
     Seeds(Vec<SocketAddrV4>),
-    /// The process is to stop: it is not ready any more, and forwards until it ends.
+    /// The process is stopping: it must not become ready again, but forwards packets until it ends.
     Stop,
 }
 
-/// `UpdateSender` puts updates into the ring and wakes the data thread.
+/// Sending half of the channel. It also wakes the data thread.
 #[derive(Clone)]
 pub struct UpdateSender {
     ring: Sender<ControlUpdate>,
@@ -33,18 +34,18 @@
 }
 
 impl UpdateSender {
-    /// `send` hands an update over.
+    /// Sends an update and wakes the data thread. A failure of either is logged.
     pub fn send(&self, update: ControlUpdate) {
         if let Err(error) = self.ring.try_send(update) {
-            log::error!("an update for the data thread is lost: {error}");
+            log::error!("update for the data thread dropped: {error}");
         }
         if let Err(error) = self.waker.wake() {
-            log::error!("the data thread cannot be woken: {error}");
+            log::error!("failed to wake the data thread: {error}");
         }
     }
 }
 
-/// `ring` makes the two ends of the ring.
+/// Creates the channel. `waker` must wake the poll of the data thread.
 #[must_use]
 pub fn ring(waker: Arc<Waker>) -> (UpdateSender, Receiver<ControlUpdate>) {
     let (sender, receiver) = bounded(RING_LENGTH);
