--- a/crates/valvestage-entry/tests/early_stop.rs
+++ b/crates/valvestage-entry/tests/early_stop.rs
@@ -1,4 +1,4 @@
-//! SIGTERM may come before the control thread watches for it.
+//! SIGTERM that arrives before the control thread handles it.
 
 use std::fs;
 use std::path::Path;
@@ -9,7 +9,7 @@
 use valvestage_entry::EntryProcess;
 use valvestage_entry::decision_lines::DecisionLog;
 
-/// Settings of a balancer on ports of the kernel's, whose store nobody runs.
+/// Settings of a balancer whose ports the kernel assigns and whose store does not exist.
 fn settings(file: &Path) -> EntrySettings {
     let text = "name = \"early\"\nzone = \"zone-a\"\ndata_address = \"127.0.0.1:0\"\n\
                 ready_address = \"127.0.0.1:0\"\ncontrol_address = \"127.0.0.1:0\"\n\
--- a/crates/valvestage-entry/tests/peer_codec.rs
+++ b/crates/valvestage-entry/tests/peer_codec.rs
@@ -1,4 +1,5 @@
-//! Messages between balancers as datagrams: nothing that is read makes the program stumble.
+//! Encoding of messages between balancers. No datagram, however malformed, may make a balancer
+//! panic.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::{Duration, Instant};
@@ -22,12 +23,12 @@
     FlowAddresses, Knowledge, PeerMessage, SteeringOptions,
 };
 
-/// The same draws on every run.
-/// A position in the first era of the store.
+/// Returns a position in the first era of the store.
 fn at(revision: u64) -> StorePosition {
     StorePosition::new(0, revision)
 }
 
+/// Property test runner with a fixed seed, so that every run generates the same cases.
 fn seeded() -> QuickCheck {
     QuickCheck::new().tests(3_000).rng(Gen::from_size_and_seed(300, 42))
 }
@@ -50,7 +51,7 @@
     EntryPolicy::new(options, now)
 }
 
-/// Messages that are taken apart and put together wrongly below.
+/// Sample messages, which are also the starting point for damaged datagrams.
 fn messages() -> Vec<PeerMessage> {
     let record = BackendRecord {
         service: 0,
@@ -108,16 +109,18 @@
     }
 }
 
-/// Bytes of control that a VM may send a second, over the ten heartbeats of a second with news.
+/// Bytes per heartbeat: the 4,000 bytes of control traffic that a VM may send per second, divided
+/// by the ten heartbeats sent in a second with updates.
 const HEARTBEAT_SHARE: usize = 4_000 / 10;
 
-/// What a heartbeat without trouble has, with the heads of its datagram: 1.4 KB a second in some ten.
+/// Bytes of a heartbeat without a health report, including the headers of its datagram: 1.4 KB per
+/// second for about ten heartbeats.
 const HEARTBEAT_ELSE: usize = 140;
 
-/// What a balancer tells when forty backend servers seem dead and fail all their requests, and forty others
-/// of the service answer.
+/// Returns the health report of a balancer that suspects forty backend servers, all of whose
+/// requests fail, while forty others of the service answer.
 fn report_of_much_trouble(now: Instant) -> HealthReport {
-    // The numbers of backend servers have ten hex digits.
+    // The numbers of backend servers have ten hexadecimal digits.
     const FIRST: u64 = 0xff_0000_0000;
     let mut knowledge = Knowledge::default();
     let mut observer = BackendObserver::new(1);
@@ -160,13 +163,13 @@
 
     assert!(!report.suspects.is_empty() && !report.outcomes.is_empty());
     assert!(!report.avoided.is_empty());
-    // Eight services, of each of which a hundred requests are under way here.
+    // Eight services, each with a hundred requests in flight at this balancer.
     let demands = Some(vec![ServiceDemand::new(u32::MAX, 100.0); 8]);
     let bytes = postcard::to_stdvec(&(report, demands)).unwrap().len();
     assert!(bytes + HEARTBEAT_ELSE <= HEARTBEAT_SHARE, "{bytes} bytes");
 }
 
-/// A policy to which many backend servers seem dead, or fail, tells no more than fits.
+/// A heartbeat with the largest possible health report must fit into the message limit.
 #[test]
 fn a_heartbeat_about_much_trouble_fits_into_one_datagram() {
     let count = OutcomeCount { answered: 6_000.0, poor: 6_000.0, expected: 6_000.0 };
--- a/crates/valvestage-entry/tests/process/entries.rs
+++ b/crates/valvestage-entry/tests/process/entries.rs
@@ -1,11 +1,12 @@
-//! Entries of backend servers that start again under their name, and entries that another writer left.
+//! Entries of backend servers that restart under the same name, and entries written by another
+//! program.
 
 use serde_json::{Value, json};
 
 use crate::site::{Caller, FakeBackend, Site, token_of, wait_until};
 use crate::{ACK, SYN};
 
-/// The entry of a backend server that says when it started.
+/// Returns the entry of a backend server with its start time.
 fn born(backend: &FakeBackend, at: u64) -> Value {
     json!({"service": "core", "address": backend.address().to_string(), "zone": "zone-a", "version": "v", "slots": 2,
         "state": "ready", "cold_left_ms": 0, "seq": 1, "born": at})
@@ -33,7 +34,7 @@
     let caller = Caller::new(&balancer);
     caller.send(&balancer, SYN, 40_001, 0, 0);
     assert_eq!(good.receive().0, 0xa1);
-    wait_until("it is counted", || balancer.metric("valvestage_entry_backends") == Some(1));
+    wait_until("only one is usable", || balancer.metric("valvestage_entry_backends") == Some(1));
 }
 
 #[test]
@@ -47,11 +48,11 @@
     let token = token_of(&backend.receive().1);
 
     site.standin.put_object("servers", "i-b1", born(&backend, 2_000));
-    // The first one came, it went, and the second one came.
-    wait_until("it is known", || {
+    // Three changes: the first process was added and removed, and the second one was added.
+    wait_until("the restart is known", || {
         balancer.metric("valvestage_entry_events_total{event=\"backend_changed\"}") == Some(3)
     });
-    // The process at the address alone knows whether it holds the flow.
+    // The packet is still forwarded: only the process at the address knows whether it has the flow.
     caller.send(&balancer, ACK, 40_001, token, 10);
     assert_eq!(backend.receive().0, 0xb1);
 }
@@ -63,7 +64,7 @@
     let balancer = site.ready_balancer("one", &[]);
 
     site.standin.put_object("servers", "i-c1", json!({"service": null}));
-    wait_until("it is known", || balancer.metric("valvestage_entry_backends") == Some(1));
+    wait_until("only one is usable", || balancer.metric("valvestage_entry_backends") == Some(1));
     let caller = Caller::new(&balancer);
     for port in 40_001..40_005 {
         caller.send(&balancer, SYN, port, 0, 0);
@@ -71,7 +72,7 @@
     }
 
     site.standin.put_object("servers", "i-c1", born(&spoiled, 1_000));
-    wait_until("it is back", || balancer.metric("valvestage_entry_backends") == Some(2));
+    wait_until("both are usable", || balancer.metric("valvestage_entry_backends") == Some(2));
     caller.send(&balancer, SYN, 40_010, 0, 0);
     assert_eq!(spoiled.receive().0, 0xc1);
 }
--- a/crates/valvestage-entry/tests/process/main.rs
+++ b/crates/valvestage-entry/tests/process/main.rs
@@ -1,4 +1,4 @@
-//! The real program among stand-ins.
+//! The real program against stand-ins for the store, backend servers and callers.
 
 mod entries;
 mod silent_connections;
@@ -28,7 +28,7 @@
 
     let caller = Caller::new(&one);
     caller.send(&one, SYN, 40_001, 0, 0);
-    wait_until("a backend server gets it", || backends.iter().any(FakeBackend::has_packet));
+    wait_until("the packet arrives", || backends.iter().any(FakeBackend::has_packet));
     let backend = backends.iter().find(|backend| backend.has_packet()).unwrap();
     let (instance, packet) = backend.receive();
     assert_eq!(instance, backend.instance);
@@ -47,12 +47,12 @@
     let site = Site::configured();
     let balancer = site.ready_balancer("one", &[]);
 
-    // The route is there, but nobody runs its service.
+    // The route exists, but its service has no backend server.
     let caller = Caller::new(&balancer);
     caller.send(&balancer, SYN, 40_001, 0, 0);
     let reset = caller.receive();
     assert_eq!((reset[0], reset.len()), (RST, HEAD_BYTES));
-    wait_until("it is counted", || {
+    wait_until("the reset is counted", || {
         balancer.metric("valvestage_entry_resets_total{reason=\"no_backend\"}") == Some(1)
     });
 }
@@ -66,7 +66,7 @@
     site.standin.misbehave(Faults { down: true, ..Faults::default() });
     let two = site.balancer("two", &[&one]);
     two.wait_ready();
-    wait_until("it tells its version", || {
+    wait_until("the configuration is in force", || {
         two.metric("valvestage_entry_configuration_version") == Some(3)
     });
     let caller = Caller::new(&two);
@@ -97,7 +97,7 @@
     site.standin.misbehave(Faults { down: true, ..Faults::default() });
     let balancer = site.balancer("one", &[]);
 
-    wait_until("it has failed to reach the store", || {
+    wait_until("a store request has failed", || {
         let name = "valvestage_entry_store_calls_total{kind=\"backends\",outcome=\"failed\"}";
         balancer.metric(name).is_some_and(|count| count > 0)
     });
@@ -112,7 +112,7 @@
 
     let caller = Caller::new(&balancer);
     balancer.signal(Signal::SIGTERM);
-    wait_until("it is not ready", || !balancer.is_ready());
+    wait_until("the balancer is not ready", || !balancer.is_ready());
     caller.send(&balancer, SYN, 40_001, 0, 0);
     assert_eq!(backend.receive().0, 1);
     let (status, log) = balancer.wait();
@@ -129,10 +129,10 @@
     let good = fs::read_to_string(&balancer.file).unwrap();
     fs::write(&balancer.file, "zone = 3\n").unwrap();
     balancer.signal(Signal::SIGHUP);
-    wait_until("it goes on", || balancer.is_ready());
+    wait_until("the balancer is ready", || balancer.is_ready());
     fs::write(&balancer.file, good.replace("seeds = []", "seeds = [\"127.9.9.9:1\"]")).unwrap();
     balancer.signal(Signal::SIGHUP);
-    wait_until("it goes on", || balancer.is_ready());
+    wait_until("the balancer is ready", || balancer.is_ready());
     balancer.signal(Signal::SIGTERM);
     let (status, log) = balancer.wait();
     assert!(status.success(), "{status}");
@@ -144,7 +144,7 @@
 fn a_reader_that_stalls_costs_no_packet() {
     let site = Site::configured();
     let backend = site.backend(1, "core");
-    // Nobody reads its standard output.
+    // Nothing reads the balancer's standard output.
     let balancer = site.ready_balancer("one", &[]);
 
     let caller = Caller::new(&balancer);
@@ -152,7 +152,7 @@
         caller.send(&balancer, SYN, port, 0, 0);
         assert_eq!(backend.receive().0, 1);
     }
-    wait_until("all are counted", || {
+    wait_until("all placements are counted", || {
         balancer.metric("valvestage_entry_events_total{event=\"placed\"}") == Some(3_000)
     });
 }
@@ -166,7 +166,7 @@
     for datagram in [&[][..], &[1], &[255; 35], &[2; 36], &[255; 1_500]] {
         sender.send_to(datagram, balancer.data_address()).unwrap();
     }
-    wait_until("they are counted", || {
+    wait_until("the datagrams are counted", || {
         balancer.metric("valvestage_entry_unreadable_packets_total") == Some(5)
     });
     assert!(balancer.is_ready());
@@ -206,7 +206,7 @@
     let site = Site::configured();
     let balancer = site.ready_balancer("one", &[]);
 
-    // More than one thread can read.
+    // Four threads send more packets than the data thread can read.
     let is_over = Arc::new(AtomicBool::new(false));
     let senders: Vec<_> = (0..4)
         .map(|_| {
@@ -219,7 +219,7 @@
             })
         })
         .collect();
-    wait_until("the flood is on", || {
+    wait_until("the flood has started", || {
         let name = "valvestage_entry_events_total{event=\"reset\"}";
         balancer.metric(name).is_some_and(|count| count > 10_000)
     });
--- a/crates/valvestage-entry/tests/process/silent_connections.rs
+++ b/crates/valvestage-entry/tests/process/silent_connections.rs
@@ -1,11 +1,12 @@
-//! Open connections that fall silent for good while new ones work.
+//! Open connections that stall forever while new connections work.
 
 use std::io::Write;
 use std::net::TcpStream;
 
 use crate::site::{Site, wait_until};
 
-/// Connections of a client that never goes on; more than routers and collectors have together.
+/// Number of connections with an incomplete request; more than all routers and metrics collectors
+/// open.
 const STALLED: usize = 40;
 
 #[test]
@@ -15,7 +16,7 @@
     let balancer = site.ready_balancer("one", &[]);
 
     for version in [9, 11, 14] {
-        // Both kinds are being watched: each has a connection.
+        // Stalls the connections of the watches, one for each kind of objects.
         relay.silence_open();
         site.configure(version, "core");
         wait_until("the version is in force", || {
@@ -41,7 +42,7 @@
         })
         .collect();
     assert!(balancer.is_ready());
-    wait_until("its metrics tell of the configuration", || {
+    wait_until("the configuration is in force", || {
         balancer.metric("valvestage_entry_configuration_version") == Some(3)
     });
     drop(stalled);
--- a/crates/valvestage-entry/tests/process/site.rs
+++ b/crates/valvestage-entry/tests/process/site.rs
@@ -1,4 +1,5 @@
-//! A small site: a stand-in store, backend servers as sockets, the real program.
+//! Test environment: a stand-in for the store, backend servers that are only sockets, and the real
+//! program.
 
 use std::fs;
 use std::io::Read;
@@ -17,16 +18,16 @@
 use valvestage_standins::platform::site_objects::{BackendObject, configuration_object};
 use valvestage_standins::platform::{PlatformStandin, start};
 
-/// An event that has not come by then will not come.
+/// Time limit for any awaited event. A test fails if it is exceeded.
 pub const LONGEST_WAIT: Duration = Duration::from_secs(60);
 
-/// Pause between two looks at something that is awaited.
+/// Interval between checks of an awaited condition.
 const LOOK_AGAIN: Duration = Duration::from_millis(10);
 
-/// Address that callers send to.
+/// Service address that callers send to.
 pub const SERVICE: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 443);
 
-/// Waits until something holds.
+/// Waits until a condition holds. Panics with `what` after the time limit.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let give_up = Instant::now() + LONGEST_WAIT;
 
@@ -36,8 +37,8 @@
     }
 }
 
-/// A loopback address that no other test has, of this run or of another one at the same time, so that
-/// its ports are free.
+/// Returns a loopback address that no other test uses, in this process or in one that runs at the
+/// same time, so that its ports are free.
 fn fresh_ip() -> Ipv4Addr {
     static COUNT: AtomicU8 = AtomicU8::new(1);
     let number = COUNT.fetch_add(1, Ordering::Relaxed);
@@ -47,19 +48,19 @@
     Ipv4Addr::new(127, high.max(1), low, number)
 }
 
-/// A backend server: what reaches it is read from its socket.
+/// A backend server that is only a socket, from which the test reads the forwarded packets.
 pub struct FakeBackend {
     pub instance: u64,
     socket: UdpSocket,
 }
 
 impl FakeBackend {
-    /// Where it listens.
+    /// Address at which the backend server receives packets.
     pub fn address(&self) -> SocketAddr {
         self.socket.local_addr().unwrap()
     }
 
-    /// Whether a packet reaches it; a packet for another one may be seen first.
+    /// Reports whether a packet has arrived, without consuming it. Does not wait.
     pub fn has_packet(&self) -> bool {
         let mut byte = [0; 1];
         self.socket.set_nonblocking(true).unwrap();
@@ -69,7 +70,8 @@
         is_there
     }
 
-    /// The next packet that reaches it: the number of the one that is meant, and the packet.
+    /// Waits for the next packet. Returns the number of its destination backend server and the
+    /// packet.
     pub fn receive(&self) -> (u64, Vec<u8>) {
         let mut datagram = [0; 2_048];
         let length = self.socket.recv(&mut datagram).expect("a packet reaches the backend server");
@@ -79,12 +81,12 @@
     }
 }
 
-/// The site.
+/// A store with the files and ports of the balancers that use it.
 pub struct Site {
     pub standin: PlatformStandin,
     store: SocketAddrV4,
     folder: PathBuf,
-    /// Ports are alike on all VMs.
+    /// Ports for data, readiness, control and peers, which are the same on all VMs.
     ports: [u16; 4],
 }
 
@@ -112,7 +114,7 @@
         Self { standin, store, folder, ports: ports.try_into().unwrap() }
     }
 
-    /// Puts a relay between the store and balancers that start from now on.
+    /// Puts a relay between the store and all balancers that are started later.
     pub fn relay_store(&mut self) -> StoreRelay {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let SocketAddr::V4(address) = listener.local_addr().unwrap() else {
@@ -127,7 +129,7 @@
         relay
     }
 
-    /// A site whose callers are sent to the service `core` by configuration 3.
+    /// Creates a site with configuration version 3, which routes callers to the service `core`.
     pub fn configured() -> Self {
         let site = Self::new();
 
@@ -135,14 +137,14 @@
         site
     }
 
-    /// Writes a configuration that sends callers to a service.
+    /// Writes a configuration that routes callers to a service.
     pub fn configure(&self, version: u64, service: &str) {
         let spec = configuration_object(version, [(SERVICE, service)], 15_000);
 
         self.standin.put_object("config", "main", spec);
     }
 
-    /// Starts a backend server of a service and writes its entry.
+    /// Starts a backend server of a service and registers it in the store.
     pub fn backend(&self, instance: u64, service: &str) -> FakeBackend {
         let socket = UdpSocket::bind((fresh_ip(), 0)).unwrap();
         socket.set_read_timeout(Some(LONGEST_WAIT)).unwrap();
@@ -156,7 +158,7 @@
         FakeBackend { instance, socket }
     }
 
-    /// Starts a balancer.
+    /// Starts a balancer without waiting until it is ready.
     pub fn balancer(&self, name: &str, seeds: &[&Balancer]) -> Balancer {
         let ip = fresh_ip();
         let file = self.folder.join(format!("{name}.toml"));
@@ -213,12 +215,12 @@
         SocketAddrV4::new(self.ip, self.ports[0])
     }
 
-    /// Where it answers routers and collectors.
+    /// Addresses of the readiness endpoint and of the metrics endpoint.
     pub fn http_addresses(&self) -> [SocketAddrV4; 2] {
         [self.ports[1], self.ports[2]].map(|port| SocketAddrV4::new(self.ip, port))
     }
 
-    /// The body of a page, with the status before it; none if nobody answers.
+    /// Returns the whole HTTP response for a path. `None` if the request fails.
     fn get(&self, port: u16, path: &str) -> Option<String> {
         use std::io::Write;
         let mut stream = TcpStream::connect((self.ip, port)).ok()?;
@@ -239,7 +241,7 @@
         wait_until("the balancer is ready", || self.is_ready());
     }
 
-    /// The value of a metric; none if it is not there.
+    /// Returns the value of a metric, or `None` if the metric or the endpoint is missing.
     pub fn metric(&self, name: &str) -> Option<u64> {
         let text = self.get(self.ports[2], "/metrics")?;
         let line = text.lines().find(|line| line.starts_with(name))?;
@@ -252,7 +254,7 @@
         kill(Pid::from_raw(id), signal).unwrap();
     }
 
-    /// Waits for the end, and gives what the process has written.
+    /// Waits for the process to end. Returns its status and its standard output.
     pub fn wait(mut self) -> (ExitStatus, String) {
         let mut text = String::new();
         self.child.stdout.take().unwrap().read_to_string(&mut text).unwrap();
@@ -268,7 +270,7 @@
     }
 }
 
-/// A caller: it hears answers on the port that data addresses have.
+/// A caller. It receives packets on the same port as the balancers' data sockets.
 pub struct Caller {
     socket: UdpSocket,
     address: SocketAddrV4,
@@ -283,17 +285,17 @@
         Self { socket, address }
     }
 
-    /// The address by which logs know a flow.
+    /// Returns the caller's address of a flow, as it appears in the log.
     pub fn flow_address(&self, port: u16) -> SocketAddrV4 {
         SocketAddrV4::new(*self.address.ip(), port)
     }
 
-    /// Sends a packet of a flow; its data is as long as said.
+    /// Sends a packet of a flow with `data` bytes of data.
     pub fn send(&self, to: &Balancer, flags: u8, port: u16, token: u32, data: usize) {
         self.hand(to, &FlowPacket { flags, token, data: vec![0; data], ..self.packet(port) });
     }
 
-    /// Sends a copy of an opening packet.
+    /// Sends a retransmitted opening packet, which contains the number of copies sent.
     pub fn send_copy(&self, to: &Balancer, port: u16, copies: u32) {
         let flags = flags::SYN;
 
@@ -307,12 +309,12 @@
         self.hand(to, &FlowPacket { flags, destination, ..self.packet(port) });
     }
 
-    /// Sends a packet.
+    /// Sends the given packet to a balancer.
     pub fn hand(&self, to: &Balancer, packet: &FlowPacket) {
         self.socket.send_to(&packet.encode(), to.data_address()).unwrap();
     }
 
-    /// A packet of a flow, without flags and data.
+    /// Returns a packet of a flow without flags and data.
     pub fn packet(&self, port: u16) -> FlowPacket {
         FlowPacket {
             flags: 0,
@@ -325,7 +327,7 @@
         }
     }
 
-    /// The next packet that the caller gets.
+    /// Waits for the next packet to the caller and returns it.
     pub fn receive(&self) -> Vec<u8> {
         let mut packet = [0; 2_048];
         let length = self.socket.recv(&mut packet).expect("a packet reaches the caller");
@@ -334,7 +336,7 @@
     }
 }
 
-/// The token in a packet.
+/// Returns the token of a packet.
 pub fn token_of(packet: &[u8]) -> u32 {
     FlowPacket::decode(packet).unwrap().token
 }
--- a/crates/valvestage-entry/tests/process/walks.rs
+++ b/crates/valvestage-entry/tests/process/walks.rs
@@ -1,4 +1,5 @@
-//! From a caller's complaint to its cause, as docs/OPERATIONS.md says, with the real program's logs.
+//! The procedures of docs/OPERATIONS.md that lead from a caller's complaint to its cause, with the
+//! logs of the real program.
 
 use nix::sys::signal::Signal;
 use valvestage_standins::packets::flow_packet::FlowPacket;
@@ -10,7 +11,8 @@
 use crate::site::{Balancer, Caller, FakeBackend, SERVICE, Site, token_of, wait_until};
 use crate::{ACK, SYN};
 
-/// The story of a caller's flow, from the log of a balancer that is stopped for it.
+/// Returns the explanation of a caller's flow from the log of a balancer, which is stopped to
+/// complete the log.
 fn story_of(balancer: Balancer, caller: &Caller, port: u16) -> String {
     balancer.signal(Signal::SIGTERM);
     let (_, log) = balancer.wait();
@@ -23,15 +25,16 @@
 #[test]
 fn a_caller_was_sent_to_a_backend_server_that_had_died() {
     let site = Site::configured();
-    // Their sockets are open, but nobody answers.
+    // The sockets are open, but nothing answers.
     let dead = [site.backend(0xa1, "core"), site.backend(0xa2, "core")];
     let balancer = site.ready_balancer("one", &[]);
 
     let caller = Caller::new(&balancer);
     caller.send(&balancer, SYN, 40_001, 0, 0);
-    wait_until("it arrives", || dead.iter().any(|backend| backend.has_packet()));
-    // Copies until one goes elsewhere, as callers send them.
-    wait_until("a copy goes elsewhere", || {
+    wait_until("the opening packet arrives", || dead.iter().any(|backend| backend.has_packet()));
+    // Retransmit the opening packet, as callers do, until the flow is moved to the other backend
+    // server.
+    wait_until("the flow is moved", || {
         caller.send_copy(&balancer, 40_001, 1);
         balancer.metric("valvestage_entry_events_total{event=\"moved\"}").is_some()
     });
@@ -47,8 +50,8 @@
     let _leaving = site.backend(0xb1, "core");
     let balancer = site.ready_balancer("one", &[]);
     site.standin.delete_object("servers", "i-b1");
-    // It came, and it went.
-    wait_until("it is known", || {
+    // Two changes: the backend server was added and removed.
+    wait_until("the removal is known", || {
         balancer.metric("valvestage_entry_events_total{event=\"backend_changed\"}") == Some(2)
     });
 
@@ -71,8 +74,8 @@
     backend.receive();
 
     site.standin.delete_object("servers", "i-c1");
-    // It came, and it went.
-    wait_until("it is known", || {
+    // Two changes: the backend server was added and removed.
+    wait_until("the removal is known", || {
         balancer.metric("valvestage_entry_events_total{event=\"backend_changed\"}") == Some(2)
     });
     caller.send(&balancer, ACK, 40_001, token, 10);
@@ -87,14 +90,15 @@
     let site = Site::configured();
     let balancer = site.ready_balancer("one", &[]);
     site.standin.misbehave(Faults { down: true, ..Faults::default() });
-    wait_until("what is known is old", || {
+    wait_until("the knowledge is out of date", || {
         balancer.metric("valvestage_entry_events_total{event=\"certainty\"}") == Some(2)
     });
 
-    // A route that came into the store meanwhile, for all that the balancer knows.
+    // No route is known from this address. For all the balancer knows, one may have been added to
+    // the store in the meantime.
     let caller = Caller::new(&balancer);
     caller.send_to_port(&balancer, SYN, 40_001, SERVICE.port() + 1);
-    wait_until("it is dropped", || {
+    wait_until("the packet is dropped", || {
         balancer.metric("valvestage_entry_drops_total{reason=\"no_route\"}") == Some(1)
     });
     let story = story_of(balancer, &caller, 40_001);
@@ -109,11 +113,11 @@
     let backends = [0xd1, 0xd2, 0xd3].map(|instance| site.backend(instance, "core"));
     let balancer = site.ready_balancer("one", &[]);
 
-    // One of three answers shortly, until that is noticed.
+    // One of the three backend servers sends short answers until the balancer avoids it.
     let caller = Caller::new(&balancer);
     let mut ports = 40_001..;
     let mut failed_port = None;
-    wait_until("it is noticed", || {
+    wait_until("the backend server is avoided", || {
         let port = ports.next().unwrap();
         let instance = ask_once(&balancer, &caller, &backends, port);
         if instance == 0xd1 {
@@ -127,12 +131,13 @@
     assert!(story.contains("Backend server d1 failed"), "{story}");
 }
 
-/// One request on a flow of its own, whose answer is short at one backend server. Gives that of the flow.
+/// Sends one request on a new flow and acknowledges the answer, which is short if it comes from
+/// backend server d1. Returns the instance of the flow's backend server.
 fn ask_once(balancer: &Balancer, caller: &Caller, backends: &[FakeBackend], port: u16) -> u64 {
     const USUAL: u32 = 775;
     const SHORT: u32 = 152;
     caller.send(balancer, SYN, port, 0, 0);
-    wait_until("it arrives", || backends.iter().any(FakeBackend::has_packet));
+    wait_until("the opening packet arrives", || backends.iter().any(FakeBackend::has_packet));
     let backend = backends.iter().find(|backend| backend.has_packet()).unwrap();
     let token = token_of(&backend.receive().1);
 
@@ -168,13 +173,14 @@
     caller.send(&former, SYN, 40_001, 0, 0);
     let token = token_of(&backend.receive().1);
 
-    // The backend server ends while no balancer is there that could tell of it.
+    // The backend server is removed while no balancer is running that could report it to the new
+    // one.
     drop(former);
     site.standin.delete_object("servers", "i-d1");
     let _other = site.backend(0xd2, "core");
     let restarted = site.ready_balancer("two", &[]);
     caller.send(&restarted, ACK, 40_001, token, 10);
-    wait_until("it is dropped", || {
+    wait_until("the packet is dropped", || {
         let name = "valvestage_entry_drops_total{reason=\"unknown_token\"}";
         restarted.metric(name) == Some(1)
     });
--- a/crates/valvestage-entry/tests/soak.rs
+++ b/crates/valvestage-entry/tests/soak.rs
@@ -1,7 +1,8 @@
 //! Short runs of the fault soak on the real program.
 //!
-//! CI may run beside other work, so promises with a bound in time are not checked in the run that has to be
-//! clean. In the others one mechanism is taken away each, to show that the checks are able to fail.
+//! One run must keep every promise. It does not check promises with a time limit, since CI may run
+//! on a busy machine. Each other run disables one mechanism and must break the matching promise,
+//! which shows that the checks can fail.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -30,7 +31,7 @@
     report
 }
 
-/// Plays a run without one mechanism, and gives the promises that it breaks.
+/// Runs the soak with one mechanism disabled and returns the promises that were broken.
 fn broken_without(sabotage: Sabotage, seed: u64, kind: FaultKind) -> Vec<Promise> {
     let options = SoakOptions {
         sabotage: Some(sabotage),
