--- a/crates/valvestage-entry/src/control_thread.rs
+++ b/crates/valvestage-entry/src/control_thread.rs
@@ -15,7 +15,7 @@
 use valvestage_platform::{StoreClient, StoreOptions};
 
 use crate::entry_metrics::EntryMetrics;
-use crate::store_tasks::{StoreLinks, StoreOrder};
+use crate::store_tasks::{StoreRequest, StoreTaskContext};
 use crate::updates::{ControlUpdate, UpdateSender};
 use crate::{metrics_server, ready_server, settings_task, store_tasks};
 
@@ -25,7 +25,7 @@
 
 /// Time from SIGTERM to the end of the process. The routers check readiness twice a second and
 /// remove a balancer after two failed checks; the rest of the time is for packets in flight.
-const FORWARD_AFTER_TERM: Duration = Duration::from_millis(2_000);
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(2_000);
 
 /// Time reserved between the planned end of the process and SIGKILL.
 const KILL_MARGIN: Duration = Duration::from_millis(500);
@@ -45,14 +45,14 @@
     /// Readiness of this VM. Set by the data thread, and cleared here on SIGTERM.
     pub ready: Arc<AtomicBool>,
     /// Store requests from the data thread.
-    pub orders: Receiver<StoreOrder>,
+    pub store_requests: Receiver<StoreRequest>,
     /// Sends updates to the data thread.
     pub updates: UpdateSender,
     /// Receives the error with which the data thread ended. It runs as long as the process
     /// otherwise.
-    pub data_end: oneshot::Receiver<io::Error>,
+    pub data_thread_error: oneshot::Receiver<io::Error>,
     /// Whether SIGTERM arrived before this thread handled signals.
-    pub told_to_stop: Arc<AtomicBool>,
+    pub stop_requested: Arc<AtomicBool>,
 }
 
 impl ControlThread {
@@ -64,7 +64,7 @@
     async fn serve(self) -> io::Result<()> {
         let mut terminate = signal(SignalKind::terminate())?;
         // Read only after the handler above is installed, so that no SIGTERM in between is missed.
-        let was_told = self.told_to_stop.load(Ordering::Relaxed);
+        let was_requested = self.stop_requested.load(Ordering::Relaxed);
         let client = StoreClient::new(StoreOptions {
             address: self.settings.store_address.into(),
             token: None,
@@ -76,39 +76,42 @@
             client.clone(),
             self.updates.clone(),
         ));
-        let links =
-            StoreLinks { client, updates: self.updates.clone(), metrics: self.metrics.clone() };
-        actix_rt::spawn(store_tasks::run(links, self.orders));
+        let context = StoreTaskContext {
+            client,
+            updates: self.updates.clone(),
+            metrics: self.metrics.clone(),
+        };
+        actix_rt::spawn(store_tasks::run(context, self.store_requests));
         let ready = self.ready.clone();
         let listener = self.ready_listener;
         actix_rt::spawn(async move {
-            log_end("readiness", ready_server::run(listener, ready).await);
+            log_server_error("readiness", ready_server::run(listener, ready).await);
         });
         let listener = self.metrics_listener;
         actix_rt::spawn(async move {
-            log_end("metrics", metrics_server::run(listener, self.metrics).await);
+            log_server_error("metrics", metrics_server::run(listener, self.metrics).await);
         });
 
         tokio::select! {
-            _ = terminate.recv(), if !was_told => {}
-            () = std::future::ready(()), if was_told => {}
+            _ = terminate.recv(), if !was_requested => {}
+            () = std::future::ready(()), if was_requested => {}
             // The balancer is useless without the data thread: end the process, which the platform
             // then restarts.
-            end = self.data_end => {
-                return Err(end.unwrap_or_else(|_| io::Error::other("the data thread ended unexpectedly")));
+            error = self.data_thread_error => {
+                return Err(error.unwrap_or_else(|_| io::Error::other("the data thread panicked")));
             }
         }
         log::info!("SIGTERM received: no longer ready, still forwarding packets");
         self.updates.send(ControlUpdate::Stop);
         self.ready.store(false, Ordering::Relaxed);
         let longest = self.settings.stop_within.saturating_sub(KILL_MARGIN);
-        tokio::time::sleep(FORWARD_AFTER_TERM.min(longest)).await;
+        tokio::time::sleep(SHUTDOWN_GRACE.min(longest)).await;
         log::info!("stopped");
         Ok(())
     }
 }
 
-fn log_end(what: &str, result: io::Result<()>) {
+fn log_server_error(what: &str, result: io::Result<()>) {
     if let Err(error) = result {
         log::error!("the {what} server failed: {error}");
     }
--- a/crates/valvestage-entry/src/data_thread.rs
+++ b/crates/valvestage-entry/src/data_thread.rs
@@ -15,10 +15,10 @@
     EntryPolicy, FlowReset, HeldPackets, KeeperAction, PacketVerdict,
 };
 
-use crate::decision_lines::{DecisionLog, UnsentDatagrams};
+use crate::decision_log::{DecisionLog, UnsentDatagrams};
 use crate::entry_metrics::EntryMetrics;
 use crate::peer_codec;
-use crate::store_tasks::StoreOrder;
+use crate::store_tasks::StoreRequest;
 use crate::updates::ControlUpdate;
 
 /// Poll token of the data socket.
@@ -28,20 +28,20 @@
 const PEER_SOCKET: Token = Token(1);
 
 /// Poll token of the waker for updates from the control thread.
-pub const UPDATES: Token = Token(2);
+pub const UPDATES_WAKER: Token = Token(2);
 
 /// Interval between updates of the gauges.
 const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Datagrams read from one socket before the other socket is read.
-const BATCH: usize = 64;
+const BATCH_DATAGRAMS: usize = 64;
 
 /// Largest number of batches read from each socket in one iteration of the loop. About 1,000
 /// packets take some 5 ms on a fast core and 90 ms on 0.055 of a core, which is less than a tick.
-const BATCHES: usize = 16;
+const MAX_BATCHES: usize = 16;
 
 /// Sockets, channels and shared state of the data thread.
-pub struct DataLinks {
+pub struct DataThreadContext {
     /// Waits for events of both sockets and of the updates' waker.
     pub poll: Poll,
     /// Socket for callers' packets.
@@ -51,7 +51,7 @@
     /// Updates from the control thread.
     pub updates: Receiver<ControlUpdate>,
     /// Store requests to the control thread.
-    pub orders: mpsc::Sender<StoreOrder>,
+    pub store_requests: mpsc::Sender<StoreRequest>,
     /// Readiness of this VM, which the readiness endpoint reports.
     pub ready: Arc<AtomicBool>,
     /// Metrics, shared with the control thread.
@@ -60,10 +60,10 @@
 
 /// Event loop that forwards packets as the policy decides.
 pub struct DataThread {
-    links: DataLinks,
+    context: DataThreadContext,
     policy: EntryPolicy,
     /// Whether the process is stopping. A stopping process never becomes ready again.
-    stopping: bool,
+    is_stopping: bool,
     /// Packets held until the policy can decide about them.
     held: HeldPackets<Vec<u8>>,
     /// Reused buffer for the datagram to be sent.
@@ -71,25 +71,29 @@
     log: DecisionLog,
     /// Datagrams that could not be sent since decisions were last logged.
     unsent: Option<UnsentDatagrams>,
-    next_gauges: Instant,
+    next_gauge_update: Instant,
 }
 
 impl DataThread {
     /// Registers the sockets with the poll and creates the event loop.
-    pub fn new(mut links: DataLinks, policy: EntryPolicy, log: DecisionLog) -> io::Result<Self> {
-        let registry = links.poll.registry();
-        registry.register(&mut links.data_socket, DATA_SOCKET, Interest::READABLE)?;
-        registry.register(&mut links.peer_socket, PEER_SOCKET, Interest::READABLE)?;
+    pub fn new(
+        mut context: DataThreadContext,
+        policy: EntryPolicy,
+        log: DecisionLog,
+    ) -> io::Result<Self> {
+        let registry = context.poll.registry();
+        registry.register(&mut context.data_socket, DATA_SOCKET, Interest::READABLE)?;
+        registry.register(&mut context.peer_socket, PEER_SOCKET, Interest::READABLE)?;
 
         Ok(Self {
-            links,
+            context,
             policy,
-            stopping: false,
+            is_stopping: false,
             held: HeldPackets::default(),
             outgoing: Vec::with_capacity(packet::PREFIX_BYTES + packet::MAX_PACKET_BYTES),
             log,
             unsent: None,
-            next_gauges: Instant::now(),
+            next_gauge_update: Instant::now(),
         })
     }
 
@@ -103,27 +107,27 @@
         loop {
             let now = Instant::now();
             let actions = self.policy.on_tick(now);
-            self.act(actions);
-            self.drop_expired(now);
+            self.apply_actions(actions);
+            self.drop_expired_packets(now);
             self.send_resets();
 
             let wait = self.policy.next_due().saturating_duration_since(Instant::now());
             let wait = if has_more { Duration::ZERO } else { wait };
-            match self.links.poll.poll(&mut events, Some(wait)) {
+            match self.context.poll.poll(&mut events, Some(wait)) {
                 Err(error) if error.kind() != io::ErrorKind::Interrupted => return Err(error),
                 _ => {}
             }
-            self.take_updates();
+            self.apply_updates();
             has_more = self.receive();
             self.log_decisions();
         }
     }
 
-    /// Reads datagrams until both sockets are empty, or until [`BATCHES`] is reached, so that
+    /// Reads datagrams until both sockets are empty, or until [`MAX_BATCHES`] is reached, so that
     /// updates and ticks are not delayed. Returns whether there may be more datagrams: events are
     /// edge-triggered, so none reports datagrams that are left unread.
     fn receive(&mut self) -> bool {
-        for _ in 0..BATCHES {
+        for _ in 0..MAX_BATCHES {
             let has_packets = self.receive_packets();
             let has_messages = self.receive_messages();
             if !has_packets && !has_messages {
@@ -137,23 +141,23 @@
         let now = Instant::now();
 
         for decision in self.policy.take_decisions() {
-            self.links.metrics.on_decision(&decision);
+            self.context.metrics.on_decision(&decision);
             self.log.write(&decision, now);
         }
         if let Some(unsent) = self.unsent.take() {
             self.log.write_unsent(unsent, now);
         }
         for answer in self.policy.take_answers() {
-            self.links.metrics.on_answer(self.policy.knowledge(), answer);
+            self.context.metrics.on_answer(self.policy.knowledge(), answer);
         }
-        if self.next_gauges <= now {
-            self.next_gauges = now + GAUGE_INTERVAL;
-            self.links.metrics.observe(&self.policy, self.log.left_out(), now);
+        if self.next_gauge_update <= now {
+            self.next_gauge_update = now + GAUGE_INTERVAL;
+            self.context.metrics.set_gauges(&self.policy, self.log.left_out(), now);
         }
     }
 
-    fn take_updates(&mut self) {
-        while let Ok(update) = self.links.updates.try_recv() {
+    fn apply_updates(&mut self) {
+        while let Ok(update) = self.context.updates.try_recv() {
             let now = Instant::now();
             let actions = match update {
                 ControlUpdate::Routes(reply) => self.policy.on_routes_reply(reply, now),
@@ -164,27 +168,27 @@
                     Vec::new()
                 }
                 ControlUpdate::Stop => {
-                    self.stopping = true;
+                    self.is_stopping = true;
                     Vec::new()
                 }
             };
-            self.act(actions);
+            self.apply_actions(actions);
         }
     }
 
     /// Sets this VM ready once the policy knows enough, unless the process is stopping.
-    fn check_ready(&mut self) {
-        if !self.policy.is_ready() || self.stopping {
+    fn update_readiness(&mut self) {
+        if !self.policy.is_ready() || self.is_stopping {
             return;
         }
 
-        if !self.links.ready.swap(true, Ordering::Relaxed) {
+        if !self.context.ready.swap(true, Ordering::Relaxed) {
             log::info!(held_packets = self.held.len(); "ready");
         }
     }
 
     /// Handles the held packets about which the policy can now decide.
-    fn release_held(&mut self) {
+    fn handle_decidable_packets(&mut self) {
         let Self { held, policy, .. } = self;
 
         for packet in held.take_decidable(|packet| policy.can_decide(packet)) {
@@ -192,7 +196,7 @@
         }
     }
 
-    fn drop_expired(&mut self, now: Instant) {
+    fn drop_expired_packets(&mut self, now: Instant) {
         for expired in self.held.take_expired(now) {
             self.policy.on_held_too_long(&expired.packet, now);
         }
@@ -202,8 +206,8 @@
     fn receive_packets(&mut self) -> bool {
         let mut datagram = [0; packet::MAX_PACKET_BYTES + 1];
 
-        for _ in 0..BATCH {
-            match self.links.data_socket.recv(&mut datagram) {
+        for _ in 0..BATCH_DATAGRAMS {
+            match self.context.data_socket.recv(&mut datagram) {
                 Ok(length) => self.handle_packet(&datagram[..length]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return false,
                 Err(error) => log::warn!("failed to receive a packet: {error}"),
@@ -216,8 +220,8 @@
     fn receive_messages(&mut self) -> bool {
         let mut datagram = [0; peer_codec::MAX_DATAGRAM_BYTES];
 
-        for _ in 0..BATCH {
-            match self.links.peer_socket.recv_from(&mut datagram) {
+        for _ in 0..BATCH_DATAGRAMS {
+            match self.context.peer_socket.recv_from(&mut datagram) {
                 Ok((length, SocketAddr::V4(sender))) => {
                     self.handle_message(sender, &datagram[..length]);
                 }
@@ -231,38 +235,41 @@
 
     fn handle_message(&mut self, sender: SocketAddrV4, datagram: &[u8]) {
         let Some(message) = peer_codec::decode(datagram) else {
-            self.links.metrics.on_unreadable();
+            self.context.metrics.on_unreadable();
             log::debug!("ignored a datagram from {sender}: not a message of this version");
             return;
         };
 
         let actions = self.policy.on_message(sender, message, Instant::now());
-        self.act(actions);
+        self.apply_actions(actions);
     }
 
-    fn act(&mut self, actions: Vec<KeeperAction>) {
+    fn apply_actions(&mut self, actions: Vec<KeeperAction>) {
         for action in actions {
             match action {
                 KeeperAction::Tell(peer, message) => {
                     if let Some(datagram) = peer_codec::encode(&message) {
                         let peer = SocketAddr::V4(peer);
-                        self.note_sent(self.links.peer_socket.send_to(&datagram, peer), peer);
+                        self.record_send_result(
+                            self.context.peer_socket.send_to(&datagram, peer),
+                            peer,
+                        );
                     }
                 }
                 KeeperAction::Call(kind, call) => {
-                    if let Err(error) = self.links.orders.try_send((kind, call)) {
+                    if let Err(error) = self.context.store_requests.try_send((kind, call)) {
                         log::error!("store request dropped: {error}");
                     }
                 }
             }
         }
-        self.check_ready();
-        self.release_held();
+        self.update_readiness();
+        self.handle_decidable_packets();
     }
 
     fn handle_packet(&mut self, datagram: &[u8]) {
         let Some(packet) = packet::decode(datagram) else {
-            self.links.metrics.on_unreadable();
+            self.context.metrics.on_unreadable();
             return;
         };
 
@@ -271,8 +278,8 @@
             PacketVerdict::Forward { number, address, token, .. } => {
                 packet::encode_forward(datagram, number, token, &mut self.outgoing);
                 let address = SocketAddr::V4(address);
-                let sent = self.links.data_socket.send_to(&self.outgoing, address);
-                self.note_sent(sent, address);
+                let sent = self.context.data_socket.send_to(&self.outgoing, address);
+                self.record_send_result(sent, address);
             }
             PacketVerdict::Reset(_) => self.send_reset(FlowReset::from(&packet)),
             PacketVerdict::Drop(reason) if reason.may_pass() => {
@@ -293,19 +300,19 @@
 
     fn send_reset(&mut self, reset: FlowReset) {
         // Callers receive datagrams on the same port as the balancers' data sockets.
-        let port = self.links.data_socket.local_addr().map_or(0, |address| address.port());
+        let port = self.context.data_socket.local_addr().map_or(0, |address| address.port());
         let caller = SocketAddr::new((*reset.flow.caller.ip()).into(), port);
 
         let reset = packet::encode_reset(reset);
-        self.note_sent(self.links.data_socket.send_to(&reset, caller), caller);
+        self.record_send_result(self.context.data_socket.send_to(&reset, caller), caller);
     }
 
     /// Counts a datagram that could not be sent. It is treated like a lost datagram, which the
     /// original sender retransmits.
-    fn note_sent(&mut self, sent: io::Result<usize>, peer: SocketAddr) {
+    fn record_send_result(&mut self, sent: io::Result<usize>, peer: SocketAddr) {
         let Err(error) = sent else { return };
 
-        self.links.metrics.on_unsent();
+        self.context.metrics.on_unsent();
         let count = self.unsent.map_or(0, |before| before.count) + 1;
         self.unsent = Some(UnsentDatagrams { count, peer, cause: error.kind() });
     }
--- a/crates/valvestage-entry/src/decision_lines.rs
+++ b/crates/valvestage-entry/src/decision_log.rs
@@ -16,21 +16,21 @@
 use valvestage_process::log_ring::LogRing;
 use valvestage_process::structured_log::time_of_day;
 
-use crate::log_budget::LogBudget;
+use crate::log_rate_limiter::LogRateLimiter;
 
 /// Rate-limited log of decisions.
 pub struct DecisionLog {
     ring: Option<LogRing>,
     /// Name of this VM, which is part of each line.
     vm: String,
-    budget: LogBudget,
+    rate_limiter: LogRateLimiter,
 }
 
 impl DecisionLog {
     /// Creates a log that writes to `ring`, or writes nothing if it is `None`.
     #[must_use]
     pub fn new(ring: Option<LogRing>, vm: String) -> Self {
-        Self { ring, vm, budget: LogBudget::default() }
+        Self { ring, vm, rate_limiter: LogRateLimiter::default() }
     }
 
     /// Returns the number of lines that were dropped since the ring was full and that no later line
@@ -61,12 +61,12 @@
         event: &'static str,
         is_ordinary: bool,
         now: Instant,
-        fill: impl FnOnce(&mut LineFields),
+        fill: impl FnOnce(&mut LogLineFields),
     ) {
         let Some(ring) = &self.ring else { return };
-        let Some(left_out) = self.budget.admit(event, is_ordinary, now) else { return };
+        let Some(left_out) = self.rate_limiter.admit(event, is_ordinary, now) else { return };
 
-        let mut line = LineFields::new(event);
+        let mut line = LogLineFields::new(event);
         line.put("vm", self.vm.as_str());
         if left_out > 0 {
             line.put("left_out_before", left_out);
@@ -130,11 +130,11 @@
 }
 
 /// Fields of a log line.
-struct LineFields {
+struct LogLineFields {
     fields: Map<String, Value>,
 }
 
-impl LineFields {
+impl LogLineFields {
     fn new(event: &'static str) -> Self {
         let mut line = Self { fields: Map::new() };
 
@@ -186,7 +186,7 @@
     }
 }
 
-fn fill(line: &mut LineFields, decision: &Decision) {
+fn fill(line: &mut LogLineFields, decision: &Decision) {
     match decision {
         Decision::Placed(placement) => fill_placement(line, placement),
         Decision::Reset { flow, reason, instance } => {
@@ -204,15 +204,15 @@
         }
         Decision::Avoided { instance, count, told_by, avoided_for } => {
             line.put_backend(*instance);
-            line.put("requests", rounded(count.total()));
-            line.put("poor", rounded(count.poor));
-            line.put("expected", rounded(count.expected));
+            line.put("requests", round_to_hundredths(count.total()));
+            line.put("poor", round_to_hundredths(count.poor));
+            line.put("expected", round_to_hundredths(count.expected));
             line.put("told_by", *told_by);
             line.put_time("avoided_ms", *avoided_for);
         }
         Decision::SpillBegan { service, share } => {
             line.put("service", service.as_str());
-            line.put("share", rounded(*share));
+            line.put("share", round_to_hundredths(*share));
         }
         Decision::SpillEnded { service } => line.put("service", service.as_str()),
         Decision::AvoidedAsTold { instance, peer, left } => {
@@ -222,12 +222,12 @@
         }
         Decision::Slowed { instance, factor, answers } => {
             line.put_backend(*instance);
-            line.put("pace", rounded(*factor));
-            line.put("answers", rounded(*answers));
+            line.put("pace", round_to_hundredths(*factor));
+            line.put("answers", round_to_hundredths(*answers));
         }
         Decision::Recovered { instance, factor } => {
             line.put_backend(*instance);
-            line.put("pace", rounded(*factor));
+            line.put("pace", round_to_hundredths(*factor));
         }
         Decision::Cleared { instance } | Decision::BackendMissing { instance } => {
             line.put_backend(*instance);
@@ -293,7 +293,7 @@
     }
 }
 
-fn fill_placement(line: &mut LineFields, placement: &FlowPlacement) {
+fn fill_placement(line: &mut LogLineFields, placement: &FlowPlacement) {
     line.put_flow(&placement.flow);
     line.put("service", placement.service.as_str());
     line.put_backend(placement.instance);
@@ -301,9 +301,9 @@
     if let Some(zone) = &placement.drawn_zone {
         line.put("drawn_zone", zone.as_str());
     }
-    line.put("load", rounded(placement.load));
+    line.put("load", round_to_hundredths(placement.load));
     if placement.pace > 1.0 {
-        line.put("pace", rounded(placement.pace));
+        line.put("pace", round_to_hundredths(placement.pace));
     }
     line.put("candidates", placement.candidates);
     if placement.left_out > 0 {
@@ -323,7 +323,7 @@
     }
 }
 
-fn fill_dropped(line: &mut LineFields, dropped: &DroppedPacket) {
+fn fill_dropped(line: &mut LogLineFields, dropped: &DroppedPacket) {
     line.put_flow(&dropped.flow);
     line.put("reason", dropped.reason.name());
     line.put("token", dropped.token);
@@ -336,7 +336,7 @@
     }
 }
 
-fn fill_incomplete(line: &mut LineFields, answer: &IncompleteAnswer) {
+fn fill_incomplete(line: &mut LogLineFields, answer: &IncompleteAnswer) {
     line.put_text("peer", answer.peer);
     line.put("kind", format!("{:?}", answer.kind));
     line.put("state", answer.state);
@@ -346,7 +346,7 @@
 }
 
 /// Rounds to two decimal places, which is precise enough for a reader of the log.
-fn rounded(number: f64) -> f64 {
+fn round_to_hundredths(number: f64) -> f64 {
     (number * 100.0).round() / 100.0
 }
 
--- a/crates/valvestage-entry/src/entry_metrics.rs
+++ b/crates/valvestage-entry/src/entry_metrics.rs
@@ -19,18 +19,18 @@
     AnswerTime, Decision, DroppedPacket, EntryPolicy, Knowledge, StoreKind,
 };
 
-use crate::decision_lines::event_name;
+use crate::decision_log::event_name;
 
 /// Prefix of all metric names.
 const PREFIX: &str = "valvestage_entry";
 
 /// Half of the largest number of distinct service and availability zone names in labels, both
 /// counted together. Further names are reported as `other`.
-const MAX_NAMES: usize = 64;
+const MAX_LABEL_NAMES: usize = 64;
 
 /// Largest age in milliseconds, about 49 days, which is also reported if the store never confirmed
 /// the knowledge. The exposition format cannot represent the largest 64-bit numbers.
-const NEVER_MS: u64 = u32::MAX as u64;
+const MAX_AGE_MS: u64 = u32::MAX as u64;
 
 /// Upper bounds of the histogram buckets in seconds. They are placed around the deployments'
 /// response time targets of 0.1 to 2 s and around the callers' timeouts of 0.2, 0.6 and 1.4 s.
@@ -53,7 +53,7 @@
 
 /// Label set with a service and an availability zone.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct PlaceLabel {
+pub struct ServiceZoneLabel {
     /// Name of the service, or `other`.
     pub service: String,
     /// Availability zone of the backend server, or `other`.
@@ -62,7 +62,7 @@
 
 /// Label set with the kind and the outcome of a store request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct CallLabel {
+pub struct StoreCallLabel {
     /// Kind of the requested objects.
     pub kind: &'static str,
     /// `answered` or `failed`.
@@ -75,10 +75,10 @@
     events: Family<EventLabel, Counter>,
     resets: Family<ReasonLabel, Counter>,
     drops: Family<ReasonLabel, Counter>,
-    placements: Family<PlaceLabel, Counter>,
-    handshakes: Family<PlaceLabel, Histogram>,
-    answers: Family<PlaceLabel, Histogram>,
-    store_calls: Family<CallLabel, Counter>,
+    placements: Family<ServiceZoneLabel, Counter>,
+    handshakes: Family<ServiceZoneLabel, Histogram>,
+    answers: Family<ServiceZoneLabel, Histogram>,
+    store_calls: Family<StoreCallLabel, Counter>,
     unreadable: Counter,
     unsent: Counter,
     log_lines_left_out: Gauge<u64, AtomicU64>,
@@ -177,7 +177,7 @@
 
     /// Encodes all metrics in the exposition format.
     #[must_use]
-    pub fn text(&self) -> String {
+    pub fn encode_text(&self) -> String {
         let mut text = String::new();
 
         match encode(&mut text, &self.registry) {
@@ -193,7 +193,7 @@
 
         match decision {
             Decision::Placed(placement) => {
-                let label = self.place(&placement.service, &placement.zone);
+                let label = self.service_zone_label(&placement.service, &placement.zone);
                 self.placements.get_or_create(&label).inc();
             }
             Decision::Reset { reason, .. } => {
@@ -210,7 +210,7 @@
     pub fn on_answer(&self, knowledge: &Knowledge, answer: AnswerTime) {
         let Some(entry) = knowledge.directory.get(answer.instance) else { return };
 
-        let label = self.place(&entry.service, &entry.zone);
+        let label = self.service_zone_label(&entry.service, &entry.zone);
         let family = if answer.opening { &self.handshakes } else { &self.answers };
         family.get_or_create(&label).observe(answer.time.as_secs_f64());
     }
@@ -224,7 +224,7 @@
         };
         let outcome = if is_answered { "answered" } else { "failed" };
 
-        self.store_calls.get_or_create(&CallLabel { kind, outcome }).inc();
+        self.store_calls.get_or_create(&StoreCallLabel { kind, outcome }).inc();
     }
 
     /// Counts a received datagram that is neither a valid packet nor a valid message.
@@ -238,30 +238,32 @@
     }
 
     /// Sets the gauges from the state of the policy and the number of unreported dropped log lines.
-    pub fn observe(&self, policy: &EntryPolicy, lines_left_out: u64, now: Instant) {
+    pub fn set_gauges(&self, policy: &EntryPolicy, lines_left_out: u64, now: Instant) {
         let knowledge = policy.knowledge();
         let age = knowledge.confirmed_at().map(|at| now.saturating_duration_since(at));
 
-        set(&self.flows, policy.steering().flow_count());
-        set(&self.peers, policy.keeper().peer_count());
-        set(&self.follows_store, usize::from(policy.keeper().is_watching()));
-        set(&self.backends, knowledge.directory.ready().len());
-        set(&self.suspects, policy.steering().suspects(now).len());
-        set(&self.avoided, policy.steering().avoided_count(now));
-        set(&self.evacuated_zones, knowledge.evacuated.zones().len());
+        set_gauge(&self.flows, policy.steering().flow_count());
+        set_gauge(&self.peers, policy.keeper().peer_count());
+        set_gauge(&self.follows_store, usize::from(policy.keeper().is_watching()));
+        set_gauge(&self.backends, knowledge.directory.ready().len());
+        set_gauge(&self.suspects, policy.steering().suspects(now).len());
+        set_gauge(&self.avoided, policy.steering().avoided_count(now));
+        set_gauge(&self.evacuated_zones, knowledge.evacuated.zones().len());
         self.version.set(knowledge.routes.version);
-        self.knowledge_age_ms.set(age.map_or(NEVER_MS, millis));
+        self.knowledge_age_ms.set(age.map_or(MAX_AGE_MS, millis));
         self.log_lines_left_out.set(lines_left_out);
     }
 
-    fn place(&self, service: &str, zone: &str) -> PlaceLabel {
-        PlaceLabel { service: self.bounded(service), zone: self.bounded(zone) }
+    fn service_zone_label(&self, service: &str, zone: &str) -> ServiceZoneLabel {
+        ServiceZoneLabel { service: self.bounded_label(service), zone: self.bounded_label(zone) }
     }
 
-    fn bounded(&self, name: &str) -> String {
+    fn bounded_label(&self, name: &str) -> String {
         let mut names = self.names.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
 
-        if names.contains(name) || names.len() < 2 * MAX_NAMES && names.insert(name.to_owned()) {
+        if names.contains(name)
+            || names.len() < 2 * MAX_LABEL_NAMES && names.insert(name.to_owned())
+        {
             name.to_owned()
         } else {
             "other".to_owned()
@@ -269,10 +271,10 @@
     }
 }
 
-fn set(gauge: &Gauge<u64, AtomicU64>, value: usize) {
+fn set_gauge(gauge: &Gauge<u64, AtomicU64>, value: usize) {
     gauge.set(u64::try_from(value).unwrap_or(u64::MAX));
 }
 
 fn millis(time: Duration) -> u64 {
-    u64::try_from(time.as_millis()).unwrap_or(NEVER_MS).min(NEVER_MS)
+    u64::try_from(time.as_millis()).unwrap_or(MAX_AGE_MS).min(MAX_AGE_MS)
 }
--- a/crates/valvestage-entry/src/http_server.rs
+++ b/crates/valvestage-entry/src/http_server.rs
@@ -13,26 +13,26 @@
 use tokio::net::TcpListener;
 
 /// Response to a request for a path.
-pub struct HttpAnswer {
+pub struct HttpResponse {
     /// Status code.
     pub status: actix_http::StatusCode,
     /// Body, which may be empty.
-    pub text: String,
+    pub body: String,
 }
 
 /// Serves requests until the process ends. `answer` returns the response for a request's path.
 /// Returns only if the server cannot be started.
 pub async fn serve(
     listener: std::net::TcpListener,
-    answer: impl Fn(&str) -> HttpAnswer + 'static,
+    answer: impl Fn(&str) -> HttpResponse + 'static,
 ) -> io::Result<()> {
     listener.set_nonblocking(true)?;
     let listener = TcpListener::from_std(listener)?;
     let answer = Rc::new(answer);
     let factory = HttpService::build()
         .finish(fn_service(move |request: Request| {
-            let HttpAnswer { status, text } = answer(request.path());
-            let response = Response::build(status).body(text);
+            let HttpResponse { status, body } = answer(request.path());
+            let response = Response::build(status).body(body);
             async move { Ok::<_, Infallible>(response) }
         }))
         .tcp();
--- a/crates/valvestage-entry/src/lib.rs
+++ b/crates/valvestage-entry/src/lib.rs
@@ -12,7 +12,7 @@
 //! | [`peer_codec`] | encoding of messages between balancers |
 //! | [`http_server`] | HTTP server on the control thread |
 //! | [`ready_server`] | readiness endpoint for the routers |
-//! | [`decision_lines`], [`log_budget`] | rate-limited log of decisions |
+//! | [`decision_log`], [`log_rate_limiter`] | rate-limited log of decisions |
 //! | [`entry_metrics`], [`metrics_server`] | metrics and their endpoint |
 //! | [`settings_task`] | reload of the settings |
 //! | [`updates`] | updates from the control thread to the data thread |
@@ -20,11 +20,11 @@
 
 pub mod control_thread;
 pub mod data_thread;
-pub mod decision_lines;
+pub mod decision_log;
 pub mod entry_metrics;
 pub mod errors;
 pub mod http_server;
-pub mod log_budget;
+pub mod log_rate_limiter;
 pub mod metrics_server;
 pub mod peer_codec;
 pub mod process;
--- a/crates/valvestage-entry/src/log_budget.rs
+++ b/crates/valvestage-entry/src/log_rate_limiter.rs
@@ -10,17 +10,17 @@
 /// Largest number of lines per second of an event that is logged for every new flow. 5 lines per
 /// second take less than a twentieth of the process's CPU time under normal load (see
 /// docs/OPERATIONS.md).
-const ORDINARY: u32 = 20;
+const ORDINARY_LINES: u32 = 20;
 
 /// Largest number of lines per second of every other event.
-const EXCEPTIONAL: u32 = 50;
+const EXCEPTIONAL_LINES: u32 = 50;
 
 /// Length of the window in which lines are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 
 /// Rate limiter for log lines, with a fixed window per event.
 #[derive(Debug, Default)]
-pub struct LogBudget {
+pub struct LogRateLimiter {
     counts: HashMap<&'static str, EventCount>,
 }
 
@@ -32,11 +32,11 @@
     left_out: u64,
 }
 
-impl LogBudget {
+impl LogRateLimiter {
     /// Reports whether a line of an event may be written. Returns the number of lines omitted since
     /// the last one that was written, or `None` if this line is to be omitted as well.
     pub fn admit(&mut self, event: &'static str, is_ordinary: bool, now: Instant) -> Option<u64> {
-        let limit = if is_ordinary { ORDINARY } else { EXCEPTIONAL };
+        let limit = if is_ordinary { ORDINARY_LINES } else { EXCEPTIONAL_LINES };
         let count = self.counts.entry(event).or_insert_with(|| EventCount {
             window_ends: now + WINDOW,
             written: 0,
--- a/crates/valvestage-entry/src/main.rs
+++ b/crates/valvestage-entry/src/main.rs
@@ -9,7 +9,7 @@
 use bpaf::Bpaf;
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use valvestage_core::settings::EntrySettings;
-use valvestage_entry::decision_lines::DecisionLog;
+use valvestage_entry::decision_log::DecisionLog;
 use valvestage_entry::{EntryError, EntryProcess};
 use valvestage_process::command_line::{parse, settings_are_right, usage_error};
 use valvestage_process::log_ring::LogRing;
@@ -19,7 +19,7 @@
 const PROGRAM: &str = "valvestage-entry";
 
 /// Time limit for writing the remaining log lines before the process ends.
-const LAST_LINES: Duration = Duration::from_millis(500);
+const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Steers callers' packets to backend servers.
 ///
@@ -36,7 +36,7 @@
 }
 
 fn main() -> ExitCode {
-    let told_to_stop = watch_early_signals();
+    let stop_requested = handle_early_signals();
     let arguments = match parse(&arguments()) {
         Ok(arguments) => arguments,
         Err(code) => return code,
@@ -49,7 +49,7 @@
         return settings_are_right(&arguments.settings);
     }
 
-    match serve(arguments.settings, settings, told_to_stop) {
+    match serve(arguments.settings, settings, stop_requested) {
         Ok(()) => ExitCode::from(exit_codes::SUCCESS),
         Err(error) => {
             log::error!("{error}");
@@ -62,30 +62,31 @@
 /// Handles SIGHUP and SIGTERM until the control thread does, since an unhandled signal would end
 /// the process. SIGHUP is ignored, because the settings are about to be read anyway. SIGTERM sets
 /// the returned flag.
-fn watch_early_signals() -> Arc<AtomicBool> {
+fn handle_early_signals() -> Arc<AtomicBool> {
     let ignored = Arc::new(AtomicBool::new(false));
-    let told_to_stop = Arc::new(AtomicBool::new(false));
+    let stop_requested = Arc::new(AtomicBool::new(false));
 
-    for (signal, flag) in [(SIGHUP, ignored), (SIGTERM, told_to_stop.clone())] {
+    for (signal, flag) in [(SIGHUP, ignored), (SIGTERM, stop_requested.clone())] {
         if let Err(error) = signal_hook::flag::register(signal, flag) {
             eprintln!("{PROGRAM}: failed to handle signal {signal}: {error}");
         }
     }
-    told_to_stop
+    stop_requested
 }
 
 fn serve(
     file: PathBuf,
     settings: EntrySettings,
-    told_to_stop: Arc<AtomicBool>,
+    stop_requested: Arc<AtomicBool>,
 ) -> Result<(), EntryError> {
     let ring = LogRing::start(std::io::stdout()).map_err(EntryError::Log)?;
     let _logger = structured_log::start(ring.clone()).map_err(EntryError::Log)?;
 
     log::info!(vm = settings.name.as_str(), zone = settings.zone.as_str(); "starting");
     let log = DecisionLog::new(Some(ring.clone()), settings.name.clone());
-    let result = EntryProcess::bind(file, settings, log, told_to_stop).and_then(EntryProcess::run);
-    if !ring.flush(LAST_LINES) {
+    let result =
+        EntryProcess::bind(file, settings, log, stop_requested).and_then(EntryProcess::run);
+    if !ring.flush(LOG_FLUSH_TIMEOUT) {
         eprintln!("{PROGRAM}: failed to write the remaining log lines in time");
     }
     result
--- a/crates/valvestage-entry/src/metrics_server.rs
+++ b/crates/valvestage-entry/src/metrics_server.rs
@@ -7,7 +7,7 @@
 use actix_http::StatusCode;
 
 use crate::entry_metrics::EntryMetrics;
-use crate::http_server::{HttpAnswer, serve};
+use crate::http_server::{HttpResponse, serve};
 
 /// Path of the endpoint.
 const PATH: &str = "/metrics";
@@ -15,8 +15,8 @@
 /// Serves the metrics endpoint until the process ends.
 pub async fn run(listener: TcpListener, metrics: Arc<EntryMetrics>) -> io::Result<()> {
     serve(listener, move |path| match path {
-        PATH => HttpAnswer { status: StatusCode::OK, text: metrics.text() },
-        _ => HttpAnswer { status: StatusCode::NOT_FOUND, text: String::new() },
+        PATH => HttpResponse { status: StatusCode::OK, body: metrics.encode_text() },
+        _ => HttpResponse { status: StatusCode::NOT_FOUND, body: String::new() },
     })
     .await
 }
--- a/crates/valvestage-entry/src/process.rs
+++ b/crates/valvestage-entry/src/process.rs
@@ -18,55 +18,57 @@
 };
 
 use crate::control_thread::ControlThread;
-use crate::data_thread::{DataLinks, DataThread, UPDATES};
-use crate::decision_lines::DecisionLog;
+use crate::data_thread::{DataThread, DataThreadContext, UPDATES_WAKER};
+use crate::decision_log::DecisionLog;
 use crate::entry_metrics::EntryMetrics;
 use crate::errors::EntryError;
 use crate::updates;
 
 /// Capacity of the queue of store requests. At most one request per kind of objects is in flight.
-const ORDERS: usize = 8;
+const STORE_REQUEST_CAPACITY: usize = 8;
 
 /// A balancer whose sockets are bound and whose threads are ready to start.
 pub struct EntryProcess {
     data: DataThread,
     /// Sends the control thread the error with which the data thread ended.
-    data_end: oneshot::Sender<io::Error>,
+    data_error_sender: oneshot::Sender<io::Error>,
     control: ControlThread,
 }
 
 impl EntryProcess {
     /// Binds the sockets to the addresses of the settings.
     ///
-    /// `settings_file` is read again when it changes. `told_to_stop` is set if SIGTERM arrives
+    /// `settings_file` is read again when it changes. `stop_requested` is set if SIGTERM arrives
     /// before the control thread handles it.
     pub fn bind(
         settings_file: PathBuf,
         settings: EntrySettings,
         log: DecisionLog,
-        told_to_stop: Arc<AtomicBool>,
+        stop_requested: Arc<AtomicBool>,
     ) -> Result<Self, EntryError> {
-        let poll = Poll::new().map_err(setup("make poll"))?;
-        let waker = Waker::new(poll.registry(), UPDATES).map_err(setup("make waker"))?;
-        let (sender, updates) = updates::ring(Arc::new(waker));
-        let (order_sender, orders) = mpsc::channel(ORDERS);
-        let (data_end, end_receiver) = oneshot::channel();
+        let poll = Poll::new().map_err(setup_error("make poll"))?;
+        let waker =
+            Waker::new(poll.registry(), UPDATES_WAKER).map_err(setup_error("make waker"))?;
+        let (sender, updates) = updates::update_channel(Arc::new(waker));
+        let (request_sender, store_requests) = mpsc::channel(STORE_REQUEST_CAPACITY);
+        let (data_error_sender, data_thread_error) = oneshot::channel();
         let ready = Arc::new(AtomicBool::new(false));
         let metrics = Arc::new(EntryMetrics::default());
 
         let data_socket = bind_udp("bind data socket", settings.data_address)?;
         let peer_socket = bind_udp("bind peer socket", settings.peer_address)?;
-        let links = DataLinks {
+        let context = DataThreadContext {
             poll,
             data_socket,
             peer_socket,
             updates,
-            orders: order_sender,
+            store_requests: request_sender,
             ready: ready.clone(),
             metrics: metrics.clone(),
         };
-        let policy = EntryPolicy::new(options(&settings), Instant::now());
-        let data = DataThread::new(links, policy, log).map_err(setup("register sockets"))?;
+        let policy = EntryPolicy::new(entry_options(&settings), Instant::now());
+        let data =
+            DataThread::new(context, policy, log).map_err(setup_error("register sockets"))?;
 
         let control = ControlThread {
             ready_listener: listen("listen for readiness", settings.ready_address)?,
@@ -75,31 +77,31 @@
             settings,
             ready,
             metrics,
-            orders,
+            store_requests,
             updates: sender,
-            data_end: end_receiver,
-            told_to_stop,
+            data_thread_error,
+            stop_requested,
         };
-        Ok(Self { data, data_end, control })
+        Ok(Self { data, data_error_sender, control })
     }
 
     /// Runs until SIGTERM, or until the data thread fails.
     pub fn run(self) -> Result<(), EntryError> {
-        let Self { data, data_end, control } = self;
+        let Self { data, data_error_sender, control } = self;
 
         let spawned = thread::Builder::new().name("data".into()).spawn(move || {
             if let Err(error) = data.run() {
                 log::error!("the data thread failed: {error}");
                 // The receiver is gone if the process is already stopping.
-                let _ = data_end.send(error);
+                let _ = data_error_sender.send(error);
             }
         });
-        spawned.map_err(setup("start data thread"))?;
-        control.run().map_err(setup("run control thread"))
+        spawned.map_err(setup_error("start data thread"))?;
+        control.run().map_err(setup_error("run control thread"))
     }
 }
 
-fn options(settings: &EntrySettings) -> EntryOptions {
+fn entry_options(settings: &EntrySettings) -> EntryOptions {
     let steering = SteeringOptions {
         zone: settings.zone.clone(),
         far_zones: settings.far_zones.clone(),
@@ -127,17 +129,17 @@
 }
 
 fn bind_udp(step: &'static str, address: SocketAddrV4) -> Result<UdpSocket, EntryError> {
-    UdpSocket::bind(SocketAddr::V4(address)).map_err(on_address(step, address))
+    UdpSocket::bind(SocketAddr::V4(address)).map_err(socket_error(step, address))
 }
 
 fn listen(step: &'static str, address: SocketAddrV4) -> Result<TcpListener, EntryError> {
-    TcpListener::bind(address).map_err(on_address(step, address))
+    TcpListener::bind(address).map_err(socket_error(step, address))
 }
 
-fn setup(step: &'static str) -> impl Fn(io::Error) -> EntryError {
+fn setup_error(step: &'static str) -> impl Fn(io::Error) -> EntryError {
     move |cause| EntryError::Setup { step, cause }
 }
 
-fn on_address(step: &'static str, address: SocketAddrV4) -> impl Fn(io::Error) -> EntryError {
+fn socket_error(step: &'static str, address: SocketAddrV4) -> impl Fn(io::Error) -> EntryError {
     move |cause| EntryError::Socket { step, address, cause }
 }
--- a/crates/valvestage-entry/src/ready_server.rs
+++ b/crates/valvestage-entry/src/ready_server.rs
@@ -8,7 +8,7 @@
 use actix_http::StatusCode;
 use valvestage_platform::catalogue::READY_PATH;
 
-use crate::http_server::{HttpAnswer, serve};
+use crate::http_server::{HttpResponse, serve};
 
 /// Serves the readiness endpoint until the process ends.
 pub async fn run(listener: TcpListener, ready: Arc<AtomicBool>) -> io::Result<()> {
@@ -18,5 +18,5 @@
         _ => StatusCode::NOT_FOUND,
     };
 
-    serve(listener, move |path| HttpAnswer { status: status(path), text: String::new() }).await
+    serve(listener, move |path| HttpResponse { status: status(path), body: String::new() }).await
 }
--- a/crates/valvestage-entry/src/settings_task.rs
+++ b/crates/valvestage-entry/src/settings_task.rs
@@ -17,7 +17,7 @@
 
 /// Interval between checks of the file's modification time. Each check costs one system call, and
 /// the platform does not require a faster reaction.
-const LOOK_INTERVAL: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Watches the settings file and applies its changes until the process ends.
 pub async fn run(
@@ -33,19 +33,19 @@
             return;
         }
     };
-    let mut seen = modified(&file);
+    let mut last_modified = modification_time(&file);
 
     loop {
-        let signalled = timeout(LOOK_INTERVAL, hangup.recv()).await.is_ok();
-        let now = modified(&file);
-        if !signalled && now == seen {
+        let signalled = timeout(POLL_INTERVAL, hangup.recv()).await.is_ok();
+        let now = modification_time(&file);
+        if !signalled && now == last_modified {
             continue;
         }
 
-        seen = now;
+        last_modified = now;
         match EntrySettings::read(&file) {
             Ok(newer) => {
-                apply(&settings, &newer, &client, &updates);
+                apply_changes(&settings, &newer, &client, &updates);
                 settings = newer;
             }
             Err(error) => log::error!("reload: the settings in force stay: {error}"),
@@ -53,7 +53,7 @@
     }
 }
 
-fn apply(
+fn apply_changes(
     older: &EntrySettings,
     newer: &EntrySettings,
     client: &StoreClient,
@@ -79,7 +79,7 @@
 }
 
 /// Returns the file's modification time, or `None` with a warning in the log if it cannot be read.
-fn modified(file: &Path) -> Option<SystemTime> {
+fn modification_time(file: &Path) -> Option<SystemTime> {
     let metadata = std::fs::metadata(file).and_then(|metadata| metadata.modified());
 
     metadata.inspect_err(|error| log::warn!("cannot stat {}: {error}", file.display())).ok()
--- a/crates/valvestage-entry/src/store_tasks.rs
+++ b/crates/valvestage-entry/src/store_tasks.rs
@@ -16,11 +16,11 @@
 use crate::updates::{ControlUpdate, UpdateSender};
 
 /// A request to the store, with the kind of objects that it is for.
-pub type StoreOrder = (StoreKind, StoreCall);
+pub type StoreRequest = (StoreKind, StoreCall);
 
 /// What a task needs to execute a store request.
 #[derive(Clone)]
-pub struct StoreLinks {
+pub struct StoreTaskContext {
     /// Client for the store.
     pub client: StoreClient,
     /// Sends the replies to the data thread.
@@ -31,38 +31,38 @@
 
 /// Executes store requests, each in a task of its own, until the data thread ends. The policy has
 /// at most one request per kind in flight.
-pub async fn run(links: StoreLinks, mut orders: Receiver<StoreOrder>) {
-    while let Some((kind, call)) = orders.recv().await {
-        actix_rt::spawn(answer(links.clone(), kind, call));
+pub async fn run(context: StoreTaskContext, mut store_requests: Receiver<StoreRequest>) {
+    while let Some((kind, call)) = store_requests.recv().await {
+        actix_rt::spawn(execute(context.clone(), kind, call));
     }
 }
 
-async fn answer(links: StoreLinks, kind: StoreKind, call: StoreCall) {
-    let client = &links.client;
+async fn execute(context: StoreTaskContext, kind: StoreKind, call: StoreCall) {
+    let client = &context.client;
 
     let (update, is_answered) = match kind {
         StoreKind::Configuration => {
-            let reply = carry_out(client, CONFIGURATION_KIND, call, read_configuration).await;
+            let reply = call_store(client, CONFIGURATION_KIND, call, read_configuration).await;
             let is_answered = reply != StoreReply::Failed;
             (ControlUpdate::Routes(reply), is_answered)
         }
         StoreKind::Backends => {
-            let reply = carry_out(client, BACKEND_KIND, call, read_backend_event).await;
+            let reply = call_store(client, BACKEND_KIND, call, read_backend_event).await;
             let is_answered = reply != StoreReply::Failed;
             (ControlUpdate::Backends(reply), is_answered)
         }
         StoreKind::Evacuations => {
             let read = |event: &WireEvent| Some(read_evacuation(event));
-            let reply = carry_out(client, EVACUATION_KIND, call, read).await;
+            let reply = call_store(client, EVACUATION_KIND, call, read).await;
             let is_answered = reply != StoreReply::Failed;
             (ControlUpdate::Evacuations(reply), is_answered)
         }
     };
-    links.metrics.on_store_call(kind, is_answered);
-    links.updates.send(update);
+    context.metrics.on_store_call(kind, is_answered);
+    context.updates.send(update);
 }
 
-async fn carry_out<T>(
+async fn call_store<T>(
     client: &StoreClient,
     kind: &'static str,
     call: StoreCall,
@@ -84,18 +84,18 @@
 /// Parses a change of the configuration. A deletion is ignored: the configuration stays in force
 /// until it is replaced.
 fn read_configuration(event: &WireEvent) -> Option<RouteMap> {
-    if event.deleted { None } else { logged(read_routes(&event.object)) }
+    if event.deleted { None } else { ok_or_log(read_routes(&event.object)) }
 }
 
 fn read_backend_event(event: &WireEvent) -> Option<BackendNews> {
-    let BackendReading { news, fault } = logged(read_backend(event, Instant::now()))?;
+    let BackendReading { update, error } = ok_or_log(read_backend(event, Instant::now()))?;
 
-    if let Some(fault) = fault {
-        log::error!("{fault}; the backend server's entry is unusable");
+    if let Some(error) = error {
+        log::error!("{error}; the backend server's entry is unusable");
     }
-    Some(news)
+    Some(update)
 }
 
-fn logged<T>(result: Result<T, PlatformError>) -> Option<T> {
+fn ok_or_log<T>(result: Result<T, PlatformError>) -> Option<T> {
     result.map_err(|error| log::error!("{error}")).ok()
 }
--- a/crates/valvestage-entry/src/updates.rs
+++ b/crates/valvestage-entry/src/updates.rs
@@ -9,7 +9,7 @@
 
 /// Capacity of the channel. It rarely fills up, since there is at most one store reply per kind of
 /// objects at a time.
-const RING_LENGTH: usize = 64;
+const CHANNEL_CAPACITY: usize = 64;
 
 /// Update for the data thread, which owns the policy.
 #[derive(Debug)]
@@ -29,14 +29,14 @@
 /// Sending half of the channel. It also wakes the data thread.
 #[derive(Clone)]
 pub struct UpdateSender {
-    ring: Sender<ControlUpdate>,
+    channel: Sender<ControlUpdate>,
     waker: Arc<Waker>,
 }
 
 impl UpdateSender {
     /// Sends an update and wakes the data thread. A failure of either is logged.
     pub fn send(&self, update: ControlUpdate) {
-        if let Err(error) = self.ring.try_send(update) {
+        if let Err(error) = self.channel.try_send(update) {
             log::error!("update for the data thread dropped: {error}");
         }
         if let Err(error) = self.waker.wake() {
@@ -47,8 +47,8 @@
 
 /// Creates the channel. `waker` must wake the poll of the data thread.
 #[must_use]
-pub fn ring(waker: Arc<Waker>) -> (UpdateSender, Receiver<ControlUpdate>) {
-    let (sender, receiver) = bounded(RING_LENGTH);
+pub fn update_channel(waker: Arc<Waker>) -> (UpdateSender, Receiver<ControlUpdate>) {
+    let (sender, receiver) = bounded(CHANNEL_CAPACITY);
 
-    (UpdateSender { ring: sender, waker }, receiver)
+    (UpdateSender { channel: sender, waker }, receiver)
 }
--- a/crates/valvestage-entry/tests/early_stop.rs
+++ b/crates/valvestage-entry/tests/early_stop.rs
@@ -7,7 +7,7 @@
 
 use valvestage_core::settings::EntrySettings;
 use valvestage_entry::EntryProcess;
-use valvestage_entry::decision_lines::DecisionLog;
+use valvestage_entry::decision_log::DecisionLog;
 
 /// Settings of a balancer whose ports the kernel assigns and whose store does not exist.
 fn settings(file: &Path) -> EntrySettings {
@@ -22,14 +22,14 @@
 }
 
 #[test]
-fn a_process_that_was_told_to_stop_before_it_listened_stops() {
+fn sigterm_before_the_control_thread_handles_it_stops_the_process() {
     let name = format!("valvestage-early-stop-{}.toml", std::process::id());
     let file = std::env::temp_dir().join(name);
     let settings = settings(&file);
     let log = DecisionLog::new(None, settings.name.clone());
 
-    let told_to_stop = Arc::new(AtomicBool::new(true));
-    let process = EntryProcess::bind(file.clone(), settings, log, told_to_stop).unwrap();
+    let stop_requested = Arc::new(AtomicBool::new(true));
+    let process = EntryProcess::bind(file.clone(), settings, log, stop_requested).unwrap();
     process.run().unwrap();
     fs::remove_file(file).unwrap();
 }
--- a/crates/valvestage-entry/tests/peer_codec.rs
+++ b/crates/valvestage-entry/tests/peer_codec.rs
@@ -24,7 +24,7 @@
 };
 
 /// Returns a position in the first era of the store.
-fn at(revision: u64) -> StorePosition {
+fn store_position(revision: u64) -> StorePosition {
     StorePosition::new(0, revision)
 }
 
@@ -68,7 +68,7 @@
     let changes = changes.map(|record| BackendChange {
         name,
         birth: 0xff_ffff,
-        position: at(u64::MAX),
+        position: store_position(u64::MAX),
         record,
     });
     let part = MessagePart { index: 0, count: 1 };
@@ -87,13 +87,16 @@
         }),
         PeerMessage::ChunksPull(ChunksPull { digests: vec![[u8::MAX; 8]; 16] }),
         PeerMessage::RoutesChunk(chunk),
-        PeerMessage::BackendsPull(BackendsPull { after: at(u64::MAX), scope: WalkScope::Changes }),
+        PeerMessage::BackendsPull(BackendsPull {
+            after: store_position(u64::MAX),
+            scope: WalkScope::Changes,
+        }),
         PeerMessage::Backends(BackendsPart {
             part,
             scope: WalkScope::Everything,
-            after: at(0),
+            after: store_position(0),
             told_until: None,
-            complete_until: at(u64::MAX),
+            complete_until: store_position(u64::MAX),
             names: vec!["core".to_owned()],
             changes: changes.to_vec(),
         }),
@@ -101,7 +104,7 @@
 }
 
 #[test]
-fn a_message_is_read_as_it_was_written() {
+fn a_message_is_decoded_as_it_was_encoded() {
     for message in messages() {
         let datagram = encode(&message).unwrap();
         assert!(datagram.len() <= MAX_DATAGRAM_BYTES);
@@ -111,15 +114,15 @@
 
 /// Bytes per heartbeat: the 4,000 bytes of control traffic that a VM may send per second, divided
 /// by the ten heartbeats sent in a second with updates.
-const HEARTBEAT_SHARE: usize = 4_000 / 10;
+const HEARTBEAT_BUDGET: usize = 4_000 / 10;
 
 /// Bytes of a heartbeat without a health report, including the headers of its datagram: 1.4 KB per
 /// second for about ten heartbeats.
-const HEARTBEAT_ELSE: usize = 140;
+const HEARTBEAT_BASE_BYTES: usize = 140;
 
 /// Returns the health report of a balancer that suspects forty backend servers, all of whose
 /// requests fail, while forty others of the service answer.
-fn report_of_much_trouble(now: Instant) -> HealthReport {
+fn report_with_many_failures(now: Instant) -> HealthReport {
     // The numbers of backend servers have ten hexadecimal digits.
     const FIRST: u64 = 0xff_0000_0000;
     let mut knowledge = Knowledge::default();
@@ -146,7 +149,7 @@
     BackendEntry {
         instance,
         name: BackendName { digest: u32::MAX, number: instance },
-        position: at(instance),
+        position: store_position(instance),
         service: "core".to_owned(),
         address: address(9),
         zone: "zone-a".to_owned(),
@@ -158,20 +161,20 @@
 }
 
 #[test]
-fn much_trouble_leaves_control_within_its_bytes() {
-    let report = report_of_much_trouble(Instant::now());
+fn a_report_of_many_failures_fits_into_the_heartbeat_budget() {
+    let report = report_with_many_failures(Instant::now());
 
     assert!(!report.suspects.is_empty() && !report.outcomes.is_empty());
     assert!(!report.avoided.is_empty());
     // Eight services, each with a hundred requests in flight at this balancer.
     let demands = Some(vec![ServiceDemand::new(u32::MAX, 100.0); 8]);
     let bytes = postcard::to_stdvec(&(report, demands)).unwrap().len();
-    assert!(bytes + HEARTBEAT_ELSE <= HEARTBEAT_SHARE, "{bytes} bytes");
+    assert!(bytes + HEARTBEAT_BASE_BYTES <= HEARTBEAT_BUDGET, "{bytes} bytes");
 }
 
 /// A heartbeat with the largest possible health report must fit into the message limit.
 #[test]
-fn a_heartbeat_about_much_trouble_fits_into_one_datagram() {
+fn the_largest_heartbeat_fits_into_one_datagram() {
     let count = OutcomeCount { answered: 6_000.0, poor: 6_000.0, expected: 6_000.0 };
     let instance = |number: u64| u64::MAX - number;
     let health = HealthReport {
@@ -192,9 +195,9 @@
         zone: watcher.zone.clone(),
         asks: true,
         version: u64::MAX,
-        complete_until: at(u64::MAX),
-        changed_at: at(u64::MAX),
-        era_head: at(u64::MAX),
+        complete_until: store_position(u64::MAX),
+        changed_at: store_position(u64::MAX),
+        era_head: store_position(u64::MAX),
         living: u64::MAX,
         age_ms: u32::MAX,
         outage_age_ms: u32::MAX,
@@ -203,7 +206,7 @@
         health,
         demands: Some(vec![ServiceDemand::new(u32::MAX, f64::MAX); 8]),
         evacuations: Some(EvacuationReport {
-            as_of: at(u64::MAX),
+            as_of: store_position(u64::MAX),
             zones: vec!["a-zone-with-a-long-name".to_owned(); 7],
         }),
         wanted: vec![u32::MAX; 8],
@@ -214,7 +217,7 @@
 }
 
 #[test]
-fn another_version_is_not_understood() {
+fn messages_of_another_version_are_ignored() {
     let mut datagram = encode(&messages()[0]).unwrap();
     datagram[0] += 1;
 
@@ -223,7 +226,7 @@
 }
 
 #[test]
-fn any_datagram_is_taken_without_harm() {
+fn arbitrary_datagrams_cause_no_panic() {
     fn property(kind: usize, place: usize, byte: u8, noise: Vec<u8>) -> bool {
         let now = Instant::now();
         let mut policy = policy(now);
--- a/crates/valvestage-entry/tests/process/entries.rs
+++ b/crates/valvestage-entry/tests/process/entries.rs
@@ -7,13 +7,13 @@
 use crate::{ACK, SYN};
 
 /// Returns the entry of a backend server with its start time.
-fn born(backend: &FakeBackend, at: u64) -> Value {
+fn entry_with_birth(backend: &FakeBackend, at: u64) -> Value {
     json!({"service": "core", "address": backend.address().to_string(), "zone": "zone-a", "version": "v", "slots": 2,
         "state": "ready", "cold_left_ms": 0, "seq": 1, "born": at})
 }
 
 #[test]
-fn entries_that_another_writer_left_keep_no_balancer_from_the_others() {
+fn malformed_entries_do_not_affect_the_other_entries() {
     let site = Site::configured();
     let good = site.backend(0xa1, "core");
     for (name, spec) in [
@@ -38,16 +38,16 @@
 }
 
 #[test]
-fn a_start_under_the_same_name_is_another_process_at_the_same_number() {
+fn a_restart_under_the_same_name_is_another_process_with_the_same_number() {
     let site = Site::configured();
     let backend = site.backend(0xb1, "core");
-    site.standin.put_object("servers", "i-b1", born(&backend, 1_000));
+    site.standin.put_object("servers", "i-b1", entry_with_birth(&backend, 1_000));
     let balancer = site.ready_balancer("one", &[]);
     let caller = Caller::new(&balancer);
     caller.send(&balancer, SYN, 40_001, 0, 0);
     let token = token_of(&backend.receive().1);
 
-    site.standin.put_object("servers", "i-b1", born(&backend, 2_000));
+    site.standin.put_object("servers", "i-b1", entry_with_birth(&backend, 2_000));
     // Three changes: the first process was added and removed, and the second one was added.
     wait_until("the restart is known", || {
         balancer.metric("valvestage_entry_events_total{event=\"backend_changed\"}") == Some(3)
@@ -71,7 +71,7 @@
         assert_eq!(other.receive().0, 0xc2);
     }
 
-    site.standin.put_object("servers", "i-c1", born(&spoiled, 1_000));
+    site.standin.put_object("servers", "i-c1", entry_with_birth(&spoiled, 1_000));
     wait_until("both are usable", || balancer.metric("valvestage_entry_backends") == Some(2));
     caller.send(&balancer, SYN, 40_010, 0, 0);
     assert_eq!(spoiled.receive().0, 0xc1);
--- a/crates/valvestage-entry/tests/process/main.rs
+++ b/crates/valvestage-entry/tests/process/main.rs
@@ -3,7 +3,7 @@
 mod entries;
 mod silent_connections;
 mod site;
-mod walks;
+mod troubleshooting;
 
 use std::fs;
 use std::process::Command;
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn settings_are_read_again_and_bad_ones_change_nothing() {
+fn settings_are_reloaded_and_invalid_ones_are_ignored() {
     let site = Site::configured();
     let balancer = site.ready_balancer("one", &[]);
 
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_reader_that_stalls_costs_no_packet() {
+fn a_stalled_log_reader_delays_no_packet() {
     let site = Site::configured();
     let backend = site.backend(1, "core");
     // Nothing reads the balancer's standard output.
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn a_flood_of_packets_does_not_keep_news_out() {
+fn a_flood_of_packets_does_not_delay_updates() {
     let site = Site::configured();
     let balancer = site.ready_balancer("one", &[]);
 
--- a/crates/valvestage-entry/tests/process/silent_connections.rs
+++ b/crates/valvestage-entry/tests/process/silent_connections.rs
@@ -10,7 +10,7 @@
 const STALLED: usize = 40;
 
 #[test]
-fn a_watch_on_a_silent_connection_ends_and_the_next_call_takes_a_new_one() {
+fn a_watch_on_a_stalled_connection_ends_and_the_next_request_opens_a_new_one() {
     let mut site = Site::configured();
     let relay = site.relay_store();
     let balancer = site.ready_balancer("one", &[]);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn clients_that_fall_silent_keep_no_other_from_readiness_and_metrics() {
+fn stalled_clients_do_not_block_readiness_and_metrics() {
     let site = Site::configured();
     let balancer = site.ready_balancer("one", &[]);
 
--- a/crates/valvestage-entry/tests/process/site.rs
+++ b/crates/valvestage-entry/tests/process/site.rs
@@ -19,21 +19,21 @@
 use valvestage_standins::platform::{PlatformStandin, start};
 
 /// Time limit for any awaited event. A test fails if it is exceeded.
-pub const LONGEST_WAIT: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Interval between checks of an awaited condition.
-const LOOK_AGAIN: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Service address that callers send to.
 pub const SERVICE: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 443);
 
 /// Waits until a condition holds. Panics with `what` after the time limit.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let give_up = Instant::now() + LONGEST_WAIT;
+    let give_up = Instant::now() + WAIT_TIMEOUT;
 
     while !holds() {
         assert!(Instant::now() < give_up, "still waiting: {what}");
-        thread::sleep(LOOK_AGAIN);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -147,7 +147,7 @@
     /// Starts a backend server of a service and registers it in the store.
     pub fn backend(&self, instance: u64, service: &str) -> FakeBackend {
         let socket = UdpSocket::bind((fresh_ip(), 0)).unwrap();
-        socket.set_read_timeout(Some(LONGEST_WAIT)).unwrap();
+        socket.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let SocketAddr::V4(address) = socket.local_addr().unwrap() else {
             unreachable!("it is bound to an IPv4 address")
         };
@@ -224,7 +224,7 @@
     fn get(&self, port: u16, path: &str) -> Option<String> {
         use std::io::Write;
         let mut stream = TcpStream::connect((self.ip, port)).ok()?;
-        stream.set_read_timeout(Some(LONGEST_WAIT)).ok()?;
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
         write!(stream, "GET {path} HTTP/1.1\r\nHost: test\r\nConnection: close\r\n\r\n").ok()?;
         let mut answer = String::new();
         stream.read_to_string(&mut answer).ok()?;
@@ -280,7 +280,7 @@
     pub fn new(balancer: &Balancer) -> Self {
         let address = SocketAddrV4::new(fresh_ip(), balancer.ports[0]);
         let socket = UdpSocket::bind(address).unwrap();
-        socket.set_read_timeout(Some(LONGEST_WAIT)).unwrap();
+        socket.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
 
         Self { socket, address }
     }
@@ -292,25 +292,28 @@
 
     /// Sends a packet of a flow with `data` bytes of data.
     pub fn send(&self, to: &Balancer, flags: u8, port: u16, token: u32, data: usize) {
-        self.hand(to, &FlowPacket { flags, token, data: vec![0; data], ..self.packet(port) });
+        self.send_packet(
+            to,
+            &FlowPacket { flags, token, data: vec![0; data], ..self.packet(port) },
+        );
     }
 
     /// Sends a retransmitted opening packet, which contains the number of copies sent.
     pub fn send_copy(&self, to: &Balancer, port: u16, copies: u32) {
         let flags = flags::SYN;
 
-        self.hand(to, &FlowPacket { flags, acknowledged: copies, ..self.packet(port) });
+        self.send_packet(to, &FlowPacket { flags, acknowledged: copies, ..self.packet(port) });
     }
 
     /// Sends a packet to another port of the service's address.
     pub fn send_to_port(&self, to: &Balancer, flags: u8, port: u16, service_port: u16) {
         let destination = SocketAddrV4::new(*SERVICE.ip(), service_port);
 
-        self.hand(to, &FlowPacket { flags, destination, ..self.packet(port) });
+        self.send_packet(to, &FlowPacket { flags, destination, ..self.packet(port) });
     }
 
     /// Sends the given packet to a balancer.
-    pub fn hand(&self, to: &Balancer, packet: &FlowPacket) {
+    pub fn send_packet(&self, to: &Balancer, packet: &FlowPacket) {
         self.socket.send_to(&packet.encode(), to.data_address()).unwrap();
     }
 
--- a/crates/valvestage-entry/tests/process/walks.rs
+++ b/crates/valvestage-entry/tests/process/troubleshooting.rs
@@ -13,7 +13,7 @@
 
 /// Returns the explanation of a caller's flow from the log of a balancer, which is stopped to
 /// complete the log.
-fn story_of(balancer: Balancer, caller: &Caller, port: u16) -> String {
+fn explain_flow(balancer: Balancer, caller: &Caller, port: u16) -> String {
     balancer.signal(Signal::SIGTERM);
     let (_, log) = balancer.wait();
     let lines = log.lines().filter_map(|line| LogLine::try_from(line).ok()).collect();
@@ -39,7 +39,7 @@
         balancer.metric("valvestage_entry_events_total{event=\"moved\"}").is_some()
     });
 
-    let story = story_of(balancer, &caller, 40_001);
+    let story = explain_flow(balancer, &caller, 40_001);
     assert!(story.contains("was placed on backend server a"), "{story}");
     assert!(story.contains("did not answer the opening packet"), "{story}");
 }
@@ -58,7 +58,7 @@
     let caller = Caller::new(&balancer);
     caller.send(&balancer, SYN, 40_001, 0, 0);
     caller.receive();
-    let story = story_of(balancer, &caller, 40_001);
+    let story = explain_flow(balancer, &caller, 40_001);
     assert!(story.contains("no backend server of the service takes flows"), "{story}");
 }
 
@@ -80,7 +80,7 @@
     });
     caller.send(&balancer, ACK, 40_001, token, 10);
     caller.receive();
-    let story = story_of(balancer, &caller, 40_001);
+    let story = explain_flow(balancer, &caller, 40_001);
     assert!(story.contains("Backend server c1 of core is gone"), "{story}");
     assert!(story.contains("its backend server c1 has ended"), "{story}");
 }
@@ -101,7 +101,7 @@
     wait_until("the packet is dropped", || {
         balancer.metric("valvestage_entry_drops_total{reason=\"no_route\"}") == Some(1)
     });
-    let story = story_of(balancer, &caller, 40_001);
+    let story = explain_flow(balancer, &caller, 40_001);
     assert!(story.contains("The store did not answer"), "{story}");
     assert!(story.contains("configuration 3 may be out of date"), "{story}");
     assert!(story.contains("no route is known from its address"), "{story}");
@@ -119,23 +119,23 @@
     let mut failed_port = None;
     wait_until("the backend server is avoided", || {
         let port = ports.next().unwrap();
-        let instance = ask_once(&balancer, &caller, &backends, port);
+        let instance = send_request(&balancer, &caller, &backends, port);
         if instance == 0xd1 {
             failed_port.get_or_insert(port);
         }
         balancer.metric("valvestage_entry_events_total{event=\"avoided\"}").is_some()
     });
 
-    let story = story_of(balancer, &caller, failed_port.unwrap());
+    let story = explain_flow(balancer, &caller, failed_port.unwrap());
     assert!(story.contains("was placed on backend server d1"), "{story}");
     assert!(story.contains("Backend server d1 failed"), "{story}");
 }
 
 /// Sends one request on a new flow and acknowledges the answer, which is short if it comes from
 /// backend server d1. Returns the instance of the flow's backend server.
-fn ask_once(balancer: &Balancer, caller: &Caller, backends: &[FakeBackend], port: u16) -> u64 {
-    const USUAL: u32 = 775;
-    const SHORT: u32 = 152;
+fn send_request(balancer: &Balancer, caller: &Caller, backends: &[FakeBackend], port: u16) -> u64 {
+    const USUAL_BYTES: u32 = 775;
+    const SHORT_BYTES: u32 = 152;
     caller.send(balancer, SYN, port, 0, 0);
     wait_until("the opening packet arrives", || backends.iter().any(FakeBackend::has_packet));
     let backend = backends.iter().find(|backend| backend.has_packet()).unwrap();
@@ -149,9 +149,9 @@
         data: vec![0; 100],
         ..caller.packet(port)
     };
-    caller.hand(balancer, &request);
+    caller.send_packet(balancer, &request);
     backend.receive();
-    let bytes = if backend.instance == 0xd1 { SHORT } else { USUAL };
+    let bytes = if backend.instance == 0xd1 { SHORT_BYTES } else { USUAL_BYTES };
     let last = FlowPacket {
         flags: ACK | FIN,
         sequence: 1_101,
@@ -159,7 +159,7 @@
         data: Vec::new(),
         ..request
     };
-    caller.hand(balancer, &last);
+    caller.send_packet(balancer, &last);
     backend.receive();
     backend.instance
 }
@@ -184,7 +184,7 @@
         let name = "valvestage_entry_drops_total{reason=\"unknown_token\"}";
         restarted.metric(name) == Some(1)
     });
-    let story = story_of(restarted, &caller, 40_001);
+    let story = explain_flow(restarted, &caller, 40_001);
     let said =
         format!("its token {token} names no backend server that is known up to revision 4, ");
     assert!(story.contains(&said), "{story}");
--- a/crates/valvestage-entry/tests/soak.rs
+++ b/crates/valvestage-entry/tests/soak.rs
@@ -21,7 +21,7 @@
     }
 }
 
-fn play(options: SoakOptions) -> SoakReport {
+fn run_soak(options: SoakOptions) -> SoakReport {
     let folder = options.folder.clone();
     let report = run(options).unwrap();
 
@@ -32,7 +32,7 @@
 }
 
 /// Runs the soak with one mechanism disabled and returns the promises that were broken.
-fn broken_without(sabotage: Sabotage, seed: u64, kind: FaultKind) -> Vec<Promise> {
+fn broken_promises(sabotage: Sabotage, seed: u64, kind: FaultKind) -> Vec<Promise> {
     let options = SoakOptions {
         sabotage: Some(sabotage),
         kinds: vec![kind],
@@ -40,7 +40,7 @@
         ..options(seed, Duration::from_secs(14))
     };
     let folder = options.folder.clone();
-    let report = play(options);
+    let report = run_soak(options);
 
     std::fs::remove_dir_all(folder).unwrap();
     report.results.broken.iter().map(|broken| broken.promise).collect()
@@ -50,17 +50,17 @@
 fn a_short_run_keeps_every_promise() {
     let options = SoakOptions { timed: false, ..options(7, Duration::from_secs(20)) };
 
-    let report = play(options);
+    let report = run_soak(options);
     assert!(report.is_clean(), "{report}");
     assert!(report.results.requests.answered > 0, "{report}");
 }
 
-macro_rules! checks_are_able_to_fail {
+macro_rules! checks_can_fail {
     ($($name:ident: $sabotage:ident, $seed:literal, $kind:ident => $promise:ident;)*) => {
         $(
             #[test]
             fn $name() {
-                let broken = broken_without(Sabotage::$sabotage, $seed, FaultKind::$kind);
+                let broken = broken_promises(Sabotage::$sabotage, $seed, FaultKind::$kind);
 
                 assert!(broken.contains(&Promise::$promise), "{broken:?}");
             }
@@ -68,9 +68,9 @@
     };
 }
 
-checks_are_able_to_fail! {
-    drains_that_are_not_told_are_noticed: HideBackends, 1_001, BackendReplace => Drain;
-    configurations_that_are_not_told_are_noticed:
+checks_can_fail! {
+    drains_that_are_not_announced_are_noticed: HideBackends, 1_001, BackendReplace => Drain;
+    configurations_that_are_not_announced_are_noticed:
         HideConfigurations, 1_002, Configuration => ConfigurationInForce;
     a_lost_route_is_noticed: DropRoute, 1_003, Configuration => NoFalseRefusal;
     older_routes_are_noticed: RollBack, 1_004, Configuration => ConfigurationNeverBack;
