--- a/crates/valvestage-entry/src/data_thread.rs
+++ b/crates/valvestage-entry/src/data_thread.rs
@@ -152,7 +152,7 @@
         }
         if self.next_gauge_update <= now {
             self.next_gauge_update = now + GAUGE_INTERVAL;
-            self.context.metrics.set_gauges(&self.policy, self.log.left_out(), now);
+            self.context.metrics.set_gauges(&self.policy, self.log.dropped_lines(), now);
         }
     }
 
--- a/crates/valvestage-entry/src/decision_log.rs
+++ b/crates/valvestage-entry/src/decision_log.rs
@@ -36,7 +36,7 @@
     /// Returns the number of lines that were dropped since the ring was full and that no later line
     /// has reported.
     #[must_use]
-    pub fn left_out(&self) -> u64 {
+    pub fn dropped_lines(&self) -> u64 {
         self.ring.as_ref().map_or(0, LogRing::left_out)
     }
 
@@ -64,12 +64,12 @@
         fill: impl FnOnce(&mut LogLineFields),
     ) {
         let Some(ring) = &self.ring else { return };
-        let Some(left_out) = self.rate_limiter.admit(event, is_ordinary, now) else { return };
+        let Some(omitted) = self.rate_limiter.admit(event, is_ordinary, now) else { return };
 
         let mut line = LogLineFields::new(event);
         line.put("vm", self.vm.as_str());
-        if left_out > 0 {
-            line.put("left_out_before", left_out);
+        if omitted > 0 {
+            line.put("left_out_before", omitted);
         }
         fill(&mut line);
         ring.write(Value::Object(line.fields).to_string().into_bytes());
--- a/crates/valvestage-entry/src/log_rate_limiter.rs
+++ b/crates/valvestage-entry/src/log_rate_limiter.rs
@@ -29,7 +29,7 @@
 struct EventCount {
     window_ends: Instant,
     written: u32,
-    left_out: u64,
+    omitted: u64,
 }
 
 impl LogRateLimiter {
@@ -40,7 +40,7 @@
         let count = self.counts.entry(event).or_insert_with(|| EventCount {
             window_ends: now + WINDOW,
             written: 0,
-            left_out: 0,
+            omitted: 0,
         });
 
         if count.window_ends <= now {
@@ -48,10 +48,10 @@
             count.written = 0;
         }
         if count.written >= limit {
-            count.left_out += 1;
+            count.omitted += 1;
             return None;
         }
         count.written += 1;
-        Some(std::mem::take(&mut count.left_out))
+        Some(std::mem::take(&mut count.omitted))
     }
 }
