--- a/crates/valvestage-entry/src/control_thread.rs
+++ b/crates/valvestage-entry/src/control_thread.rs
@@ -48,8 +48,8 @@
     pub store_requests: Receiver<StoreRequest>,
     /// Sends updates to the data thread.
     pub updates: UpdateSender,
-    /// Receives the error with which the data thread ended. It runs as long as the process
-    /// otherwise.
+    /// Receives the error with which the data thread ended. Without an error the data thread runs
+    /// as long as the process.
     pub data_thread_error: oneshot::Receiver<io::Error>,
     /// Whether SIGTERM arrived before this thread handled signals.
     pub stop_requested: Arc<AtomicBool>,
--- a/crates/valvestage-entry/src/process.rs
+++ b/crates/valvestage-entry/src/process.rs
@@ -46,9 +46,9 @@
         log: DecisionLog,
         stop_requested: Arc<AtomicBool>,
     ) -> Result<Self, EntryError> {
-        let poll = Poll::new().map_err(setup_error("make poll"))?;
+        let poll = Poll::new().map_err(setup_error("create poll"))?;
         let waker =
-            Waker::new(poll.registry(), UPDATES_WAKER).map_err(setup_error("make waker"))?;
+            Waker::new(poll.registry(), UPDATES_WAKER).map_err(setup_error("create waker"))?;
         let (sender, updates) = updates::update_channel(Arc::new(waker));
         let (request_sender, store_requests) = mpsc::channel(STORE_REQUEST_CAPACITY);
         let (data_error_sender, data_thread_error) = oneshot::channel();
