--- a/crates/valvestage-entry/src/data_thread.rs
+++ b/crates/valvestage-entry/src/data_thread.rs
@@ -236,7 +236,7 @@
     fn handle_message(&mut self, sender: SocketAddrV4, datagram: &[u8]) {
         let Some(message) = peer_codec::decode(datagram) else {
             self.context.metrics.on_unreadable();
-            log::debug!("ignored a datagram from {sender}: not a message of this version");
+            log::debug!("ignored a datagram from {sender}: no valid message of this version");
             return;
         };
 
--- a/crates/valvestage-entry/tests/process/site.rs
+++ b/crates/valvestage-entry/tests/process/site.rs
@@ -60,7 +60,8 @@
         self.socket.local_addr().unwrap()
     }
 
-    /// Reports whether a packet has arrived, without consuming it. Does not wait.
+    /// Reports whether a packet has arrived, without consuming it or waiting. The packet may be for
+    /// another backend server.
     pub fn has_packet(&self) -> bool {
         let mut byte = [0; 1];
         self.socket.set_nonblocking(true).unwrap();
