--- a/crates/valvestage-entry/src/decision_lines.rs
+++ b/crates/valvestage-entry/src/decision_log.rs
@@ -1,4 +1,4 @@
-//! Decisions as JSON log lines.
+//! Log of the policy's decisions as JSON lines.
 
 use std::fmt::Display;
 use std::io;
@@ -16,37 +16,38 @@
 use valvestage_process::log_ring::LogRing;
 use valvestage_process::structured_log::time_of_day;
 
-use crate::log_budget::LogBudget;
+use crate::log_rate_limiter::LogRateLimiter;
 
-/// `DecisionLog` writes decisions within a budget.
+/// Rate-limited log of decisions.
 pub struct DecisionLog {
     ring: Option<LogRing>,
-    /// Name of this VM.
+    /// Name of this VM, which is part of each line.
     vm: String,
-    budget: LogBudget,
+    rate_limiter: LogRateLimiter,
 }
 
 impl DecisionLog {
-    /// `new` writes to a ring; without one it writes nothing.
+    /// Creates a log that writes to `ring`, or writes nothing if it is `None`.
     #[must_use]
     pub fn new(ring: Option<LogRing>, vm: String) -> Self {
-        Self { ring, vm, budget: LogBudget::default() }
+        Self { ring, vm, rate_limiter: LogRateLimiter::default() }
     }
 
-    /// `left_out` gives the number of lines that the ring had no room for and no line has told of.
+    /// Returns the number of lines that were dropped since the ring was full and that no later line
+    /// has reported.
     #[must_use]
-    pub fn left_out(&self) -> u64 {
+    pub fn dropped_lines(&self) -> u64 {
         self.ring.as_ref().map_or(0, LogRing::left_out)
     }
 
-    /// `write` writes the line of a decision if the budget allows it.
+    /// Writes a decision unless the rate limit of its event is reached.
     pub fn write(&mut self, decision: &Decision, now: Instant) {
         let is_ordinary = is_ordinary(decision);
 
         self.write_line(event_name(decision), is_ordinary, now, |line| fill(line, decision));
     }
 
-    /// `write_unsent` writes that datagrams were not sent, if the budget allows it.
+    /// Writes that datagrams could not be sent, unless the rate limit of this event is reached.
     pub fn write_unsent(&mut self, unsent: UnsentDatagrams, now: Instant) {
         self.write_line("unsent", false, now, |line| {
             line.put("datagrams", unsent.count);
@@ -60,33 +61,33 @@
         event: &'static str,
         is_ordinary: bool,
         now: Instant,
-        fill: impl FnOnce(&mut LineFields),
+        fill: impl FnOnce(&mut LogLineFields),
     ) {
         let Some(ring) = &self.ring else { return };
-        let Some(left_out) = self.budget.admit(event, is_ordinary, now) else { return };
+        let Some(omitted) = self.rate_limiter.admit(event, is_ordinary, now) else { return };
 
-        let mut line = LineFields::new(event);
+        let mut line = LogLineFields::new(event);
         line.put("vm", self.vm.as_str());
-        if left_out > 0 {
-            line.put("left_out_before", left_out);
+        if omitted > 0 {
+            line.put("left_out_before", omitted);
         }
         fill(&mut line);
         ring.write(Value::Object(line.fields).to_string().into_bytes());
     }
 }
 
-/// `UnsentDatagrams` is what the operating system did not take in one turn.
+/// Datagrams that the operating system did not accept in one iteration of the data thread's loop.
 #[derive(Debug, Clone, Copy)]
 pub struct UnsentDatagrams {
-    /// How many.
+    /// Number of these datagrams.
     pub count: u64,
-    /// Where the last of them was to go.
+    /// Destination of the last one.
     pub peer: SocketAddr,
-    /// Why it was not taken.
+    /// Why the operating system did not accept the last one.
     pub cause: io::ErrorKind,
 }
 
-/// `event_name` gives the name of a decision in logs.
+/// Returns the event name of a decision in logs and metrics.
 #[must_use]
 pub fn event_name(decision: &Decision) -> &'static str {
     match decision {
@@ -123,17 +124,17 @@
     }
 }
 
-/// Those that come with every flow.
+/// Reports whether a decision is one that is made for every new flow.
 fn is_ordinary(decision: &Decision) -> bool {
     matches!(decision, Decision::Placed(placement) if placement.instead_of.is_none())
 }
 
-/// Fields of a line.
-struct LineFields {
+/// Fields of a log line.
+struct LogLineFields {
     fields: Map<String, Value>,
 }
 
-impl LineFields {
+impl LogLineFields {
     fn new(event: &'static str) -> Self {
         let mut line = Self { fields: Map::new() };
 
@@ -150,12 +151,13 @@
         self.put(name, value.to_string());
     }
 
-    /// The same form as in the store: hex digits.
+    /// Puts an instance in hexadecimal digits, as in the names of the store's entries.
     fn put_instance(&mut self, name: &str, instance: u64) {
         self.put(name, format!("{:x}", number_digits(instance)));
     }
 
-    /// The same, and which start of it.
+    /// Puts the instance of a backend server, and its birth, which distinguishes restarts under the
+    /// same name.
     fn put_backend(&mut self, instance: u64) {
         self.put_instance("backend", instance);
         self.put("birth", format!("{:x}", incarnation_digits(instance)));
@@ -170,7 +172,7 @@
         self.put_text("address", flow.service);
     }
 
-    /// Puts a revision under a key, and beside it the era of the store that it is of.
+    /// Puts the revision of a position under `key`, and its era under `era`.
     fn put_position(&mut self, key: &'static str, position: StorePosition) {
         self.put(key, position.revision);
         self.put("era", position.era);
@@ -184,7 +186,7 @@
     }
 }
 
-fn fill(line: &mut LineFields, decision: &Decision) {
+fn fill(line: &mut LogLineFields, decision: &Decision) {
     match decision {
         Decision::Placed(placement) => fill_placement(line, placement),
         Decision::Reset { flow, reason, instance } => {
@@ -202,15 +204,15 @@
         }
         Decision::Avoided { instance, count, reporting_peers, avoided_for } => {
             line.put_backend(*instance);
-            line.put("requests", rounded(count.total()));
-            line.put("poor", rounded(count.poor));
-            line.put("expected", rounded(count.expected));
+            line.put("requests", round_to_hundredths(count.total()));
+            line.put("poor", round_to_hundredths(count.poor));
+            line.put("expected", round_to_hundredths(count.expected));
             line.put("told_by", *reporting_peers);
             line.put_time("avoided_ms", *avoided_for);
         }
         Decision::SpillBegan { service, share } => {
             line.put("service", service.as_str());
-            line.put("share", rounded(*share));
+            line.put("share", round_to_hundredths(*share));
         }
         Decision::SpillEnded { service } => line.put("service", service.as_str()),
         Decision::AvoidedByPeer { instance, peer, left } => {
@@ -220,12 +222,12 @@
         }
         Decision::Slowed { instance, factor, answers } => {
             line.put_backend(*instance);
-            line.put("pace", rounded(*factor));
-            line.put("answers", rounded(*answers));
+            line.put("pace", round_to_hundredths(*factor));
+            line.put("answers", round_to_hundredths(*answers));
         }
         Decision::Recovered { instance, factor } => {
             line.put_backend(*instance);
-            line.put("pace", rounded(*factor));
+            line.put("pace", round_to_hundredths(*factor));
         }
         Decision::Cleared { instance } | Decision::BackendMissing { instance } => {
             line.put_backend(*instance);
@@ -291,7 +293,7 @@
     }
 }
 
-fn fill_placement(line: &mut LineFields, placement: &FlowPlacement) {
+fn fill_placement(line: &mut LogLineFields, placement: &FlowPlacement) {
     line.put_flow(&placement.flow);
     line.put("service", placement.service.as_str());
     line.put_backend(placement.instance);
@@ -299,9 +301,9 @@
     if let Some(zone) = &placement.drawn_zone {
         line.put("drawn_zone", zone.as_str());
     }
-    line.put("load", rounded(placement.load));
+    line.put("load", round_to_hundredths(placement.load));
     if placement.pace > 1.0 {
-        line.put("pace", rounded(placement.pace));
+        line.put("pace", round_to_hundredths(placement.pace));
     }
     line.put("candidates", placement.candidates);
     if placement.excluded > 0 {
@@ -321,7 +323,7 @@
     }
 }
 
-fn fill_dropped(line: &mut LineFields, dropped: &DroppedPacket) {
+fn fill_dropped(line: &mut LogLineFields, dropped: &DroppedPacket) {
     line.put_flow(&dropped.flow);
     line.put("reason", dropped.reason.name());
     line.put("token", dropped.token);
@@ -334,7 +336,7 @@
     }
 }
 
-fn fill_incomplete(line: &mut LineFields, answer: &IncompleteAnswer) {
+fn fill_incomplete(line: &mut LogLineFields, answer: &IncompleteAnswer) {
     line.put_text("peer", answer.peer);
     line.put("kind", format!("{:?}", answer.kind));
     line.put("state", answer.state);
@@ -343,8 +345,8 @@
     line.put_time("waited_ms", answer.waited);
 }
 
-/// Two digits after the point are enough for a reader.
-fn rounded(number: f64) -> f64 {
+/// Rounds to two decimal places, which is precise enough for a reader of the log.
+fn round_to_hundredths(number: f64) -> f64 {
     (number * 100.0).round() / 100.0
 }
 
--- a/crates/valvestage-entry/src/entry_metrics.rs
+++ b/crates/valvestage-entry/src/entry_metrics.rs
@@ -1,7 +1,7 @@
 //! Counters, gauges and histograms of one entry VM.
 //!
-//! Label values are bounded: reasons and events are fixed names, and of services and availability zones
-//! only so many are told apart.
+//! The number of label values is bounded: reasons and events have fixed names, and the number of
+//! distinct services and availability zones is limited.
 
 use std::collections::BTreeSet;
 use std::sync::Mutex;
@@ -19,65 +19,66 @@
     AnswerTime, Decision, DroppedPacket, EntryPolicy, Knowledge, StoreKind,
 };
 
-use crate::decision_lines::event_name;
+use crate::decision_log::event_name;
 
-/// Prefix of all names.
+/// Prefix of all metric names.
 const PREFIX: &str = "valvestage_entry";
 
-/// Services, and availability zones, that are told apart; the rest is `other`.
-const MAX_NAMES: usize = 64;
+/// Half of the largest number of distinct service and availability zone names in labels, both
+/// counted together. Further names are reported as `other`.
+const MAX_LABEL_NAMES: usize = 64;
 
-/// Age of what was never confirmed, milliseconds: some 49 days. The exposition format has no room for
-/// the largest numbers.
-const NEVER_MS: u64 = u32::MAX as u64;
+/// Largest age in milliseconds, about 49 days, which is also reported if the store never confirmed
+/// the knowledge. The exposition format cannot represent the largest 64-bit numbers.
+const MAX_AGE_MS: u64 = u32::MAX as u64;
 
-/// Upper bounds of the answer times, seconds: around the aims of the deployments, 0.1 to 2 s, and the
-/// callers' waits of 0.2, 0.6 and 1.4 s.
+/// Upper bounds of the histogram buckets in seconds. They are placed around the deployments'
+/// response time targets of 0.1 to 2 s and around the callers' timeouts of 0.2, 0.6 and 1.4 s.
 const ANSWER_BOUNDS: [f64; 12] =
     [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.6, 1.0, 1.4, 3.0];
 
-/// `EventLabel` names an event of the log.
+/// Label set with the event name of a decision.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct EventLabel {
-    /// Its name.
+    /// Event name as in the log.
     pub event: &'static str,
 }
 
-/// `ReasonLabel` names a reason.
+/// Label set with the reason for a reset or a drop.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ReasonLabel {
-    /// Its name.
+    /// Name of the reason as in the log.
     pub reason: &'static str,
 }
 
-/// `PlaceLabel` names a service and an availability zone.
+/// Label set with a service and an availability zone.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct PlaceLabel {
-    /// The service.
+pub struct ServiceZoneLabel {
+    /// Name of the service, or `other`.
     pub service: String,
-    /// The availability zone of the backend server.
+    /// Availability zone of the backend server, or `other`.
     pub zone: String,
 }
 
-/// `CallLabel` names a call to the store and how it ended.
+/// Label set with the kind and the outcome of a store request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct CallLabel {
-    /// Kind of objects.
+pub struct StoreCallLabel {
+    /// Kind of the requested objects.
     pub kind: &'static str,
     /// `answered` or `failed`.
     pub outcome: &'static str,
 }
 
-/// `EntryMetrics` is shared by all threads.
+/// Metrics of the balancer, shared by its threads.
 pub struct EntryMetrics {
     registry: Registry,
     events: Family<EventLabel, Counter>,
     resets: Family<ReasonLabel, Counter>,
     drops: Family<ReasonLabel, Counter>,
-    placements: Family<PlaceLabel, Counter>,
-    handshakes: Family<PlaceLabel, Histogram>,
-    answers: Family<PlaceLabel, Histogram>,
-    store_calls: Family<CallLabel, Counter>,
+    placements: Family<ServiceZoneLabel, Counter>,
+    handshakes: Family<ServiceZoneLabel, Histogram>,
+    answers: Family<ServiceZoneLabel, Histogram>,
+    store_calls: Family<StoreCallLabel, Counter>,
     unreadable: Counter,
     unsent: Counter,
     log_lines_left_out: Gauge<u64, AtomicU64>,
@@ -174,25 +175,25 @@
         );
     }
 
-    /// `text` gives all of them in the exposition format.
+    /// Encodes all metrics in the exposition format.
     #[must_use]
-    pub fn text(&self) -> String {
+    pub fn encode_text(&self) -> String {
         let mut text = String::new();
 
         match encode(&mut text, &self.registry) {
             Ok(()) => text,
-            Err(error) => format!("# the metrics cannot be written: {error}\n"),
+            Err(error) => format!("# failed to encode the metrics: {error}\n"),
         }
     }
 
-    /// `on_decision` counts a decision.
+    /// Counts a decision by its event, and by its reason or placement.
     pub fn on_decision(&self, decision: &Decision) {
         let event = event_name(decision);
         self.events.get_or_create(&EventLabel { event }).inc();
 
         match decision {
             Decision::Placed(placement) => {
-                let label = self.place(&placement.service, &placement.zone);
+                let label = self.service_zone_label(&placement.service, &placement.zone);
                 self.placements.get_or_create(&label).inc();
             }
             Decision::Reset { reason, .. } => {
@@ -205,16 +206,16 @@
         }
     }
 
-    /// `on_answer` takes in how long a backend server took.
+    /// Records the response time of a backend server. An unknown backend server is ignored.
     pub fn on_answer(&self, knowledge: &Knowledge, answer: AnswerTime) {
         let Some(entry) = knowledge.directory.get(answer.instance) else { return };
 
-        let label = self.place(&entry.service, &entry.zone);
+        let label = self.service_zone_label(&entry.service, &entry.zone);
         let family = if answer.opening { &self.handshakes } else { &self.answers };
         family.get_or_create(&label).observe(answer.time.as_secs_f64());
     }
 
-    /// `on_store_call` counts a call to the store.
+    /// Counts a store request by its kind and outcome.
     pub fn on_store_call(&self, kind: StoreKind, is_answered: bool) {
         let kind = match kind {
             StoreKind::Configuration => "configuration",
@@ -223,44 +224,46 @@
         };
         let outcome = if is_answered { "answered" } else { "failed" };
 
-        self.store_calls.get_or_create(&CallLabel { kind, outcome }).inc();
+        self.store_calls.get_or_create(&StoreCallLabel { kind, outcome }).inc();
     }
 
-    /// `on_unreadable` counts a datagram that is no packet or message.
+    /// Counts a received datagram that is neither a valid packet nor a valid message.
     pub fn on_unreadable(&self) {
         self.unreadable.inc();
     }
 
-    /// `on_unsent` counts a datagram that the operating system did not take.
+    /// Counts a datagram that the operating system did not accept for sending.
     pub fn on_unsent(&self) {
         self.unsent.inc();
     }
 
-    /// `observe` sets the gauges.
-    pub fn observe(&self, policy: &EntryPolicy, lines_left_out: u64, now: Instant) {
+    /// Sets the gauges from the state of the policy and the number of unreported dropped log lines.
+    pub fn set_gauges(&self, policy: &EntryPolicy, lines_left_out: u64, now: Instant) {
         let knowledge = policy.knowledge();
         let age = knowledge.confirmed_at().map(|at| now.saturating_duration_since(at));
 
-        set(&self.flows, policy.steering().flow_count());
-        set(&self.peers, policy.keeper().peer_count());
-        set(&self.follows_store, usize::from(policy.keeper().is_watching()));
-        set(&self.backends, knowledge.directory.ready().len());
-        set(&self.suspects, policy.steering().suspects(now).len());
-        set(&self.avoided, policy.steering().avoided_count(now));
-        set(&self.evacuated_zones, knowledge.evacuated.zones().len());
+        set_gauge(&self.flows, policy.steering().flow_count());
+        set_gauge(&self.peers, policy.keeper().peer_count());
+        set_gauge(&self.follows_store, usize::from(policy.keeper().is_watching()));
+        set_gauge(&self.backends, knowledge.directory.ready().len());
+        set_gauge(&self.suspects, policy.steering().suspects(now).len());
+        set_gauge(&self.avoided, policy.steering().avoided_count(now));
+        set_gauge(&self.evacuated_zones, knowledge.evacuated.zones().len());
         self.version.set(knowledge.routes.version);
-        self.knowledge_age_ms.set(age.map_or(NEVER_MS, millis));
+        self.knowledge_age_ms.set(age.map_or(MAX_AGE_MS, millis));
         self.log_lines_left_out.set(lines_left_out);
     }
 
-    fn place(&self, service: &str, zone: &str) -> PlaceLabel {
-        PlaceLabel { service: self.bounded(service), zone: self.bounded(zone) }
+    fn service_zone_label(&self, service: &str, zone: &str) -> ServiceZoneLabel {
+        ServiceZoneLabel { service: self.bounded_label(service), zone: self.bounded_label(zone) }
     }
 
-    fn bounded(&self, name: &str) -> String {
+    fn bounded_label(&self, name: &str) -> String {
         let mut names = self.names.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
 
-        if names.contains(name) || names.len() < 2 * MAX_NAMES && names.insert(name.to_owned()) {
+        if names.contains(name)
+            || names.len() < 2 * MAX_LABEL_NAMES && names.insert(name.to_owned())
+        {
             name.to_owned()
         } else {
             "other".to_owned()
@@ -268,10 +271,10 @@
     }
 }
 
-fn set(gauge: &Gauge<u64, AtomicU64>, value: usize) {
+fn set_gauge(gauge: &Gauge<u64, AtomicU64>, value: usize) {
     gauge.set(u64::try_from(value).unwrap_or(u64::MAX));
 }
 
 fn millis(time: Duration) -> u64 {
-    u64::try_from(time.as_millis()).unwrap_or(NEVER_MS).min(NEVER_MS)
+    u64::try_from(time.as_millis()).unwrap_or(MAX_AGE_MS).min(MAX_AGE_MS)
 }
--- a/crates/valvestage-entry/src/metrics_server.rs
+++ b/crates/valvestage-entry/src/metrics_server.rs
@@ -1,4 +1,4 @@
-//! Metrics over HTTP.
+//! HTTP endpoint for metrics.
 
 use std::io;
 use std::net::TcpListener;
@@ -7,16 +7,16 @@
 use actix_http::StatusCode;
 
 use crate::entry_metrics::EntryMetrics;
-use crate::http_server::{HttpAnswer, serve};
+use crate::http_server::{HttpResponse, serve};
 
-/// Where they are asked for.
+/// Path of the endpoint.
 const PATH: &str = "/metrics";
 
-/// `run` answers on a listener.
+/// Serves the metrics endpoint until the process ends.
 pub async fn run(listener: TcpListener, metrics: Arc<EntryMetrics>) -> io::Result<()> {
     serve(listener, move |path| match path {
-        PATH => HttpAnswer { status: StatusCode::OK, text: metrics.text() },
-        _ => HttpAnswer { status: StatusCode::NOT_FOUND, text: String::new() },
+        PATH => HttpResponse { status: StatusCode::OK, body: metrics.encode_text() },
+        _ => HttpResponse { status: StatusCode::NOT_FOUND, body: String::new() },
     })
     .await
 }
--- a/crates/valvestage-entry/src/ready_server.rs
+++ b/crates/valvestage-entry/src/ready_server.rs
@@ -1,4 +1,4 @@
-//! The routers' question whether this VM takes packets.
+//! HTTP endpoint by which the routers check whether this VM is ready.
 
 use std::io;
 use std::net::TcpListener;
@@ -8,9 +8,9 @@
 use actix_http::StatusCode;
 use valvestage_platform::catalogue::READY_PATH;
 
-use crate::http_server::{HttpAnswer, serve};
+use crate::http_server::{HttpResponse, serve};
 
-/// `run` answers on a listener.
+/// Serves the readiness endpoint until the process ends.
 pub async fn run(listener: TcpListener, ready: Arc<AtomicBool>) -> io::Result<()> {
     let status = move |path: &str| match (path, ready.load(Ordering::Relaxed)) {
         (READY_PATH, true) => StatusCode::OK,
@@ -18,5 +18,5 @@
         _ => StatusCode::NOT_FOUND,
     };
 
-    serve(listener, move |path| HttpAnswer { status: status(path), text: String::new() }).await
+    serve(listener, move |path| HttpResponse { status: status(path), body: String::new() }).await
 }
--- a/crates/valvestage-entry/tests/soak.rs
+++ b/crates/valvestage-entry/tests/soak.rs
@@ -1,7 +1,8 @@
 //! Short runs of the fault soak on the real program.
 //!
-//! CI may run beside other work, so promises with a bound in time are not checked in the run that has to be
-//! clean. In the others one mechanism is taken away each, to show that the checks are able to fail.
+//! One run must keep every promise. It does not check promises with a time limit, since CI may run
+//! on a busy machine. Each other run disables one mechanism and must break the matching promise,
+//! which shows that the checks can fail.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -20,7 +21,7 @@
     }
 }
 
-fn play(options: SoakOptions) -> SoakReport {
+fn run_soak(options: SoakOptions) -> SoakReport {
     let folder = options.folder.clone();
     let report = run(options).unwrap();
 
@@ -30,8 +31,8 @@
     report
 }
 
-/// Plays a run without one mechanism, and gives the promises that it breaks.
-fn broken_without(sabotage: Sabotage, seed: u64, kind: FaultKind) -> Vec<Promise> {
+/// Runs the soak with one mechanism disabled and returns the promises that were broken.
+fn broken_promises(sabotage: Sabotage, seed: u64, kind: FaultKind) -> Vec<Promise> {
     let options = SoakOptions {
         sabotage: Some(sabotage),
         kinds: vec![kind],
@@ -39,7 +40,7 @@
         ..options(seed, Duration::from_secs(14))
     };
     let folder = options.folder.clone();
-    let report = play(options);
+    let report = run_soak(options);
 
     std::fs::remove_dir_all(folder).unwrap();
     report.results.broken.iter().map(|broken| broken.promise).collect()
@@ -49,17 +50,17 @@
 fn a_short_run_keeps_every_promise() {
     let options = SoakOptions { timed: false, ..options(7, Duration::from_secs(20)) };
 
-    let report = play(options);
+    let report = run_soak(options);
     assert!(report.is_clean(), "{report}");
     assert!(report.results.requests.answered > 0, "{report}");
 }
 
-macro_rules! checks_are_able_to_fail {
+macro_rules! checks_can_fail {
     ($($name:ident: $sabotage:ident, $seed:literal, $kind:ident => $promise:ident;)*) => {
         $(
             #[test]
             fn $name() {
-                let broken = broken_without(Sabotage::$sabotage, $seed, FaultKind::$kind);
+                let broken = broken_promises(Sabotage::$sabotage, $seed, FaultKind::$kind);
 
                 assert!(broken.contains(&Promise::$promise), "{broken:?}");
             }
@@ -67,9 +68,9 @@
     };
 }
 
-checks_are_able_to_fail! {
-    drains_that_are_not_told_are_noticed: HideBackends, 1_001, BackendReplace => Drain;
-    configurations_that_are_not_told_are_noticed:
+checks_can_fail! {
+    drains_that_are_not_announced_are_noticed: HideBackends, 1_001, BackendReplace => Drain;
+    configurations_that_are_not_announced_are_noticed:
         HideConfigurations, 1_002, Configuration => ConfigurationInForce;
     a_lost_route_is_noticed: DropRoute, 1_003, Configuration => NoFalseRefusal;
     older_routes_are_noticed: RollBack, 1_004, Configuration => ConfigurationNeverBack;
