--- a/crates/valvectl/src/calls.rs
+++ b/crates/valvectl/src/calls.rs
@@ -102,7 +102,7 @@
             problem: format!("status {status}: {}", String::from_utf8_lossy(&answer)),
             remedy: "See the log of the operator process.".to_owned(),
         });
-        Err(CtlError::Said { status, problem })
+        Err(CtlError::Api { status, problem })
     }
 
     fn unreachable(&self, step: &'static str, cause: &dyn ToString) -> CtlError {
--- a/crates/valvectl/src/errors.rs
+++ b/crates/valvectl/src/errors.rs
@@ -31,7 +31,7 @@
     },
     /// The operators' API answered with an error.
     #[error("{}", .problem.problem)]
-    Said {
+    Api {
         /// HTTP status.
         status: u16,
         /// Problem and remedy, from the body of the answer.
@@ -49,7 +49,7 @@
     /// Returns the suggested next step, if there is one.
     pub fn remedy(&self) -> Option<&str> {
         match self {
-            Self::Said { problem, .. } => Some(&problem.remedy),
+            Self::Api { problem, .. } => Some(&problem.remedy),
             Self::Unreachable { .. } => {
                 Some("Try the operator process of another entry VM with --operator.")
             }
@@ -62,9 +62,9 @@
     /// Returns the exit code for the error.
     pub fn exit_code(&self) -> u8 {
         match self {
-            Self::Unreachable { .. } | Self::Said { status: 503, .. } => exit_codes::UNREACHABLE,
-            Self::Said { status: 409 | 422, .. } => exit_codes::REFUSED,
-            Self::Said { .. } => exit_codes::FAILURE,
+            Self::Unreachable { .. } | Self::Api { status: 503, .. } => exit_codes::UNREACHABLE,
+            Self::Api { status: 409 | 422, .. } => exit_codes::REFUSED,
+            Self::Api { .. } => exit_codes::FAILURE,
             Self::MissingOption(_) | Self::Log { .. } | Self::Token(_) | Self::Deployment(_) => {
                 exit_codes::USAGE
             }
--- a/crates/valvectl/src/log_stories.rs
+++ b/crates/valvectl/src/log_events.rs
@@ -6,22 +6,22 @@
 
 use valvestage_process::exit_codes;
 use valvestage_story::sentences::sentence;
-use valvestage_story::{LogLine, StoryQuery, tell as tell_story};
+use valvestage_story::{LogLine, StoryQuery, tell as select_lines};
 
 use crate::arguments::LogSubject;
 use crate::errors::CtlError;
 
 /// Prints a description of each log line about a subject, one per line; the exit code is 1 if there
 /// are none.
-pub fn tell(subject: LogSubject, files: &[PathBuf]) -> Result<u8, CtlError> {
+pub fn print_events(subject: LogSubject, files: &[PathBuf]) -> Result<u8, CtlError> {
     let text = read(files)?;
     let lines = text.lines().filter_map(|line| LogLine::try_from(line).ok()).collect();
 
-    let told = tell_story(lines, &StoryQuery::from(subject));
-    for line in &told {
+    let selected = select_lines(lines, &StoryQuery::from(subject));
+    for line in &selected {
         println!("{} {} {}", line.time_ms, line.vm, sentence(line));
     }
-    if told.is_empty() {
+    if selected.is_empty() {
         println!(
             "The logs have no lines about it: they were left out under load, or are in the logs of other VMs."
         );
--- a/crates/valvectl/src/main.rs
+++ b/crates/valvectl/src/main.rs
@@ -5,13 +5,13 @@
 //! | `arguments` | definition of the command line |
 //! | `calls` | calls of the operators' API |
 //! | `errors` | the error type, with exit codes |
-//! | `log_stories` | explanations from logs |
+//! | `log_events` | explanations from logs |
 //! | `sentences` | results in plain English |
 
 mod arguments;
 mod calls;
 mod errors;
-mod log_stories;
+mod log_events;
 mod sentences;
 
 use std::process::ExitCode;
@@ -46,7 +46,7 @@
 
 async fn run(arguments: &Arguments) -> Result<u8, CtlError> {
     if let Command::Why { question: Question::Log { subject, files } } = &arguments.command {
-        return log_stories::tell(subject.clone(), files);
+        return log_events::print_events(subject.clone(), files);
     }
     let client = client(arguments)?;
     let json = arguments.json;
--- a/crates/valvectl/src/sentences.rs
+++ b/crates/valvectl/src/sentences.rs
@@ -8,7 +8,7 @@
 
 /// Appends a formatted line to a string. The result is ignored because writing to a string cannot
 /// fail.
-macro_rules! say {
+macro_rules! add_line {
     ($text:expr, $($words:tt)*) => { let _ = writeln!($text, $($words)*); };
 }
 
@@ -24,12 +24,12 @@
 pub fn plan(plan: &Plan) -> String {
     let mut text = String::new();
 
-    say!(text, "Plan {} on version {}:", plan.id, plan.base_version);
+    add_line!(text, "Plan {} on version {}:", plan.id, plan.base_version);
     for step in &plan.steps {
-        say!(text, "  {step}");
+        add_line!(text, "  {step}");
     }
     for effect in &plan.effects {
-        say!(
+        add_line!(
             text,
             "  {}: {} slots now, {} afterwards, {} in use or waited for; {}% of new flows go elsewhere.",
             effect.service,
@@ -40,16 +40,20 @@
         );
     }
     for danger in &plan.dangers {
-        say!(text, "  Mind: {danger}");
+        add_line!(text, "  Mind: {danger}");
     }
 
     match &plan.refusal {
         Some(refusal) => {
-            say!(text, "It cannot be confirmed. {}", refusal.problem);
-            say!(text, "{}", refusal.remedy);
+            add_line!(text, "It cannot be confirmed. {}", refusal.problem);
+            add_line!(text, "{}", refusal.remedy);
         }
         None => {
-            say!(text, "Nothing has happened yet. To carry it out: valvectl confirm {}", plan.id);
+            add_line!(
+                text,
+                "Nothing has happened yet. To carry it out: valvectl confirm {}",
+                plan.id
+            );
         }
     }
     text
@@ -60,39 +64,39 @@
     let mut text = String::new();
 
     match report.accepted_version {
-        Some(version) => say_version(&mut text, version),
+        Some(version) => add_version(&mut text, version),
         None => {
-            say!(text, "The platform does not answer; balancers go on with what they have.");
+            add_line!(text, "The platform does not answer; balancers go on with what they have.");
         }
     }
     if report.behind.is_empty() {
-        say!(text, "Every balancer that answers has the newest version.");
+        add_line!(text, "Every balancer that answers has the newest version.");
     } else {
-        say!(text, "Not there yet: balancers {:?}.", report.behind);
+        add_line!(text, "Not there yet: balancers {:?}.", report.behind);
     }
 
     for balancer in &report.balancers {
         match &balancer.status {
-            Some(status) => say_balancer(&mut text, status),
+            Some(status) => add_balancer(&mut text, status),
             None => {
-                say!(text, "Balancer at {} does not answer.", balancer.address);
+                add_line!(text, "Balancer at {} does not answer.", balancer.address);
             }
         }
     }
-    say_services(&mut text, report);
+    add_services(&mut text, report);
     text
 }
 
-fn say_version(text: &mut String, version: u64) {
-    say!(text, "Version {version} is accepted.");
+fn add_version(text: &mut String, version: u64) {
+    add_line!(text, "Version {version} is accepted.");
 }
 
-fn say_balancer(text: &mut String, status: &BalancerStatus) {
+fn add_balancer(text: &mut String, status: &BalancerStatus) {
     let ready = if status.ready { "ready" } else { "not ready" };
     let lease = if status.has_lease { "with a lease" } else { "without a lease" };
     let live = status.peers.iter().filter(|peer| peer.alive).count();
 
-    say!(
+    add_line!(
         text,
         "Balancer {} in {}: {ready}, {lease}, version {}, {} flows, hears {live} of {} others; platform heard {} ms ago.",
         status.id,
@@ -105,12 +109,12 @@
 }
 
 /// Appends the services, each with the counts of its owner, which alone counts all its requests.
-fn say_services(text: &mut String, report: &StatusReport) {
+fn add_services(text: &mut String, report: &StatusReport) {
     let statuses = report.balancers.iter().filter_map(|balancer| balancer.status.as_ref());
 
     for (status, service) in statuses.flat_map(|s| s.services.iter().map(move |v| (s, v))) {
         if service.owner == Some(status.id) {
-            say!(
+            add_line!(
                 text,
                 "Service {}: owned by balancer {}, {} of {} slots in use, {} requests waiting.",
                 service.name,
@@ -128,13 +132,13 @@
     let mut text = String::new();
 
     if story.sentences.is_empty() {
-        say!(text, "No balancer that answers remembers anything about it.");
+        add_line!(text, "No balancer that answers remembers anything about it.");
     }
-    for told in &story.sentences {
-        say!(text, "{} ms: {}", told.record.at_ms, told.sentence);
+    for decision in &story.sentences {
+        add_line!(text, "{} ms: {}", decision.record.at_ms, decision.sentence);
     }
     for address in &story.silent {
-        say!(text, "The balancer at {address} did not answer; its part may be missing.");
+        add_line!(text, "The balancer at {address} did not answer; its part may be missing.");
     }
     text
 }
--- a/crates/valvestage-core/src/settings/deployment.rs
+++ b/crates/valvestage-core/src/settings/deployment.rs
@@ -74,13 +74,13 @@
         RawConfiguration {
             change_id: change_id.to_owned(),
             services: services.collect(),
-            backends: (1..).zip(backends).map(|(id, (s, b))| first_record(id, s, b)).collect(),
+            backends: (1..).zip(backends).map(|(id, (s, b))| initial_backend(id, s, b)).collect(),
             stopped_zones: std::collections::BTreeSet::new(),
         }
     }
 }
 
-fn first_record(id: BackendId, service: &ServiceSettings, backend: &BackendSettings) -> Backend {
+fn initial_backend(id: BackendId, service: &ServiceSettings, backend: &BackendSettings) -> Backend {
     Backend {
         id,
         name: backend.name.clone(),
--- a/crates/valvestage-core/src/settings/entry.rs
+++ b/crates/valvestage-core/src/settings/entry.rs
@@ -178,7 +178,7 @@
         let seeds = seeds.filter(|ip| *ip != own_ip && *ip != advertised_ip);
         Ok(Self {
             name: raw.name,
-            far_zones: far_zones(&raw.zone, &raw.zone_regions),
+            far_zones: zones_in_other_regions(&raw.zone, &raw.zone_regions),
             zone_regions: raw.zone_regions,
             has_evacuations: raw.evacuations,
             cold_limit: is_limited.then_some(ColdSettings { over: cold_over, slack: cold_slack }),
@@ -200,7 +200,10 @@
 
 /// Returns the zones whose configured region differs from that of `zone`; empty if the region of
 /// `zone` is not configured.
-fn far_zones(zone: &ZoneName, regions: &BTreeMap<ZoneName, RegionName>) -> BTreeSet<ZoneName> {
+fn zones_in_other_regions(
+    zone: &ZoneName,
+    regions: &BTreeMap<ZoneName, RegionName>,
+) -> BTreeSet<ZoneName> {
     let Some(own) = regions.get(zone) else { return BTreeSet::new() };
     let far = regions.iter().filter(|(_, region)| *region != own);
 
--- a/crates/valvestage-process/src/command_line.rs
+++ b/crates/valvestage-process/src/command_line.rs
@@ -16,10 +16,10 @@
 /// code.
 pub fn parse<T>(parser: &OptionParser<T>) -> Result<T, ExitCode> {
     parser.run_inner(Args::current_args()).map_err(|failure| {
-        let is_asked = failure.clone().exit_code() == 0;
+        let is_requested = failure.clone().exit_code() == 0;
         failure.print_message(WIDTH);
 
-        ExitCode::from(if is_asked { exit_codes::SUCCESS } else { exit_codes::USAGE })
+        ExitCode::from(if is_requested { exit_codes::SUCCESS } else { exit_codes::USAGE })
     })
 }
 
--- a/crates/valvestage-process/src/log_ring.rs
+++ b/crates/valvestage-process/src/log_ring.rs
@@ -24,7 +24,7 @@
 const MAX_FLUSHES: usize = 4;
 
 /// Channel that acknowledges a flush once all lines before it are written.
-type FlushAnswer = Sender<()>;
+type FlushAck = Sender<()>;
 
 /// Options for writing lines.
 #[derive(Debug, Clone, Copy)]
@@ -45,8 +45,8 @@
 #[derive(Debug, Clone)]
 pub struct LogRing {
     lines: Sender<Vec<u8>>,
-    flushes: Sender<FlushAnswer>,
-    left_out: Arc<AtomicU64>,
+    flushes: Sender<FlushAck>,
+    dropped_lines: Arc<AtomicU64>,
 }
 
 impl LogRing {
@@ -62,20 +62,20 @@
     ) -> Result<Self, ProcessError> {
         let (lines, line_receiver) = bounded(RING_LENGTH);
         let (flushes, flush_receiver) = bounded(MAX_FLUSHES);
-        let left_out = Arc::new(AtomicU64::new(0));
+        let dropped_lines = Arc::new(AtomicU64::new(0));
         let mut writer = LineWriter {
             output,
             options,
             lines: line_receiver,
             flushes: flush_receiver,
-            left_out: left_out.clone(),
+            dropped_lines: dropped_lines.clone(),
         };
 
         thread::Builder::new()
             .name("log".into())
             .spawn(move || writer.run())
             .map_err(ProcessError::LogThread)?;
-        Ok(Self { lines, flushes, left_out })
+        Ok(Self { lines, flushes, dropped_lines })
     }
 
     /// Queues a line, given without its line end. Never blocks: a line that finds no room is
@@ -84,24 +84,24 @@
         if let Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) =
             self.lines.try_send(line)
         {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+            self.dropped_lines.fetch_add(1, Ordering::Relaxed);
         }
     }
 
     /// Waits until all lines queued so far are written, and reports whether they are.
     ///
-    /// `longest` limits each of the two waits, for queueing the flush and for its acknowledgement,
+    /// `timeout` limits each of the two waits, for queueing the flush and for its acknowledgement,
     /// so that a stalled reader cannot keep the process from ending.
-    pub fn flush(&self, longest: Duration) -> bool {
+    pub fn flush(&self, timeout: Duration) -> bool {
         let (done, is_done) = bounded(1);
 
-        self.flushes.send_timeout(done, longest).is_ok() && is_done.recv_timeout(longest).is_ok()
+        self.flushes.send_timeout(done, timeout).is_ok() && is_done.recv_timeout(timeout).is_ok()
     }
 
     /// Returns the number of dropped lines that no written line has reported yet.
     #[must_use]
     pub fn left_out(&self) -> u64 {
-        self.left_out.load(Ordering::Relaxed)
+        self.dropped_lines.load(Ordering::Relaxed)
     }
 }
 
@@ -110,57 +110,57 @@
     output: W,
     options: RingOptions,
     lines: Receiver<Vec<u8>>,
-    flushes: Receiver<FlushAnswer>,
-    left_out: Arc<AtomicU64>,
+    flushes: Receiver<FlushAck>,
+    dropped_lines: Arc<AtomicU64>,
 }
 
 impl<W: Write> LineWriter<W> {
     /// Writes until all lines are written and no handle can queue more.
     fn run(&mut self) {
-        while let Some((mut batch, mut answers)) = self.wait() {
-            answers.extend(self.flushes.try_iter());
+        while let Some((mut batch, mut acks)) = self.wait_for_batch() {
+            acks.extend(self.flushes.try_iter());
             // A flush waits for all lines that are queued, so write until the ring buffer is empty.
             loop {
-                self.fill(&mut batch);
-                self.write(&batch);
-                if answers.is_empty() || self.lines.is_empty() {
+                self.fill_batch(&mut batch);
+                self.write_batch(&batch);
+                if acks.is_empty() || self.lines.is_empty() {
                     break;
                 }
                 batch.clear();
             }
-            for answer in answers {
+            for ack in acks {
                 // The flushing thread may have timed out.
-                let _ = answer.send(());
+                let _ = ack.send(());
             }
         }
     }
 
     /// Waits for the first line of a batch, then for the pause in which others collect; a flush
     /// ends either wait. Returns `None` once all handles are dropped and no line is left.
-    fn wait(&self) -> Option<(Vec<u8>, Vec<FlushAnswer>)> {
+    fn wait_for_batch(&self) -> Option<(Vec<u8>, Vec<FlushAck>)> {
         let mut batch = Vec::new();
         select! {
             recv(self.lines) -> line => add_line(&mut batch, &line.ok()?),
-            recv(self.flushes) -> answer => return match answer {
-                Ok(answer) => Some((batch, vec![answer])),
+            recv(self.flushes) -> ack => return match ack {
+                Ok(ack) => Some((batch, vec![ack])),
                 Err(_) if self.lines.is_empty() => None,
                 Err(_) => Some((batch, Vec::new())),
             },
         }
 
-        let answer = self.flushes.recv_timeout(self.options.pause);
-        Some((batch, answer.into_iter().collect()))
+        let ack = self.flushes.recv_timeout(self.options.pause);
+        Some((batch, ack.into_iter().collect()))
     }
 
     /// Adds the queued lines to the batch, and a line with the number of dropped lines, if any.
-    fn fill(&self, batch: &mut Vec<u8>) {
+    fn fill_batch(&self, batch: &mut Vec<u8>) {
         while batch.len() < BATCH_BYTES
             && let Ok(line) = self.lines.try_recv()
         {
             add_line(batch, &line);
         }
 
-        let count = self.left_out.swap(0, Ordering::Relaxed);
+        let count = self.dropped_lines.swap(0, Ordering::Relaxed);
         if count > 0 {
             let line = format!("{{\"event\":\"lines_left_out\",\"count\":{count}}}");
             add_line(batch, line.as_bytes());
@@ -169,9 +169,9 @@
 
     /// Writes a batch. A failure has nowhere to be reported, so it is only counted as a dropped
     /// line; later writes may succeed again.
-    fn write(&mut self, batch: &[u8]) {
+    fn write_batch(&mut self, batch: &[u8]) {
         if self.output.write_all(batch).and_then(|()| self.output.flush()).is_err() {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+            self.dropped_lines.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
--- a/crates/valvestage-process/src/secrets.rs
+++ b/crates/valvestage-process/src/secrets.rs
@@ -5,7 +5,7 @@
 use crate::errors::ProcessError;
 
 /// Minimum length of a token, in bytes.
-const MIN_TOKEN_CHARS: usize = 16;
+const MIN_TOKEN_BYTES: usize = 16;
 
 /// Reads a bearer token from a file, without leading and trailing white space.
 pub fn read_token(file: &Path) -> Result<String, ProcessError> {
@@ -14,8 +14,8 @@
 
     let text = std::fs::read_to_string(file).map_err(|error| refuse(error.to_string()))?;
     let token = text.trim();
-    if token.len() < MIN_TOKEN_CHARS {
-        return Err(refuse(format!("the token is shorter than {MIN_TOKEN_CHARS} characters")));
+    if token.len() < MIN_TOKEN_BYTES {
+        return Err(refuse(format!("the token is shorter than {MIN_TOKEN_BYTES} characters")));
     }
 
     Ok(token.to_owned())
--- a/crates/valvestage-process/src/structured_log.rs
+++ b/crates/valvestage-process/src/structured_log.rs
@@ -25,9 +25,9 @@
 /// epoch.
 #[must_use]
 pub fn time_of_day() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
 
-    since.map_or(0, |since| u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
+    elapsed.map_or(0, |elapsed| u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX))
 }
 
 struct RingWriter {
@@ -65,7 +65,7 @@
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         let json = match (value.to_u64(), value.to_bool()) {
             (Some(number), _) => number.into(),
-            (None, Some(truth)) => truth.into(),
+            (None, Some(flag)) => flag.into(),
             (None, None) => value.to_string().into(),
         };
 
--- a/crates/valvestage-process/tests/log_ring.rs
+++ b/crates/valvestage-process/tests/log_ring.rs
@@ -40,9 +40,9 @@
 
     drop(permit);
     let mut text = String::new();
-    let give_up = Instant::now() + Duration::from_secs(60);
+    let deadline = Instant::now() + Duration::from_secs(60);
     while !text.contains("lines_left_out") {
-        assert!(Instant::now() < give_up, "no line reports the dropped lines");
+        assert!(Instant::now() < deadline, "no line reports the dropped lines");
         if let Ok(more) = lines.recv_timeout(Duration::from_secs(1)) {
             text.push_str(&more);
         }
--- a/crates/valvestage-story/src/sentences.rs
+++ b/crates/valvestage-story/src/sentences.rs
@@ -20,9 +20,9 @@
             text("candidates"),
             text("version"),
             confirmation(line),
-            pace(line),
-            doubt(line),
-            left_out(line)
+            pace_note(line),
+            suspicion_note(line),
+            excluded_note(line)
         ),
         "moved" => format!(
             "Backend server {} did not answer the opening packet from {}, nor any other flow since: \
@@ -31,7 +31,7 @@
             text("caller"),
             text("backend"),
             text("zone"),
-            doubt(line)
+            suspicion_note(line)
         ),
         "reset" => format!("The flow from {} was ended: {}", text("caller"), reset_reason(line)),
         "dropped" => {
@@ -134,7 +134,7 @@
 
 /// Returns the note that the backend server is slower than the others of its service; empty if the
 /// line has no `pace`, because it is not slower.
-fn pace(line: &LogLine) -> String {
+fn pace_note(line: &LogLine) -> String {
     if !line.has("pace") {
         return String::new();
     }
@@ -144,7 +144,7 @@
 
 /// Returns the note that some backend servers could not be chosen although they take new flows;
 /// empty if all of them could.
-fn left_out(line: &LogLine) -> String {
+fn excluded_note(line: &LogLine) -> String {
     if !line.has("left_out") {
         return String::new();
     }
@@ -155,7 +155,7 @@
     )
 }
 
-fn doubt(line: &LogLine) -> &'static str {
+fn suspicion_note(line: &LogLine) -> &'static str {
     match line.text("doubt").as_str() {
         "silent" => " It seemed dead, but no other was better.",
         "missing" => " Its entry was missing, but no other was better.",
--- a/crates/valvestage-story/src/story.rs
+++ b/crates/valvestage-story/src/story.rs
@@ -11,55 +11,55 @@
 const LOOK_BACK_MS: u64 = 10_000;
 
 /// Events that change a balancer's view of the deployment as a whole.
-const BELIEFS: [&str; 6] =
+const VIEW_EVENTS: [&str; 6] =
     ["certainty", "routes_in_force", "store_link", "paused", "zone_returned", "isolated"];
 
 /// Events by which a balancer judges a backend server after the failure of some of its flows.
-const VERDICTS: [&str; 4] = ["suspected", "avoided", "avoided_as_told", "slowed"];
+const HEALTH_EVENTS: [&str; 4] = ["suspected", "avoided", "avoided_as_told", "slowed"];
 
-/// Period after the last line of a flow in which events of [`VERDICTS`] are included, in
+/// Period after the last line of a flow in which events of [`HEALTH_EVENTS`] are included, in
 /// milliseconds. Later ones are caused by other flows.
 const LOOK_AHEAD_MS: u64 = 10_000;
 
 /// Returns the lines that answer a query, ordered by time; empty if the logs contain none.
 #[must_use]
 pub fn tell(lines: Vec<LogLine>, query: &StoryQuery) -> Vec<LogLine> {
-    let mut told = match query {
-        StoryQuery::Flow(caller) => tell_flow(lines, &caller.to_string()),
+    let mut selected = match query {
+        StoryQuery::Flow(caller) => select_flow_lines(lines, &caller.to_string()),
         StoryQuery::Backend(id) => select(lines, |line| is_about_backend(line, id)),
         StoryQuery::Version(version) => {
-            select(lines, |line| line.number("version") == Some(*version) && is_belief(line))
+            select(lines, |line| line.number("version") == Some(*version) && is_view_event(line))
         }
     };
 
-    told.sort_by_key(|line| line.time_ms);
-    told
+    selected.sort_by_key(|line| line.time_ms);
+    selected
 }
 
 /// Returns the lines of a flow, and those that explain the decisions about it: changes of the view
 /// of its balancers, and events of its backend servers.
-fn tell_flow(lines: Vec<LogLine>, caller: &str) -> Vec<LogLine> {
+fn select_flow_lines(lines: Vec<LogLine>, caller: &str) -> Vec<LogLine> {
     let own: Vec<&LogLine> = lines.iter().filter(|line| line.is("caller", caller)).collect();
     let Some(first) = own.iter().map(|line| line.time_ms).min() else { return Vec::new() };
     let last = own.iter().map(|line| line.time_ms).max().unwrap_or(first);
     let vms: BTreeSet<String> = own.iter().map(|line| line.vm.clone()).collect();
-    let backends: BTreeSet<String> = own.iter().flat_map(|line| backends_of(line)).collect();
+    let backends: BTreeSet<String> = own.iter().flat_map(|line| backend_ids(line)).collect();
 
     let span = first.saturating_sub(LOOK_BACK_MS)..=last;
     let after = last..=last.saturating_add(LOOK_AHEAD_MS);
     select(lines, |line| {
         let is_own = line.is("caller", caller);
         let is_near = span.contains(&line.time_ms) && vms.contains(&line.vm);
-        let is_cause = is_belief(line)
+        let is_cause = is_view_event(line)
             || line.text("caller").is_empty()
                 && backends.iter().any(|id| is_about_backend(line, id));
-        let is_verdict = VERDICTS.contains(&line.event.as_str())
+        let is_health_event = HEALTH_EVENTS.contains(&line.event.as_str())
             && after.contains(&line.time_ms)
             && backends.iter().any(|id| line.is("backend", id));
         // An evacuation is in force until it is withdrawn, however long before the flow it began.
-        let is_lasting =
+        let is_evacuation =
             line.event == "evacuation" && line.time_ms <= last && vms.contains(&line.vm);
-        is_own || is_near && is_cause || is_verdict || is_lasting
+        is_own || is_near && is_cause || is_health_event || is_evacuation
     })
 }
 
@@ -67,15 +67,15 @@
     lines.into_iter().filter(|line| matches(line)).collect()
 }
 
-fn is_belief(line: &LogLine) -> bool {
-    BELIEFS.contains(&line.event.as_str())
+fn is_view_event(line: &LogLine) -> bool {
+    VIEW_EVENTS.contains(&line.event.as_str())
 }
 
 fn is_about_backend(line: &LogLine, id: &str) -> bool {
     line.is("backend", id) || line.is("instead_of", id)
 }
 
-fn backends_of(line: &LogLine) -> impl Iterator<Item = String> {
+fn backend_ids(line: &LogLine) -> impl Iterator<Item = String> {
     let named = ["backend", "instead_of"].map(|field| line.text(field));
 
     named.into_iter().filter(|id| !id.is_empty())
--- a/crates/valvestage-wire/src/envelope/decode.rs
+++ b/crates/valvestage-wire/src/envelope/decode.rs
@@ -78,7 +78,7 @@
             header.retry_after = Some(Duration::from_millis(millis.into()));
         }
         tlv_types::LOAD => {
-            let [busy_slots, open_flows] = two_words(fixed(kind, value)?);
+            let [busy_slots, open_flows] = read_u16_pair(fixed(kind, value)?);
             header.load = Some(LoadReport { busy_slots, open_flows });
         }
         tlv_types::TARGET => header.target = Some(read_target(fixed(kind, value)?)),
@@ -94,7 +94,7 @@
             header.refusal = Some((outcome, reason));
         }
         tlv_types::SEGMENT => {
-            let [index, count] = two_words(fixed(kind, value)?);
+            let [index, count] = read_u16_pair(fixed(kind, value)?);
             let segment = Segment::new(index, count);
             header.segment = Some(segment.ok_or_else(|| refuse("index or count out of range"))?);
         }
@@ -106,11 +106,12 @@
     Ok(())
 }
 
+/// Returns the value of a TLV as an array, or an error if its length is not `N`.
 fn fixed<const N: usize>(kind: u8, value: &[u8]) -> Result<[u8; N], WireError> {
     value.try_into().map_err(|_| WireError::tlv(kind, "wrong length"))
 }
 
-fn two_words(bytes: [u8; 4]) -> [u16; 2] {
+fn read_u16_pair(bytes: [u8; 4]) -> [u16; 2] {
     [u16::from_be_bytes([bytes[0], bytes[1]]), u16::from_be_bytes([bytes[2], bytes[3]])]
 }
 
--- a/crates/valvestage-wire/src/envelope/encode.rs
+++ b/crates/valvestage-wire/src/envelope/encode.rs
@@ -10,7 +10,7 @@
 use crate::errors::WireError;
 
 /// Bytes to reserve for the header: enough for the TLVs that most packets have.
-const USUAL_HEADER: usize = 96;
+const TYPICAL_HEADER_BYTES: usize = 96;
 
 /// Encodes an envelope as a datagram.
 pub fn encode(envelope: &Envelope<'_>) -> Result<Vec<u8>, WireError> {
@@ -29,7 +29,7 @@
     let addresses = (envelope.caller, envelope.service);
     let builder =
         Builder::with_addresses(Version::Two | Command::Proxy, Protocol::Datagram, addresses)
-            .reserve_capacity(USUAL_HEADER + envelope.payload.len());
+            .reserve_capacity(TYPICAL_HEADER_BYTES + envelope.payload.len());
 
     let builder = write_flow_tlvs(builder, &envelope.header)?;
     let builder = write_request_tlvs(builder, &envelope.header)?;
@@ -68,7 +68,7 @@
         builder = builder.write_tlv(tlv_types::ATTEMPT, &attempt.to_be_bytes())?;
     }
     if let Some(segment) = header.segment {
-        let value = two_words(segment.index, segment.count);
+        let value = encode_u16_pair(segment.index, segment.count);
         builder = builder.write_tlv(tlv_types::SEGMENT, &value)?;
     }
 
@@ -84,7 +84,7 @@
         builder = builder.write_tlv(tlv_types::TARGET, &value)?;
     }
     if let Some(load) = header.load {
-        let value = two_words(load.busy_slots, load.open_flows);
+        let value = encode_u16_pair(load.busy_slots, load.open_flows);
         builder = builder.write_tlv(tlv_types::LOAD, &value)?;
     }
     if let Some(hop) = header.hop {
@@ -105,7 +105,7 @@
     Ok(builder)
 }
 
-fn two_words(first: u16, second: u16) -> [u8; 4] {
+fn encode_u16_pair(first: u16, second: u16) -> [u8; 4] {
     let (first, second) = (first.to_be_bytes(), second.to_be_bytes());
 
     [first[0], first[1], second[0], second[1]]
--- a/crates/valvestage-wire/src/peers/authenticated_codec.rs
+++ b/crates/valvestage-wire/src/peers/authenticated_codec.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use tokio_serde::{Deserializer, Serializer};
 
-use super::peer_key::keyed;
+use super::peer_key::hmac_with_key;
 
 /// Length of the MAC at the end of each frame, in bytes.
 const MAC_BYTES: usize = 16;
@@ -43,7 +43,7 @@
     fn serialize(mut self: Pin<&mut Self>, item: &SinkItem) -> Result<Bytes, io::Error> {
         let mut frame = postcard::to_stdvec(item).map_err(io::Error::other)?;
 
-        let mut mac = keyed(&self.send_key);
+        let mut mac = hmac_with_key(&self.send_key);
         mac.update(&self.sent.to_be_bytes());
         mac.update(&frame);
         self.sent += 1;
@@ -63,7 +63,7 @@
         let length = frame.len().checked_sub(MAC_BYTES);
         let (message, tag) = frame.split_at(length.ok_or(io::ErrorKind::UnexpectedEof)?);
 
-        let mut mac = keyed(&self.receive_key);
+        let mut mac = hmac_with_key(&self.receive_key);
         mac.update(&self.received.to_be_bytes());
         mac.update(message);
         self.received += 1;
--- a/crates/valvestage-wire/src/peers/peer_key.rs
+++ b/crates/valvestage-wire/src/peers/peer_key.rs
@@ -36,7 +36,7 @@
     /// Derives the key of one direction of a connection from the label of the direction and the
     /// nonces of client and server.
     pub(super) fn derive(&self, label: &[u8], client: &[u8], server: &[u8]) -> [u8; 32] {
-        let mut mac = keyed(&self.secret);
+        let mut mac = hmac_with_key(&self.secret);
         mac.update(label);
         mac.update(client);
         mac.update(server);
@@ -60,6 +60,6 @@
 /// Returns an HMAC-SHA-256 with the given key.
 ///
 /// This cannot fail, because HMAC takes keys of any length.
-pub(super) fn keyed(secret: &[u8]) -> Hmac<Sha256> {
+pub(super) fn hmac_with_key(secret: &[u8]) -> Hmac<Sha256> {
     Hmac::new_from_slice(secret).expect("HMAC takes keys of any length")
 }
--- a/crates/valvestage-wire/tests/envelope.rs
+++ b/crates/valvestage-wire/tests/envelope.rs
@@ -16,7 +16,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Drawn {
+struct EnvelopeCase {
     caller: SocketAddr,
     service: SocketAddr,
     header: Header,
@@ -33,53 +33,53 @@
     SocketAddr::new(ip, u16::arbitrary(g))
 }
 
-fn maybe<T>(g: &mut Gen, draw: impl FnOnce(&mut Gen) -> T) -> Option<T> {
+fn optional<T>(g: &mut Gen, draw: impl FnOnce(&mut Gen) -> T) -> Option<T> {
     if bool::arbitrary(g) { Some(draw(g)) } else { None }
 }
 
-impl Arbitrary for Drawn {
+impl Arbitrary for EnvelopeCase {
     fn arbitrary(g: &mut Gen) -> Self {
         let v4 = bool::arbitrary(g);
         let mut header = Header::new(*g.choose(&PacketKind::ALL).unwrap());
 
-        header.request = maybe(g, u128::arbitrary);
+        header.request = optional(g, u128::arbitrary);
         if header.request.is_some() {
-            header.deadline = maybe(g, |g| from_unix_millis(u64::arbitrary(g)));
-            header.attempt = maybe(g, u16::arbitrary);
-            header.segment = maybe(g, |_| Segment { index: 3, count: 7 });
+            header.deadline = optional(g, |g| from_unix_millis(u64::arbitrary(g)));
+            header.attempt = optional(g, u16::arbitrary);
+            header.segment = optional(g, |_| Segment { index: 3, count: 7 });
         }
         if header.deadline.is_some() {
             header.repeatable = bool::arbitrary(g);
             header.class = *g.choose(&[RequestClass::Urgent, RequestClass::Bulk]).unwrap();
         }
-        header.token = maybe(g, |g| FlowToken {
+        header.token = optional(g, |g| FlowToken {
             key_id: u8::arbitrary(g),
             service: u16::arbitrary(g),
             backend: u32::arbitrary(g),
             incarnation: u32::arbitrary(g),
             mac: u64::arbitrary(g),
         });
-        header.retry_after = maybe(g, |g| Duration::from_millis(u32::arbitrary(g).into()));
-        header.load = maybe(g, |g| LoadReport {
+        header.retry_after = optional(g, |g| Duration::from_millis(u32::arbitrary(g).into()));
+        header.load = optional(g, |g| LoadReport {
             busy_slots: u16::arbitrary(g),
             open_flows: u16::arbitrary(g),
         });
-        header.target = maybe(g, |g| Target {
+        header.target = optional(g, |g| Target {
             service: u16::arbitrary(g),
             backend: u32::arbitrary(g),
             incarnation: u32::arbitrary(g),
         });
-        header.hop = maybe(g, |g| HopMark {
+        header.hop = optional(g, |g| HopMark {
             count: u8::arbitrary(g),
             purpose: *g.choose(&[RelayPurpose::Home, RelayPurpose::FormerHome]).unwrap(),
             view_epoch: u64::arbitrary(g),
         });
-        header.refusal = maybe(g, |g| {
+        header.refusal = optional(g, |g| {
             let outcome = *g.choose(&[Outcome::NotRun, Outcome::InDoubt]).unwrap();
             (outcome, *g.choose(RefusalReason::ALL).unwrap())
         });
         header.binding =
-            maybe(g, |g| Binding { key: u64::arbitrary(g), backend: u32::arbitrary(g) });
+            optional(g, |g| Binding { key: u64::arbitrary(g), backend: u32::arbitrary(g) });
 
         let length = usize::arbitrary(g) % 1_200;
         let payload = (0..length).map(|_| u8::arbitrary(g)).collect();
@@ -87,7 +87,7 @@
     }
 }
 
-impl Drawn {
+impl EnvelopeCase {
     fn envelope(&self) -> Envelope<'_> {
         Envelope {
             caller: self.caller,
@@ -100,13 +100,13 @@
 
 #[test]
 fn what_is_written_is_read_back() {
-    fn holds(drawn: Drawn) -> bool {
-        let datagram = encode(&drawn.envelope()).unwrap();
+    fn holds(case: EnvelopeCase) -> bool {
+        let datagram = encode(&case.envelope()).unwrap();
 
-        decode(&datagram).unwrap() == drawn.envelope()
+        decode(&datagram).unwrap() == case.envelope()
     }
 
-    seeded().tests(2_000).quickcheck(holds as fn(Drawn) -> bool);
+    seeded().tests(2_000).quickcheck(holds as fn(EnvelopeCase) -> bool);
 }
 
 #[test]
@@ -121,8 +121,8 @@
 
 #[test]
 fn an_altered_or_truncated_datagram_is_read_or_refused() {
-    fn holds(drawn: Drawn, place: usize, byte: u8, length: usize) -> bool {
-        let mut datagram = encode(&drawn.envelope()).unwrap();
+    fn holds(case: EnvelopeCase, place: usize, byte: u8, length: usize) -> bool {
+        let mut datagram = encode(&case.envelope()).unwrap();
         let place = place % datagram.len();
         datagram[place] = byte;
 
@@ -131,7 +131,7 @@
         true
     }
 
-    seeded().tests(5_000).quickcheck(holds as fn(Drawn, usize, u8, usize) -> bool);
+    seeded().tests(5_000).quickcheck(holds as fn(EnvelopeCase, usize, u8, usize) -> bool);
 }
 
 #[test]
