--- a/crates/valvestage-story/src/errors.rs
+++ b/crates/valvestage-story/src/errors.rs
@@ -4,7 +4,7 @@
 
 /// Reason why a text is not a log line.
 #[derive(Debug, Error, Clone, Copy, PartialEq, Eq)]
-pub enum StoryError {
+pub enum LogLineError {
     /// The text contains no valid JSON object.
     #[error("not a JSON object")]
     NoObject,
--- a/crates/valvestage-story/src/log_line.rs
+++ b/crates/valvestage-story/src/log_line.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Map, Value};
 
-use crate::errors::StoryError;
+use crate::errors::LogLineError;
 
 /// A log line: an event with its fields.
 #[derive(Debug, Clone, PartialEq)]
@@ -17,18 +17,18 @@
 }
 
 impl TryFrom<&str> for LogLine {
-    type Error = StoryError;
+    type Error = LogLineError;
 
     /// Parses a line, ignoring anything that a log collector has put before the JSON object.
-    fn try_from(text: &str) -> Result<Self, StoryError> {
-        let start = text.find('{').ok_or(StoryError::NoObject)?;
+    fn try_from(text: &str) -> Result<Self, LogLineError> {
+        let start = text.find('{').ok_or(LogLineError::NoObject)?;
         let fields: Map<String, Value> =
-            serde_json::from_str(text[start..].trim()).map_err(|_| StoryError::NoObject)?;
+            serde_json::from_str(text[start..].trim()).map_err(|_| LogLineError::NoObject)?;
 
         let time_ms = fields.get("time_ms").and_then(Value::as_u64);
         let event = fields.get("event").and_then(Value::as_str).map(str::to_owned);
         let (Some(time_ms), Some(event)) = (time_ms, event) else {
-            return Err(StoryError::NoEvent);
+            return Err(LogLineError::NoEvent);
         };
         let vm = fields.get("vm").and_then(Value::as_str).unwrap_or_default().to_owned();
         Ok(Self { time_ms, vm, event, fields })
--- a/crates/valvestage-story/tests/story.rs
+++ b/crates/valvestage-story/tests/story.rs
@@ -1,7 +1,7 @@
 //! Selection and description of the log lines about a flow, a backend server or a configuration.
 
 use valvestage_story::sentences::sentence;
-use valvestage_story::{LogLine, StoryError, StoryQuery, tell};
+use valvestage_story::{LogLine, LogLineError, StoryQuery, tell};
 
 const LOG: &str = r#"
   1.2 vm-1 {"time_ms":1000,"vm":"vm-1","event":"routes_in_force","version":3,"former_version":0,"addresses":9,"source":"store"}
@@ -80,6 +80,6 @@
 
 #[test]
 fn what_is_no_line_says_why() {
-    assert_eq!(LogLine::try_from("nothing"), Err(StoryError::NoObject));
-    assert_eq!(LogLine::try_from("{\"event\":\"placed\"}"), Err(StoryError::NoEvent));
+    assert_eq!(LogLine::try_from("nothing"), Err(LogLineError::NoObject));
+    assert_eq!(LogLine::try_from("{\"event\":\"placed\"}"), Err(LogLineError::NoEvent));
 }
