--- a/crates/valvectl/src/main.rs
+++ b/crates/valvectl/src/main.rs
@@ -73,8 +73,8 @@
             print(json, &report, sentences::status(&report));
         }
         Command::Why { question } => {
-            let story = client.why(question).await?;
-            print(json, &story, sentences::story(&story));
+            let explanation = client.why(question).await?;
+            print(json, &explanation, sentences::explanation(&explanation));
         }
         Command::RotateKeys => {
             let result = client.rotate_keys().await?;
--- a/crates/valvectl/src/sentences.rs
+++ b/crates/valvectl/src/sentences.rs
@@ -128,16 +128,16 @@
 }
 
 /// Describes the decisions about a subject.
-pub fn story(story: &Story) -> String {
+pub fn explanation(explanation: &Story) -> String {
     let mut text = String::new();
 
-    if story.sentences.is_empty() {
+    if explanation.sentences.is_empty() {
         add_line!(text, "No balancer that answers remembers anything about it.");
     }
-    for decision in &story.sentences {
+    for decision in &explanation.sentences {
         add_line!(text, "{} ms: {}", decision.record.at_ms, decision.sentence);
     }
-    for address in &story.silent {
+    for address in &explanation.silent {
         add_line!(text, "The balancer at {address} did not answer; its part may be missing.");
     }
     text
