--- a/crates/valvectl/src/log_stories.rs
+++ b/crates/valvectl/src/log_events.rs
@@ -1,4 +1,4 @@
-//! Stories that logs of `valvestage-entry` tell.
+//! Explanations from the logs of `valvestage-entry`.
 
 use std::fs;
 use std::io::{self, Read};
@@ -6,22 +6,25 @@
 
 use valvestage_process::exit_codes;
 use valvestage_story::sentences::sentence;
-use valvestage_story::{LogLine, StoryQuery, tell as tell_story};
+use valvestage_story::{LogLine, StoryQuery, tell as select_lines};
 
 use crate::arguments::LogSubject;
 use crate::errors::CtlError;
 
-/// Prints what the logs tell, a sentence a line; the exit code is 1 if they tell nothing.
-pub fn tell(subject: LogSubject, files: &[PathBuf]) -> Result<u8, CtlError> {
+/// Prints a description of each log line about a subject, one per line; the exit code is 1 if there
+/// are none.
+pub fn print_events(subject: LogSubject, files: &[PathBuf]) -> Result<u8, CtlError> {
     let text = read(files)?;
     let lines = text.lines().filter_map(|line| LogLine::try_from(line).ok()).collect();
 
-    let told = tell_story(lines, &StoryQuery::from(subject));
-    for line in &told {
+    let selected = select_lines(lines, &StoryQuery::from(subject));
+    for line in &selected {
         println!("{} {} {}", line.time_ms, line.vm, sentence(line));
     }
-    if told.is_empty() {
-        println!("The logs say nothing of it: it was left out under load, or other VMs had it.");
+    if selected.is_empty() {
+        println!(
+            "The logs have no lines about it: they were left out under load, or are in the logs of other VMs."
+        );
         return Ok(exit_codes::FAILURE);
     }
     Ok(exit_codes::SUCCESS)
--- a/crates/valvectl/src/main.rs
+++ b/crates/valvectl/src/main.rs
@@ -1,17 +1,17 @@
-//! `valvectl`: operators' command line.
+//! `valvectl`, the command-line tool for operators.
 //!
-//! | module | duty |
+//! | module | contents |
 //! |---|---|
-//! | `arguments` | the command line |
+//! | `arguments` | definition of the command line |
 //! | `calls` | calls of the operators' API |
-//! | `errors` | errors and their exit codes |
-//! | `log_stories` | stories that logs tell |
-//! | `sentences` | results in plain words |
+//! | `errors` | the error type, with exit codes |
+//! | `log_events` | explanations from logs |
+//! | `sentences` | results in plain English |
 
 mod arguments;
 mod calls;
 mod errors;
-mod log_stories;
+mod log_events;
 mod sentences;
 
 use std::process::ExitCode;
@@ -46,7 +46,7 @@
 
 async fn run(arguments: &Arguments) -> Result<u8, CtlError> {
     if let Command::Why { question: Question::Log { subject, files } } = &arguments.command {
-        return log_stories::tell(subject.clone(), files);
+        return log_events::print_events(subject.clone(), files);
     }
     let client = client(arguments)?;
     let json = arguments.json;
@@ -73,8 +73,8 @@
             print(json, &report, sentences::status(&report));
         }
         Command::Why { question } => {
-            let story = client.why(question).await?;
-            print(json, &story, sentences::story(&story));
+            let explanation = client.why(question).await?;
+            print(json, &explanation, sentences::explanation(&explanation));
         }
         Command::RotateKeys => {
             let result = client.rotate_keys().await?;
--- a/crates/valvectl/src/sentences.rs
+++ b/crates/valvectl/src/sentences.rs
@@ -1,4 +1,4 @@
-//! Results in plain words.
+//! Results in plain English.
 
 use std::fmt::Write;
 
@@ -6,12 +6,13 @@
 use valvestage_wire::operators::{ConfirmResult, StatusReport, Story};
 use valvestage_wire::status::BalancerStatus;
 
-/// Writing to a string cannot fail.
-macro_rules! say {
+/// Appends a formatted line to a string. The result is ignored because writing to a string cannot
+/// fail.
+macro_rules! add_line {
     ($text:expr, $($words:tt)*) => { let _ = writeln!($text, $($words)*); };
 }
 
-/// What a confirmation came to.
+/// Describes an accepted change.
 pub fn confirmed(result: &ConfirmResult) -> String {
     format!(
         "Change {} is accepted as version {}.\nSee `valvectl status` for who has it.\n",
@@ -19,16 +20,16 @@
     )
 }
 
-/// What a plan does.
+/// Describes the steps, effects and dangers of a plan, and how to confirm it.
 pub fn plan(plan: &Plan) -> String {
     let mut text = String::new();
 
-    say!(text, "Plan {} on version {}:", plan.id, plan.base_version);
+    add_line!(text, "Plan {} on version {}:", plan.id, plan.base_version);
     for step in &plan.steps {
-        say!(text, "  {step}");
+        add_line!(text, "  {step}");
     }
     for effect in &plan.effects {
-        say!(
+        add_line!(
             text,
             "  {}: {} slots now, {} afterwards, {} in use or waited for; {}% of new flows go elsewhere.",
             effect.service,
@@ -39,59 +40,63 @@
         );
     }
     for danger in &plan.dangers {
-        say!(text, "  Mind: {danger}");
+        add_line!(text, "  Mind: {danger}");
     }
 
     match &plan.refusal {
         Some(refusal) => {
-            say!(text, "It cannot be confirmed. {}", refusal.problem);
-            say!(text, "{}", refusal.remedy);
+            add_line!(text, "It cannot be confirmed. {}", refusal.problem);
+            add_line!(text, "{}", refusal.remedy);
         }
         None => {
-            say!(text, "Nothing has happened yet. To carry it out: valvectl confirm {}", plan.id);
+            add_line!(
+                text,
+                "Nothing has happened yet. To carry it out: valvectl confirm {}",
+                plan.id
+            );
         }
     }
     text
 }
 
-/// The state of a deployment.
+/// Describes the status of a deployment.
 pub fn status(report: &StatusReport) -> String {
     let mut text = String::new();
 
     match report.accepted_version {
-        Some(version) => say_version(&mut text, version),
+        Some(version) => add_version(&mut text, version),
         None => {
-            say!(text, "The platform does not answer; balancers go on with what they have.");
+            add_line!(text, "The platform does not answer; balancers go on with what they have.");
         }
     }
     if report.behind.is_empty() {
-        say!(text, "Every balancer that answers has the newest version.");
+        add_line!(text, "Every balancer that answers has the newest version.");
     } else {
-        say!(text, "Not there yet: balancers {:?}.", report.behind);
+        add_line!(text, "Not there yet: balancers {:?}.", report.behind);
     }
 
     for balancer in &report.balancers {
         match &balancer.status {
-            Some(status) => say_balancer(&mut text, status),
+            Some(status) => add_balancer(&mut text, status),
             None => {
-                say!(text, "Balancer at {} does not answer.", balancer.address);
+                add_line!(text, "Balancer at {} does not answer.", balancer.address);
             }
         }
     }
-    say_services(&mut text, report);
+    add_services(&mut text, report);
     text
 }
 
-fn say_version(text: &mut String, version: u64) {
-    say!(text, "Version {version} is accepted.");
+fn add_version(text: &mut String, version: u64) {
+    add_line!(text, "Version {version} is accepted.");
 }
 
-fn say_balancer(text: &mut String, status: &BalancerStatus) {
+fn add_balancer(text: &mut String, status: &BalancerStatus) {
     let ready = if status.ready { "ready" } else { "not ready" };
     let lease = if status.has_lease { "with a lease" } else { "without a lease" };
     let live = status.peers.iter().filter(|peer| peer.alive).count();
 
-    say!(
+    add_line!(
         text,
         "Balancer {} in {}: {ready}, {lease}, version {}, {} flows, hears {live} of {} others; platform heard {} ms ago.",
         status.id,
@@ -103,13 +108,13 @@
     );
 }
 
-/// Each service is counted at its owner.
-fn say_services(text: &mut String, report: &StatusReport) {
+/// Appends the services, each with the counts of its owner, which alone counts all its requests.
+fn add_services(text: &mut String, report: &StatusReport) {
     let statuses = report.balancers.iter().filter_map(|balancer| balancer.status.as_ref());
 
     for (status, service) in statuses.flat_map(|s| s.services.iter().map(move |v| (s, v))) {
         if service.owner == Some(status.id) {
-            say!(
+            add_line!(
                 text,
                 "Service {}: owned by balancer {}, {} of {} slots in use, {} requests waiting.",
                 service.name,
@@ -122,18 +127,18 @@
     }
 }
 
-/// Why something was decided.
-pub fn story(story: &Story) -> String {
+/// Describes the decisions about a subject.
+pub fn explanation(explanation: &Story) -> String {
     let mut text = String::new();
 
-    if story.sentences.is_empty() {
-        say!(text, "No balancer that answers remembers anything about it.");
+    if explanation.sentences.is_empty() {
+        add_line!(text, "No balancer that answers remembers anything about it.");
     }
-    for told in &story.sentences {
-        say!(text, "{} ms: {}", told.record.at_ms, told.sentence);
+    for decision in &explanation.sentences {
+        add_line!(text, "{} ms: {}", decision.record.at_ms, decision.sentence);
     }
-    for address in &story.silent {
-        say!(text, "The balancer at {address} did not answer; its part may be missing.");
+    for address in &explanation.silent {
+        add_line!(text, "The balancer at {address} did not answer; its part may be missing.");
     }
     text
 }
--- a/crates/valvestage-process/src/structured_log.rs
+++ b/crates/valvestage-process/src/structured_log.rs
@@ -1,4 +1,4 @@
-//! Log records as JSON lines in a [`LogRing`].
+//! Writing of log records as JSON lines to a [`LogRing`].
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -12,19 +12,22 @@
 use crate::log_ring::LogRing;
 use crate::logging::DEFAULT_LEVEL;
 
-/// `start` sends all records of the `log` macros to a ring.
+/// Starts a logger that writes all records of the `log` macros to `ring`.
+///
+/// The logger runs until the handle is dropped.
 pub fn start(ring: LogRing) -> Result<LoggerHandle, ProcessError> {
     let logger = Logger::try_with_env_or_str(DEFAULT_LEVEL)?;
 
     Ok(logger.log_to_writer(Box::new(RingWriter { ring })).start()?)
 }
 
-/// `time_of_day` gives the time of day as every line has it: milliseconds since the Unix epoch.
+/// Returns the current time in the form that every line contains: milliseconds since the Unix
+/// epoch.
 #[must_use]
 pub fn time_of_day() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
 
-    since.map_or(0, |since| u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
+    elapsed.map_or(0, |elapsed| u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX))
 }
 
 struct RingWriter {
@@ -53,7 +56,7 @@
     }
 }
 
-/// Puts the fields of a record into its line.
+/// Visitor that copies the key-value pairs of a record into its line.
 struct FieldVisitor<'a> {
     line: &'a mut Map<String, Json>,
 }
@@ -62,7 +65,7 @@
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         let json = match (value.to_u64(), value.to_bool()) {
             (Some(number), _) => number.into(),
-            (None, Some(truth)) => truth.into(),
+            (None, Some(flag)) => flag.into(),
             (None, None) => value.to_string().into(),
         };
 
--- a/crates/valvestage-story/src/lib.rs
+++ b/crates/valvestage-story/src/lib.rs
@@ -1,20 +1,20 @@
-//! Tells from log lines what became of a flow, and why.
+//! Explains from log lines what happened to a flow, a backend server or a configuration, and why.
 //!
 //! | module | contents |
 //! |---|---|
-//! | [`log_line`] | one line of `valvestage-entry`'s log |
-//! | [`story_query`] | what is asked about |
-//! | [`story`] | the lines that belong to the answer, in order |
-//! | [`sentences`] | a line in plain words |
+//! | [`log_line`] | a line of `valvestage-entry`'s log |
+//! | [`story_query`] | the subject of a query |
+//! | [`line_selection`] | selection of the lines that answer a query |
+//! | [`sentences`] | description of a line in plain English |
 //! | [`errors`] | the error type of this crate |
 
 pub mod errors;
+pub mod line_selection;
 pub mod log_line;
 pub mod sentences;
-pub mod story;
 pub mod story_query;
 
-pub use errors::StoryError;
+pub use errors::LogLineError;
+pub use line_selection::tell;
 pub use log_line::LogLine;
-pub use story::tell;
 pub use story_query::StoryQuery;
--- a/crates/valvestage-story/tests/story.rs
+++ b/crates/valvestage-story/tests/story.rs
@@ -1,7 +1,7 @@
-//! What logs tell of a flow.
+//! Selection and description of the log lines about a flow, a backend server or a configuration.
 
 use valvestage_story::sentences::sentence;
-use valvestage_story::{LogLine, StoryError, StoryQuery, tell};
+use valvestage_story::{LogLine, LogLineError, StoryQuery, tell};
 
 const LOG: &str = r#"
   1.2 vm-1 {"time_ms":1000,"vm":"vm-1","event":"routes_in_force","version":3,"former_version":0,"addresses":9,"source":"store"}
@@ -32,7 +32,7 @@
 fn a_flow_has_its_own_lines_and_what_became_of_its_backend_server() {
     let query = StoryQuery::Flow("10.0.0.1:77".parse().unwrap());
 
-    // Not what happened long before, at another VM, or to another caller.
+    // Events long before the flow, at another VM or of another caller are not included.
     assert_eq!(events(&query), ["placed", "backend_changed", "reset", "avoided", "slowed"]);
 }
 
@@ -80,6 +80,6 @@
 
 #[test]
 fn what_is_no_line_says_why() {
-    assert_eq!(LogLine::try_from("nothing"), Err(StoryError::NoObject));
-    assert_eq!(LogLine::try_from("{\"event\":\"placed\"}"), Err(StoryError::NoEvent));
+    assert_eq!(LogLine::try_from("nothing"), Err(LogLineError::NoObject));
+    assert_eq!(LogLine::try_from("{\"event\":\"placed\"}"), Err(LogLineError::NoEvent));
 }
--- a/crates/valvestage-wire/src/envelope/decode.rs
+++ b/crates/valvestage-wire/src/envelope/decode.rs
@@ -1,4 +1,4 @@
-//! Reading an envelope.
+//! Decoding of envelopes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,7 +12,9 @@
 use super::{MAX_DATAGRAM, tlv_types};
 use crate::errors::WireError;
 
-/// `decode` reads a datagram; nothing in it can make it panic.
+/// Decodes a datagram.
+///
+/// Arbitrary input yields an envelope or an error, never a panic.
 pub fn decode(datagram: &[u8]) -> Result<Envelope<'_>, WireError> {
     if datagram.len() > MAX_DATAGRAM {
         return Err(WireError::Oversized(datagram.len()));
@@ -23,7 +25,7 @@
         ProxyHeader::try_from(datagram).map_err(|error| WireError::Header(error.to_string()))?;
     let (caller, service) = read_addresses(&proxy.addresses)?;
 
-    // Section 2.2.7: TLVs up to the length that the header tells; the payload follows.
+    // Section 2.2.7: TLVs fill the header up to its stated length; the payload follows.
     let mut header = Header::new(PacketKind::Data);
     for tlv in proxy.tlvs() {
         let tlv = tlv.map_err(|error| WireError::Header(error.to_string()))?;
@@ -76,7 +78,7 @@
             header.retry_after = Some(Duration::from_millis(millis.into()));
         }
         tlv_types::LOAD => {
-            let [busy_slots, open_flows] = two_words(fixed(kind, value)?);
+            let [busy_slots, open_flows] = read_u16_pair(fixed(kind, value)?);
             header.load = Some(LoadReport { busy_slots, open_flows });
         }
         tlv_types::TARGET => header.target = Some(read_target(fixed(kind, value)?)),
@@ -92,23 +94,24 @@
             header.refusal = Some((outcome, reason));
         }
         tlv_types::SEGMENT => {
-            let [index, count] = two_words(fixed(kind, value)?);
+            let [index, count] = read_u16_pair(fixed(kind, value)?);
             let segment = Segment::new(index, count);
             header.segment = Some(segment.ok_or_else(|| refuse("index or count out of range"))?);
         }
         tlv_types::BINDING => header.binding = Some(read_binding(fixed(kind, value)?)),
-        // Section 2.2.7: receivers ignore types that they do not know.
+        // Section 2.2.7: receivers ignore TLVs of unknown types.
         _ => {}
     }
 
     Ok(())
 }
 
+/// Returns the value of a TLV as an array, or an error if its length is not `N`.
 fn fixed<const N: usize>(kind: u8, value: &[u8]) -> Result<[u8; N], WireError> {
     value.try_into().map_err(|_| WireError::tlv(kind, "wrong length"))
 }
 
-fn two_words(bytes: [u8; 4]) -> [u16; 2] {
+fn read_u16_pair(bytes: [u8; 4]) -> [u16; 2] {
     [u16::from_be_bytes([bytes[0], bytes[1]]), u16::from_be_bytes([bytes[2], bytes[3]])]
 }
 
