--- a/crates/valvestage-balancer/src/commands.rs
+++ b/crates/valvestage-balancer/src/commands.rs
@@ -1,4 +1,4 @@
-//! What control tells the decide thread, and asks of it.
+//! Commands and queries that the control thread sends to the decide thread.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,91 +13,91 @@
 use valvestage_policy::operations::{DecisionRecord, Subject};
 use valvestage_policy::requests::{HandedClaim, ServiceLoad};
 
-/// `Payload` is the opaque part of a datagram.
+/// Payload of a datagram, which the balancer forwards without interpreting it.
 pub type Payload = Vec<u8>;
 
-/// `DataSnapshot` is the state of the data path at one moment.
+/// Point-in-time snapshot of the data path.
 #[derive(Debug, Clone, Default)]
 pub struct DataSnapshot {
-    /// Configuration version in force.
+    /// Version of the installed configuration.
     pub configuration: u64,
-    /// Flows in the table.
+    /// Number of flows in the flow table.
     pub flows: u64,
-    /// Memory of the table, bytes.
+    /// Memory allocated by the flow table, in bytes.
     pub flow_table_bytes: u64,
-    /// Flows by backend server.
+    /// Number of flows in the table, by backend server.
     pub flows_by_backend: BTreeMap<BackendId, u64>,
-    /// Load by service, as counted here.
+    /// Load of each service, as counted by this balancer.
     pub loads: BTreeMap<ServiceId, ServiceLoad>,
-    /// Requests without a final answer.
+    /// Number of requests without a final answer.
     pub open_work: usize,
 }
 
-/// `FlowBindings` is what is needed to find the bindings to copy.
+/// Inputs for finding the bindings that have to be copied to other balancers.
 #[derive(Debug)]
 pub struct FlowBindings {
-    /// All bindings of the table.
+    /// All bindings in the flow table.
     pub bindings: Vec<Binding>,
-    /// The configuration versions known.
+    /// The known configuration versions.
     pub history: ConfigurationHistory,
     /// The live balancers.
     pub view: LiveView,
 }
 
-/// `Command` is one message from control to the decide thread.
+/// Message from the control thread to the decide thread.
 #[derive(Debug)]
 pub enum Command {
-    /// Put a configuration in force.
+    /// Install a configuration.
     InstallConfiguration(Arc<Configuration>),
-    /// Take the owners of services.
+    /// Install the map of service owners.
     InstallOwnerMap(Arc<OwnerMap>),
-    /// Take token keys.
+    /// Install the keys that sign and verify flow tokens.
     InstallKeys(TokenKeys),
-    /// Take the live balancers, and the data addresses of all that answer.
+    /// Install the set of live balancers and the data addresses of the reachable ones.
     InstallView {
         /// The live balancers.
         view: LiveView,
         /// Data addresses of the other balancers.
         addresses: BTreeMap<BalancerId, SocketAddr>,
     },
-    /// Take the present lease, or that there is none.
+    /// Install the current lease; `None` if this balancer holds none.
     InstallGrant(Option<LeaseGrant>),
-    /// Take bindings that another balancer copied.
+    /// Add bindings that another balancer has copied to this one.
     AddBindings(Vec<Binding>),
-    /// Give all bindings.
+    /// Return all bindings of the flow table.
     ListBindings(oneshot::Sender<FlowBindings>),
-    /// Hold a service's new work back and give its claims.
+    /// Hold back new work of a service and return its claims, so that they can be handed over.
     StartHandover {
-        /// The service.
+        /// The service to hand over.
         service: ServiceId,
-        /// Where the claims go.
+        /// Receives the claims.
         reply: oneshot::Sender<Vec<HandedClaim<Payload>>>,
     },
-    /// Go on after a handover.
+    /// Release the work held back, after a handover has succeeded or failed.
     SettleHandover {
-        /// The service.
+        /// The service that was offered.
         service: ServiceId,
-        /// Whether the next owner has it.
+        /// Whether the service has moved to the next owner.
         moved: bool,
     },
-    /// Take claims that the present owner hands over.
+    /// Store claims that the current owner of a service hands over to this balancer.
     OfferHandover {
-        /// The service.
+        /// The service that is handed over.
         service: ServiceId,
-        /// Names the handover.
+        /// Identifier of the handover.
         handover: u64,
-        /// The claims.
+        /// The claims of the service.
         claims: Vec<HandedClaim<Payload>>,
     },
-    /// Give the present state.
+    /// Return a snapshot of the data path.
     TakeSnapshot(oneshot::Sender<DataSnapshot>),
-    /// End the decide thread.
+    /// Stop the decide thread.
     Stop,
-    /// Give the decisions about a subject.
+    /// Return the recorded decisions about a subject.
     ListDecisions {
-        /// The subject.
+        /// The subject of the decisions.
         subject: Subject,
-        /// Where they go.
+        /// Receives the decisions.
         reply: oneshot::Sender<Vec<DecisionRecord>>,
     },
 }
--- a/crates/valvestage-balancer/src/control.rs
+++ b/crates/valvestage-balancer/src/control.rs
@@ -1,14 +1,15 @@
-//! The control thread: an actix system with one task for each duty.
+//! The control thread: an actix system that runs one task for each responsibility.
 //!
-//! | module | duty |
+//! | module | responsibility |
 //! |---|---|
-//! | [`control_state`] | what the tasks share |
-//! | `step_task` | carrying out what the control policy says |
-//! | `watch_task` | reading the platform, on the balancers chosen for it |
-//! | `bindings_task` | copying flows that do not follow from the configuration |
-//! | `peer_server` | answering peers |
+//! | [`control_state`] | state shared by the tasks |
+//! | `step_task` | executing the actions of the control policy |
+//! | `watch_task` | watching the platform, on the balancers selected for it |
+//! | `bindings_task` | copying bindings that do not follow from the configuration |
+//! | `peer_server` | answering calls of peers |
 //! | `peer_clients` | connections to peers |
-//! | `admin_server` | metrics, health, status, decisions |
+//! | `platform_driver` | platform calls, with metrics and logs |
+//! | `admin_server` | metrics, health, status and decisions over HTTP |
 //! | `stop_task` | the planned stop |
 
 mod admin_server;
--- a/crates/valvestage-balancer/src/control/admin_server.rs
+++ b/crates/valvestage-balancer/src/control/admin_server.rs
@@ -1,4 +1,4 @@
-//! Metrics, health, status and decisions over HTTP.
+//! The admin server: metrics, health, status and decisions over HTTP.
 
 use std::sync::Arc;
 use std::time::SystemTime;
@@ -26,7 +26,7 @@
     token: String,
 }
 
-/// Listens on the admin address, and answers in the background.
+/// Listens on the admin address and answers requests in the background.
 pub(super) fn start(state: Arc<ControlState>, token: String) -> Result<(), BalancerError> {
     let address = state.settings.admin_address;
     let admin = Data::new(Admin { state, token });
@@ -43,7 +43,7 @@
     .workers(1)
     .disable_signals()
     .bind(address)
-    .map_err(BalancerError::socket("listen for admin on", address))?;
+    .map_err(BalancerError::socket("listen for admin requests on", address))?;
 
     actix_rt::spawn(server.run());
     Ok(())
@@ -83,7 +83,7 @@
 
 #[derive(Deserialize)]
 struct DecisionsQuery {
-    /// A [`Subject`] as JSON.
+    /// The [`Subject`] to list decisions about, as JSON.
     subject: String,
 }
 
--- a/crates/valvestage-balancer/src/control/bindings_task.rs
+++ b/crates/valvestage-balancer/src/control/bindings_task.rs
@@ -1,4 +1,4 @@
-//! Copying flows that do not follow from the configuration.
+//! Copies bindings that do not follow from the configuration to other balancers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,13 +14,14 @@
 use super::peer_clients::{PeerClients, call_context};
 use crate::commands::Command;
 
-/// Bindings in one message, about 1.3 KB.
+/// Largest number of bindings in one message; such a message has about 1.3 KB.
 const BINDINGS_PER_MESSAGE: usize = 100;
 
-/// Pause between two messages: with the one above, the byte budget of the copies.
+/// Pause between two messages. Together with [`BINDINGS_PER_MESSAGE`] it limits the bandwidth of
+/// the copies.
 const MESSAGE_PAUSE: Duration = Duration::from_millis(800);
 
-/// Changes that come together are handled together.
+/// Time to wait after a change, so that changes in quick succession are handled together.
 const GATHER: Duration = Duration::from_millis(150);
 
 pub(super) async fn run(state: Arc<ControlState>, peers: PeerClients) {
@@ -32,7 +33,9 @@
     }
 }
 
-/// Copies every binding that the configuration does not give; a change meanwhile starts anew.
+/// Copies each binding that the configuration would not place the same way to the balancers that
+/// may need it. The configuration and the live balancers are read once at the start; a change
+/// during the copy makes the task run again afterwards.
 pub(super) async fn copy_exceptions(state: &Arc<ControlState>, peers: &PeerClients) {
     let Some(flows) = state.ask(Command::ListBindings).await else {
         return;
@@ -42,7 +45,7 @@
         return;
     };
 
-    // Millions of hashes: not on the thread that sends heartbeats.
+    // This may compute millions of hashes, which would delay heartbeats on the control thread.
     let finding = tokio::task::spawn_blocking(move || finder.copies(&flows.bindings));
     let Ok(copies) = finding.await else {
         return;
--- a/crates/valvestage-balancer/src/control/control_state.rs
+++ b/crates/valvestage-balancer/src/control/control_state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the control thread share.
+//! State shared by the tasks of the control thread.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::SystemTime;
@@ -17,23 +17,23 @@
 use crate::commands::{Command, DataSnapshot};
 use crate::metrics::BalancerMetrics;
 
-/// `ControlState` is shared by all control tasks, and by the admin server's thread.
+/// State shared by all control tasks and the thread of the admin server.
 pub struct ControlState {
-    /// The settings.
+    /// The settings with which the process was started.
     pub settings: BalancerSettings,
-    /// Shared with the data path.
+    /// The metrics, shared with the data path.
     pub metrics: Arc<BalancerMetrics>,
-    /// Asks for a step now.
+    /// Wakes the step task before its interval ends.
     pub step_now: Notify,
-    /// Tells that the configuration or the view changed.
+    /// Notified when the configuration or the set of live balancers has changed.
     pub placement_changed: Notify,
     commands: Sender<Command>,
-    /// Never held across an await.
+    /// The lock is never held across an await point.
     policy: Mutex<ControlPolicy>,
 }
 
 impl ControlState {
-    /// `new` starts with the peers from the settings.
+    /// Creates the state, with the peers of the settings as the first known balancers.
     #[must_use]
     pub fn new(
         settings: BalancerSettings,
@@ -66,12 +66,13 @@
         self.policy.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// `read` looks at the control policy.
+    /// Calls a closure with the locked control policy and returns its result.
     pub fn read<T>(&self, look: impl FnOnce(&ControlPolicy) -> T) -> T {
         look(&self.lock())
     }
 
-    /// `step` lets the control policy do what is due, and gives what the driver has to do for it.
+    /// Runs the actions of the control policy that are due, and returns those that the step task
+    /// has to execute.
     pub fn step(&self, now: SystemTime) -> Vec<ControlAction> {
         let mut actions = Vec::new();
         let mut policy = self.lock();
@@ -80,7 +81,7 @@
         self.install_all(actions)
     }
 
-    /// `change` lets the control policy take something in.
+    /// Applies an update to the control policy and installs what follows from it.
     pub fn change<T>(
         &self,
         change: impl FnOnce(&mut ControlPolicy, &mut Vec<ControlAction>) -> T,
@@ -89,14 +90,14 @@
         let mut policy = self.lock();
         let result = change(&mut policy, &mut actions);
 
-        // Only a step asks for more than installations.
+        // Only a step returns actions other than installations.
         let others = self.install_all(actions);
         debug_assert!(others.is_empty());
         result
     }
 
-    /// Puts in force what is to be, and gives the rest. The caller holds the lock, so that the
-    /// decide thread sees installations in their order.
+    /// Sends the installations to the decide thread and returns the other actions. The caller
+    /// holds the lock, so that the decide thread receives the installations in order.
     fn install_all(&self, actions: Vec<ControlAction>) -> Vec<ControlAction> {
         let mut others = Vec::new();
 
@@ -113,22 +114,22 @@
         match installation {
             Installation::Configuration(configuration) => {
                 let version = configuration.version;
-                log::info!(version; "a configuration is in force");
+                log::info!(version; "configuration installed");
                 self.metrics.configuration_version.set(version);
                 self.tell(Command::InstallConfiguration(configuration));
                 self.placement_changed.notify_one();
             }
             Installation::OwnerMap(map) => {
-                log::info!(version = map.version; "the owners of services changed");
+                log::info!(version = map.version; "owner map installed");
                 self.tell(Command::InstallOwnerMap(map));
             }
             Installation::Keys(keys) => {
-                log::info!(version = keys.version; "token keys are in force");
+                log::info!(version = keys.version; "token keys installed");
                 self.tell(Command::InstallKeys(keys));
             }
             Installation::View { view, addresses } => {
                 let live = view.members().count() as u64;
-                log::info!(live; "the set of live balancers changed");
+                log::info!(live; "set of live balancers changed");
                 self.metrics.live_balancers.set(live);
                 self.tell(Command::InstallView { view, addresses });
                 self.placement_changed.notify_one();
@@ -138,23 +139,25 @@
         self.step_now.notify_one();
     }
 
-    /// `on_object` takes an object in from the platform or a peer.
+    /// Hands an object from the platform or a peer to the control policy. An object that cannot be
+    /// used is logged and ignored.
     pub fn on_object(&self, key: ObjectKey, version: ObjectVersion, value: ObjectValue) {
         self.change(|policy, out| {
             if let Err(error) = policy.on_object(key, version, value, out) {
-                log::error!(object = key.path().as_str(), version; "not put in force: {error}");
+                log::error!(object = key.path().as_str(), version; "object not installed: {error}");
             }
         });
     }
 
-    /// `tell` sends a command to the decide thread, which never waits for control.
+    /// Sends a command to the decide thread. Blocks while the command queue is full; the decide
+    /// thread itself never waits for control.
     pub fn tell(&self, command: Command) {
         if self.commands.send(command).is_err() {
-            log::debug!(step = "command"; "the decide thread has ended");
+            log::debug!(step = "command"; "command not sent: the decide thread has ended");
         }
     }
 
-    /// `ask` sends a question to the decide thread and waits for the answer; none if it has ended.
+    /// Sends a query to the decide thread and waits for the answer; `None` if the thread has ended.
     pub async fn ask<T>(&self, question: impl FnOnce(oneshot::Sender<T>) -> Command) -> Option<T> {
         let (reply, answer) = oneshot::channel();
 
@@ -162,24 +165,24 @@
         answer.await.ok()
     }
 
-    /// `snapshot` asks the decide thread for its state.
+    /// Returns a snapshot of the data path; an empty one if the decide thread has ended.
     pub async fn snapshot(&self) -> DataSnapshot {
         self.ask(Command::TakeSnapshot).await.unwrap_or_default()
     }
 
-    /// `leave` begins the planned stop: this balancer takes no new work.
+    /// Begins the planned stop: from now on this balancer takes no new work.
     pub fn leave(&self) {
         self.lock().leave();
 
         self.step_now.notify_one();
     }
 
-    /// `is_ready` tells whether this balancer takes work: it has joined and is not stopping.
+    /// Reports whether this balancer takes work: it has joined and is not stopping.
     pub fn is_ready(&self) -> bool {
         self.lock().is_serving()
     }
 
-    /// `known_peers` lists the other balancers, with whether each is alive.
+    /// Returns the other known balancers and whether each of them is alive.
     pub fn known_peers(&self) -> Vec<(PeerRecord, bool)> {
         let now = SystemTime::now();
 
@@ -188,7 +191,7 @@
         })
     }
 
-    /// `find_peer` gives the record of another balancer.
+    /// Returns the record of another balancer; `None` if it is not known.
     pub fn find_peer(&self, id: BalancerId) -> Option<PeerRecord> {
         self.known_peers().into_iter().map(|(record, _)| record).find(|record| record.id == id)
     }
--- a/crates/valvestage-balancer/src/control/control_system.rs
+++ b/crates/valvestage-balancer/src/control/control_system.rs
@@ -1,4 +1,4 @@
-//! Starting the tasks of the control thread.
+//! Starts the tasks of the control thread.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -14,24 +14,24 @@
 use super::{admin_server, bindings_task, peer_server, step_task, stop_task, watch_task};
 use crate::errors::BalancerError;
 
-/// Longest wait for an answer of the platform.
+/// Time limit of one platform call.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// `ControlInputs` is what the control thread needs besides its state.
+/// Inputs of the control thread.
 pub struct ControlInputs {
-    /// Shared with the admin server.
+    /// State shared by the control tasks and the admin server.
     pub state: Arc<ControlState>,
-    /// Peers prove it to each other.
+    /// Key with which balancers authenticate to each other.
     pub peer_key: PeerKey,
-    /// For the platform.
+    /// Bearer token for the platform; `None` if the settings name no token file.
     pub platform_token: Option<String>,
-    /// For `/status` and `/decisions`.
+    /// Bearer token that `/status` and `/decisions` require.
     pub admin_token: String,
-    /// Set by SIGTERM and SIGINT.
+    /// Flag that SIGTERM and SIGINT set to request the planned stop.
     pub stop_asked: Arc<AtomicBool>,
 }
 
-/// `run` runs the control thread until the planned stop has ended.
+/// Runs the control tasks on the calling thread until the planned stop has ended.
 pub fn run(inputs: ControlInputs) -> Result<(), BalancerError> {
     System::new().block_on(serve(inputs))
 }
@@ -46,7 +46,7 @@
     });
     let platform = PlatformDriver::new(client, state.clone());
 
-    // Listeners first: an address that is taken ends the process at once.
+    // Bind the listeners first, so that an address in use ends the process at once.
     peer_server::start(state.clone(), inputs.peer_key, peers.byte_count()).await?;
     admin_server::start(state.clone(), inputs.admin_token)?;
 
--- a/crates/valvestage-balancer/src/control/peer_clients.rs
+++ b/crates/valvestage-balancer/src/control/peer_clients.rs
@@ -11,10 +11,10 @@
 use valvestage_wire::WireError;
 use valvestage_wire::peers::{ByteCount, PeerKey, PeerServiceClient, connect};
 
-/// Longest time for opening a connection, and for one call.
+/// Time limit for opening a connection, and for one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// `PeerClients` keeps one connection to each peer, opened when needed.
+/// Connections to peers: one for each peer, opened on first use.
 #[derive(Clone)]
 pub(super) struct PeerClients {
     key: PeerKey,
@@ -27,12 +27,12 @@
         Self { key, count: ByteCount::default(), clients: Rc::default() }
     }
 
-    /// The bytes of all connections with peers, those that peers opened included.
+    /// Returns the byte counters of all connections with peers, including those opened by peers.
     pub(super) fn byte_count(&self) -> ByteCount {
         self.count.clone()
     }
 
-    /// Gives the connection to a peer, a new one if there is none.
+    /// Returns the connection to a peer, and opens one if there is none.
     pub(super) async fn get(&self, peer: SocketAddr) -> Result<PeerServiceClient, WireError> {
         if let Some(client) = self.clients.borrow().get(&peer) {
             return Ok(client.clone());
@@ -47,7 +47,7 @@
         Ok(client)
     }
 
-    /// Notes the result of a call: a failed connection is not used again.
+    /// Returns the result of a call, and drops the connection if the call has failed.
     pub(super) fn check<T>(
         &self,
         peer: SocketAddr,
@@ -61,7 +61,7 @@
     }
 }
 
-/// The context of a call that ends in time.
+/// Returns the context of a call, with [`CALL_TIMEOUT`] as its time limit.
 pub(super) fn call_context() -> Context {
     let mut context = Context::current();
 
--- a/crates/valvestage-balancer/src/control/peer_server.rs
+++ b/crates/valvestage-balancer/src/control/peer_server.rs
@@ -1,4 +1,4 @@
-//! Answering peers.
+//! Answers calls of peers.
 
 use std::sync::Arc;
 use std::time::SystemTime;
@@ -19,7 +19,7 @@
 use crate::commands::{Command, Payload};
 use crate::errors::BalancerError;
 
-/// Listens on the peer address, and answers in the background.
+/// Listens on the peer address and answers calls in the background.
 pub(super) async fn start(
     state: Arc<ControlState>,
     key: PeerKey,
@@ -59,7 +59,7 @@
         }
     };
 
-    // A frame with a wrong MAC ends the connection before anything of it is looked at.
+    // A frame with a wrong MAC closes the connection before the frame is decoded.
     BaseChannel::with_defaults(transport)
         .execute(PeerAnswers { state }.serve())
         .for_each(|answering| async {
@@ -78,7 +78,7 @@
         let now = SystemTime::now();
         let answer = self.state.change(|policy, _| policy.on_heartbeat(now, message));
 
-        // News travel on at once: the next step fetches them.
+        // Run a step at once: it fetches the object versions that the heartbeat has announced.
         self.state.step_now.notify_one();
         answer
     }
@@ -100,7 +100,7 @@
         handover: u64,
         claims: Vec<HandedClaim<Payload>>,
     ) -> bool {
-        // Without a lease this balancer could not own the service.
+        // A balancer without a lease cannot own a service.
         let takes = self.state.is_ready() && self.state.read(|policy| policy.grant().is_some());
 
         if takes {
--- a/crates/valvestage-balancer/src/control/platform_driver.rs
+++ b/crates/valvestage-balancer/src/control/platform_driver.rs
@@ -1,4 +1,4 @@
-//! Carrying platform calls out, with metrics and logs.
+//! Executes platform calls and records them in metrics and logs.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
@@ -11,7 +11,7 @@
 use super::control_state::ControlState;
 use crate::metrics::{PlatformLabel, PlatformResult};
 
-/// `PlatformDriver` is shared by the control tasks.
+/// Executor of platform calls, shared by the control tasks.
 #[derive(Clone)]
 pub(super) struct PlatformDriver {
     client: PlatformClient,
@@ -23,7 +23,7 @@
         Self { client, state }
     }
 
-    /// Carries a call out; no usable answer is a reply, too.
+    /// Executes a call. If no usable answer arrives, the reply is [`PlatformReply::Unknown`].
     pub(super) async fn execute(&self, call: PlatformCall) -> PlatformReply {
         let name = match call {
             PlatformCall::Read { .. } => "read",
@@ -43,7 +43,7 @@
         reply
     }
 
-    /// Waits for changes.
+    /// Waits until objects have changed since version `after`, at most for the time `wait`.
     pub(super) async fn watch(
         &self,
         after: Option<ObjectVersion>,
--- a/crates/valvestage-balancer/src/control/step_task.rs
+++ b/crates/valvestage-balancer/src/control/step_task.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the control policy says: heartbeats, fetches, platform calls.
+//! Executes the actions of the control policy: heartbeats, fetches and platform calls.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
@@ -14,10 +14,10 @@
 use super::platform_driver::PlatformDriver;
 use crate::metrics::DirectionLabel;
 
-/// Pause between two steps.
+/// Interval between two steps.
 const PAUSE: Duration = Duration::from_millis(50);
 
-/// Steps at the pause, and at once when something is new.
+/// Runs the control policy at a fixed interval, and at once after each change.
 pub(super) async fn run(state: Arc<ControlState>, peers: PeerClients, platform: PlatformDriver) {
     loop {
         for action in state.step(SystemTime::now()) {
@@ -53,7 +53,7 @@
             Ok(None) => {}
             Err(error) => log::debug!("{error}"),
         },
-        // Put in force by the control state.
+        // The control state has already installed it.
         ControlAction::Install(_) => {}
     }
 }
@@ -68,7 +68,7 @@
 
     let taken = state.change(|policy, out| policy.on_reply(SystemTime::now(), machine, reply, out));
     if let Err(error) = taken {
-        log::error!("not put in force: {error}");
+        log::error!("object from the platform not installed: {error}");
     }
     state.step_now.notify_one();
 }
--- a/crates/valvestage-balancer/src/control/stop_task.rs
+++ b/crates/valvestage-balancer/src/control/stop_task.rs
@@ -1,4 +1,5 @@
-//! The planned stop: no request cut, no claim lost, no flow forgotten.
+//! The planned stop: lets open requests finish, hands claims to the next owners and copies the
+//! bindings of flows to other balancers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,26 +16,27 @@
 use super::platform_driver::PlatformDriver;
 use crate::commands::Command;
 
-/// Pause between two looks at something that is awaited.
+/// Interval at which an awaited condition is checked.
 const PAUSE: Duration = Duration::from_millis(20);
 
-/// Waits until a signal asks for the stop.
+/// Waits until a signal requests the stop.
 pub(super) async fn wait_for_stop(stop_asked: &AtomicBool) {
     while !stop_asked.load(Ordering::Relaxed) {
         sleep(PAUSE).await;
     }
 }
 
-/// Stops within the time that the settings allow.
+/// Performs the planned stop, within the time that the settings allow.
 pub(super) async fn stop(
     state: &Arc<ControlState>,
     peers: &PeerClients,
     platform: &PlatformDriver,
 ) {
     let deadline = SystemTime::now() + state.settings.stop_within;
-    log::info!("stopping: no new work, services are handed over");
+    log::info!("stopping: taking no new work, handing services over");
 
-    // The fabric sees that this balancer is not ready, the peers that it leaves.
+    // From now on `/readyz` reports not ready to the fabric, and heartbeats report to the peers
+    // that this balancer is leaving.
     state.leave();
     let announced = SystemTime::now();
 
@@ -42,7 +44,7 @@
     state.change(|policy, _| policy.give_lease_back());
     copy_exceptions(state, peers).await;
 
-    // Until every peer and the fabric have noticed, packets still come and are relayed.
+    // Packets arrive, and are relayed, until the fabric and every peer have noticed the stop.
     let noticed = announced + state.settings.dead_after;
     loop {
         let open_work = state.snapshot().await.open_work;
@@ -85,7 +87,7 @@
                     state.change(|policy, out| policy.on_owner_map(map, out));
                 }
                 state.tell(Command::SettleHandover { service, moved });
-                log::info!(service, moved; "handover of a service");
+                log::info!(service, moved; "service handover finished");
             }
             None => sleep(PAUSE).await,
         }
--- a/crates/valvestage-balancer/src/control/watch_task.rs
+++ b/crates/valvestage-balancer/src/control/watch_task.rs
@@ -1,4 +1,4 @@
-//! Watching the platform, on the balancers chosen for it.
+//! Watches the platform for changed objects, on the balancers selected for it.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
@@ -9,10 +9,10 @@
 use super::control_state::ControlState;
 use super::platform_driver::PlatformDriver;
 
-/// Longest wait of one watch.
+/// Longest time for which the platform holds one watch call open.
 const WATCH_WAIT: Duration = Duration::from_secs(2);
 
-/// Pause after a failed watch, and of those that do not watch.
+/// Pause after a failed watch, and between two checks whether this balancer has to watch.
 const PAUSE: Duration = Duration::from_millis(300);
 
 pub(super) async fn run(state: Arc<ControlState>, platform: PlatformDriver) {
@@ -26,7 +26,7 @@
 
         match platform.watch(after, WATCH_WAIT).await {
             Ok(result) => {
-                // A platform whose watch lags may answer with less than before.
+                // The watch may lag behind, and then returns a lower revision than before.
                 after = after.max(Some(result.revision));
                 take_in(&state, result);
             }
--- a/crates/valvestage-balancer/src/data_path.rs
+++ b/crates/valvestage-balancer/src/data_path.rs
@@ -1,7 +1,7 @@
-//! Datagrams in, datagrams out.
+//! Handling of datagrams: turns each received datagram into the datagrams to send.
 //!
-//! Nothing here opens a socket or reads a clock: the decide thread, tests and benches call it
-//! with the time and the datagrams.
+//! This module opens no socket and reads no clock: the decide thread, tests and benchmarks pass in
+//! the time and the datagrams.
 
 mod backend_packets;
 mod caller_packets;
--- a/crates/valvestage-balancer/src/data_path/backend_packets.rs
+++ b/crates/valvestage-balancer/src/data_path/backend_packets.rs
@@ -1,4 +1,4 @@
-//! Packets from backend servers.
+//! Handling of packets from backend servers.
 
 use std::time::{Duration, SystemTime};
 
@@ -10,7 +10,8 @@
 use super::data_handler::DataHandler;
 use super::datagrams::Outbound;
 
-/// How long a backend server that refused a flow gets no new ones.
+/// Time for which a backend server that has refused a flow at its connection limit gets no new
+/// flows.
 const FULL_PAUSE: Duration = Duration::from_secs(1);
 
 impl DataHandler {
@@ -21,7 +22,8 @@
         envelope: &Envelope<'_>,
         out: &mut Vec<Outbound>,
     ) -> Result<(), RefusalReason> {
-        // The answer names what it answers for; it has to be what the record says.
+        // The target in the header has to match the record of the source address, so that a backend
+        // server cannot answer for another one.
         if envelope.header.target != Some(sender) {
             return Err(RefusalReason::WrongService);
         }
@@ -52,7 +54,7 @@
         let key = keys.hasher().key(envelope.caller, sender.service);
         let mut header = Header::new(kind);
 
-        // The answer to the opening packet carries the token.
+        // The answer to the opening packet carries the flow's token.
         if kind == PacketKind::Open {
             let history = self.policy.director().history();
             let backend = history.find(sender.service, sender.backend);
@@ -64,7 +66,8 @@
         Ok(())
     }
 
-    /// A refused opening packet comes back with its payload and is placed elsewhere.
+    /// Handles the refusal of a flow. A backend server at its connection limit returns the opening
+    /// packet with its payload, and the flow is placed on another backend server.
     fn on_flow_refused(
         &mut self,
         now: SystemTime,
--- a/crates/valvestage-balancer/src/data_path/caller_packets.rs
+++ b/crates/valvestage-balancer/src/data_path/caller_packets.rs
@@ -1,4 +1,4 @@
-//! Packets from callers, by the fabric or by another balancer.
+//! Handling of caller packets, which arrive from the fabric or are relayed by another balancer.
 
 use std::time::{Duration, SystemTime};
 
@@ -11,7 +11,7 @@
 use super::data_handler::DataHandler;
 use super::datagrams::Outbound;
 
-/// When the caller of a refused flow may open it again.
+/// Time after which the caller of a refused flow may open it again.
 const FLOW_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 impl DataHandler {
@@ -21,7 +21,7 @@
         envelope: &Envelope<'_>,
         out: &mut Vec<Outbound>,
     ) -> Result<(), RefusalReason> {
-        // What only balancers and backend servers may say is not taken from callers.
+        // Only balancers and backend servers may set these fields.
         let header = &envelope.header;
         if header.hop.is_some() || header.target.is_some() || header.binding.is_some() {
             return Err(RefusalReason::Malformed);
@@ -127,7 +127,8 @@
         self.push(record.address, &Envelope { header, ..*envelope }, out);
     }
 
-    /// The balancer that is home now learns the binding that the former one knows.
+    /// Sends a binding that this balancer has as the former home of a flow to the flow's current
+    /// home.
     fn push_binding(&self, envelope: &Envelope<'_>, binding: Binding, out: &mut Vec<Outbound>) {
         let home = self.policy.director().view().home(binding.key);
         let Some(address) = home.and_then(|home| self.peer_addresses.get(&home)) else {
--- a/crates/valvestage-balancer/src/data_path/data_handler.rs
+++ b/crates/valvestage-balancer/src/data_path/data_handler.rs
@@ -1,4 +1,4 @@
-//! The entry point for datagrams, time and commands.
+//! The entry point of the data path for datagrams, commands and timer ticks.
 
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
@@ -18,22 +18,23 @@
 use crate::commands::{Command, DataSnapshot, FlowBindings, Payload};
 use crate::metrics::BalancerMetrics;
 
-/// Flows without a packet for this long are forgotten: longer than the hour that feeds last.
+/// Time without a packet after which a flow is removed from the flow table. It exceeds one hour,
+/// the lifetime of a feed.
 const IDLE_FLOW_LIMIT: Duration = Duration::from_secs(2 * 3_600);
 
-/// Pause between two looks for idle flows.
+/// Interval at which the flow table is searched for idle flows.
 const IDLE_CHECK_PAUSE: Duration = Duration::from_secs(60);
 
-/// `DataOptions` says who this balancer is and whom it trusts.
+/// Options of the data path.
 #[derive(Debug, Clone)]
 pub struct DataOptions {
-    /// Options of the policy.
+    /// Identity of this balancer, and options of its policy.
     pub policy: BalancerOptions,
-    /// Sources from which caller packets are taken; not empty.
+    /// Addresses of the fabric, from which caller packets are accepted; not empty.
     pub fabrics: Vec<SocketAddr>,
 }
 
-/// `DataHandler` turns each datagram into the datagrams that follow from it.
+/// Handler that turns each received datagram into the datagrams that follow from it.
 #[derive(Debug)]
 pub struct DataHandler {
     pub(super) policy: BalancerPolicy<Payload>,
@@ -41,15 +42,15 @@
     pub(super) fabrics: Vec<SocketAddr>,
     /// Data addresses of the other balancers.
     pub(super) peer_addresses: BTreeMap<BalancerId, SocketAddr>,
-    /// The same addresses, as sources.
+    /// The same addresses as a set, for the check of a datagram's source.
     peer_sources: HashSet<SocketAddr>,
     next_idle_check: SystemTime,
-    /// Kept between calls for its memory; empty between calls.
+    /// Buffer that is reused to avoid allocations; empty between calls.
     actions: Vec<RequestAction<Payload>>,
 }
 
 impl DataHandler {
-    /// `new` starts a handler without a configuration.
+    /// Creates a handler without a configuration.
     #[must_use]
     pub fn new(options: DataOptions, metrics: Arc<BalancerMetrics>, now: SystemTime) -> Self {
         Self {
@@ -63,7 +64,7 @@
         }
     }
 
-    /// `on_datagram` handles one datagram; bad ones are counted by reason and dropped.
+    /// Handles one datagram. An invalid one is counted by reason and dropped.
     pub fn on_datagram(
         &mut self,
         now: SystemTime,
@@ -83,7 +84,7 @@
         datagram: &[u8],
         out: &mut Vec<Outbound>,
     ) -> Result<(), RefusalReason> {
-        // The source decides what a packet may say, so it comes first.
+        // The source determines what a packet may contain, so it is checked first.
         let origin = self.origin(source).ok_or(RefusalReason::UnauthorisedSource)?;
         if datagram.len() > MAX_DATAGRAM {
             return Err(RefusalReason::Oversized);
@@ -117,7 +118,7 @@
         self.peer_sources.contains(&source).then_some(Origin::Peer)
     }
 
-    /// `tick` looks after everything whose time has come.
+    /// Handles expired deadlines, and from time to time removes idle flows.
     pub fn tick(&mut self, now: SystemTime, out: &mut Vec<Outbound>) {
         self.act(out, |policy, actions| policy.tick(now, actions));
 
@@ -129,7 +130,7 @@
         }
     }
 
-    /// `on_command` carries out a command of control.
+    /// Executes a command of the control thread.
     pub fn on_command(&mut self, now: SystemTime, command: Command, out: &mut Vec<Outbound>) {
         match command {
             Command::InstallConfiguration(configuration) => {
@@ -164,7 +165,8 @@
         }
     }
 
-    /// A reply that nobody waits for any more is dropped.
+    /// Answers a query of the control thread. The answer is dropped if the asking task no longer
+    /// waits for it.
     fn answer(&mut self, now: SystemTime, question: Command) {
         match question {
             Command::StartHandover { service, reply } => {
@@ -188,7 +190,7 @@
         }
     }
 
-    /// Lets the policy decide, and carries out what it decided.
+    /// Calls the policy and executes the actions that it returns.
     pub(super) fn act<T>(
         &mut self,
         out: &mut Vec<Outbound>,
@@ -219,13 +221,13 @@
         }
     }
 
-    /// `policy` gives the policy, for tests and benches.
+    /// Returns the policy, for tests and benchmarks.
     #[must_use]
     pub fn policy(&self) -> &BalancerPolicy<Payload> {
         &self.policy
     }
 
-    /// Adds a datagram; one that cannot be encoded is counted and dropped.
+    /// Adds a datagram to the output. One that cannot be encoded is counted and dropped.
     pub(super) fn push(&self, to: SocketAddr, envelope: &Envelope<'_>, out: &mut Vec<Outbound>) {
         match encode(envelope) {
             Ok(bytes) => out.push(Outbound { to, bytes }),
@@ -233,7 +235,8 @@
         }
     }
 
-    /// Adds a datagram for a caller; each caller stays with one address of the fabric.
+    /// Adds a datagram for a caller to the output. All datagrams of a caller go to the same address
+    /// of the fabric.
     pub(super) fn push_to_caller(&self, envelope: &Envelope<'_>, out: &mut Vec<Outbound>) {
         let place = usize::from(envelope.caller.port()) % self.fabrics.len();
 
--- a/crates/valvestage-balancer/src/data_path/datagrams.rs
+++ b/crates/valvestage-balancer/src/data_path/datagrams.rs
@@ -1,21 +1,21 @@
-//! Datagrams as the threads hand them on.
+//! Datagrams as they pass between the threads.
 
 use std::net::SocketAddr;
 
-/// `Inbound` is a datagram as received.
+/// Received datagram.
 #[derive(Debug, Clone)]
 pub struct Inbound {
-    /// Where it came from.
+    /// Source address.
     pub source: SocketAddr,
-    /// The whole datagram.
+    /// Encoded content of the datagram.
     pub bytes: Vec<u8>,
-}
+    }
 
-/// `Outbound` is a datagram to send.
+    /// Datagram to be sent.
 #[derive(Debug, Clone)]
 pub struct Outbound {
-    /// Where it goes.
+    /// Destination address.
     pub to: SocketAddr,
-    /// The whole datagram.
+    /// Encoded content of the datagram.
     pub bytes: Vec<u8>,
 }
--- a/crates/valvestage-balancer/src/data_path/origin.rs
+++ b/crates/valvestage-balancer/src/data_path/origin.rs
@@ -1,14 +1,14 @@
-//! Who sent a datagram.
+//! Classification of datagrams by their sender.
 
 use valvestage_wire::Target;
 
-/// `Origin` is the sender of a datagram, told by its source address.
+/// Kind of sender of a datagram, determined by the source address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
-    /// The fabric, for a caller.
+    /// The fabric, which forwards packets of callers.
     Fabric,
     /// Another balancer.
     Peer,
-    /// A backend server.
+    /// A backend server of the installed configuration.
     Backend(Target),
 }
--- a/crates/valvestage-balancer/src/data_path/request_actions.rs
+++ b/crates/valvestage-balancer/src/data_path/request_actions.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the request policy decides.
+//! Executes the actions that the request policy returns.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
 use crate::commands::Payload;
 
 impl DataHandler {
-    /// Turns actions into datagrams, and empties the list.
+    /// Turns all actions into datagrams, and leaves the list of actions empty.
     pub(super) fn perform(
         &self,
         actions: &mut Vec<RequestAction<Payload>>,
--- a/crates/valvestage-balancer/src/errors.rs
+++ b/crates/valvestage-balancer/src/errors.rs
@@ -7,37 +7,37 @@
 use valvestage_process::ProcessError;
 use valvestage_wire::WireError;
 
-/// `BalancerError` tells why the balancer cannot start or go on.
+/// Reason why the balancer process cannot start or has to end.
 #[derive(Debug, Error)]
 pub enum BalancerError {
-    /// A socket could not be opened or used.
+    /// A socket could not be opened or configured.
     #[error("{step} {address}: {cause}")]
     Socket {
-        /// What was being done.
+        /// The failed operation, worded so that the address can follow it.
         step: &'static str,
         /// The local address.
         address: SocketAddr,
-        /// What the operating system said.
+        /// Error returned by the operating system.
         cause: io::Error,
-    },
-    /// A thread could not be started.
+        },
+        /// A thread could not be started.
     #[error("start thread {name}: {cause}")]
     Thread {
         /// Name of the thread.
         name: &'static str,
-        /// What the operating system said.
+        /// Error returned by the operating system.
         cause: io::Error,
     },
-    /// A key file cannot be used.
+    /// The peer key file cannot be read or holds no valid key.
     #[error(transparent)]
     Wire(#[from] WireError),
-    /// A token file cannot be used, or the logger cannot start.
+    /// A token file cannot be read, or the logger cannot be started.
     #[error(transparent)]
     Process(#[from] ProcessError),
 }
 
 impl BalancerError {
-    /// `socket` builds the error for a failed step with a local address.
+    /// Returns a closure that adds the operation and the local address to an I/O error.
     pub(crate) fn socket(
         step: &'static str,
         address: SocketAddr,
--- a/crates/valvestage-balancer/src/lib.rs
+++ b/crates/valvestage-balancer/src/lib.rs
@@ -1,13 +1,13 @@
-//! One balancer: the data path and the control of one entry VM.
+//! The balancer process: the data path and the control thread of one entry VM.
 //!
-//! | module | duty |
+//! | module | responsibility |
 //! |---|---|
-//! | [`data_path`] | datagrams in, datagrams out; no socket, no clock |
-//! | [`threads`] | the receive, decide and send threads, joined by bounded rings |
-//! | [`control`] | heartbeats, platform, leases, owners, admin address |
-//! | [`commands`] | what control tells the decide thread |
+//! | [`data_path`] | handling of datagrams, without access to a socket or a clock |
+//! | [`threads`] | the receive, decide and send threads, connected by bounded rings |
+//! | [`control`] | heartbeats, platform calls, leases, service owners, admin server |
+//! | [`commands`] | commands and queries from control to the decide thread |
 //! | [`metrics`] | counters and gauges |
-//! | [`process`] | the life cycle: starting, serving, stopping |
+//! | [`process`] | the life cycle of the process: starting, serving, stopped |
 //! | [`errors`] | the error type of this crate |
 
 pub mod commands;
--- a/crates/valvestage-balancer/src/main.rs
+++ b/crates/valvestage-balancer/src/main.rs
@@ -1,4 +1,4 @@
-//! `valvestage-balancer`: data path and control of one entry VM.
+//! `valvestage-balancer`: runs the data path and the control thread of one entry VM.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -13,7 +13,7 @@
 use valvestage_process::command_line::{parse, settings_are_right, usage_error};
 use valvestage_process::{exit_codes, logging};
 
-/// Name in messages.
+/// Program name in error messages.
 const PROGRAM: &str = "valvestage-balancer";
 
 /// Spreads flows and requests over backend servers.
@@ -66,7 +66,7 @@
 fn watch_signals(stop_flag: Arc<AtomicBool>) {
     for signal in [SIGTERM, SIGINT] {
         if let Err(error) = signal_hook::flag::register(signal, stop_flag.clone()) {
-            log::warn!(signal; "the signal cannot be watched: {error}");
+            log::warn!(signal; "cannot register the signal handler: {error}");
         }
     }
 }
--- a/crates/valvestage-balancer/src/metrics.rs
+++ b/crates/valvestage-balancer/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges, as `/metrics` serves them.
+//! Counters and gauges, as served by `/metrics`.
 
 mod balancer_metrics;
 mod labels;
--- a/crates/valvestage-balancer/src/metrics/balancer_metrics.rs
+++ b/crates/valvestage-balancer/src/metrics/balancer_metrics.rs
@@ -12,47 +12,47 @@
 
 use super::labels::{DirectionLabel, PlatformLabel, ReasonLabel, RetryLabel, SourceLabel};
 
-/// Prefix of all names.
+/// Prefix of all metric names.
 const PREFIX: &str = "valvestage";
 
-/// `BalancerMetrics` is shared by all threads of a balancer.
+/// Counters and gauges of one balancer, shared by all of its threads.
 #[derive(Debug, Default)]
 pub struct BalancerMetrics {
     /// Datagrams received.
     pub received: Counter,
     /// Datagrams sent.
     pub sent: Counter,
-    /// Datagrams that the operating system did not take.
+    /// Datagrams that the operating system did not accept for sending.
     pub send_failures: Counter,
-    /// Batches shed because a ring was full.
+    /// Batches dropped because a ring was full.
     pub ring_overflows: Counter,
-    /// Refusals and drops by reason.
+    /// Refusals and dropped packets, by reason.
     pub refusals: Family<ReasonLabel, Counter>,
-    /// Retries by reason.
+    /// Retries of requests, by reason.
     pub retries: Family<RetryLabel, Counter>,
-    /// Flow packets steered to a backend server, by layer.
+    /// Flow packets forwarded to a backend server, by the layer that found the backend server.
     pub flow_packets: Family<SourceLabel, Counter>,
     /// Packets and requests relayed to other balancers.
     pub relayed: Counter,
-    /// Requests answered.
+    /// Answers sent to callers; an answer of several segments counts once.
     pub answers: Counter,
-    /// First and further tries sent to backend servers.
+    /// Attempts sent to backend servers, first attempts and retries alike.
     pub dispatches: Counter,
-    /// Bytes of control traffic with peers.
+    /// Bytes of control traffic with peers, by direction.
     pub control_bytes: Family<DirectionLabel, Gauge<u64, AtomicU64>>,
-    /// Platform calls by result.
+    /// Platform calls, by kind of call and result.
     pub platform_calls: Family<PlatformLabel, Counter>,
-    /// Flows in the table.
+    /// Flows in the flow table.
     pub flows: Gauge<u64, AtomicU64>,
-    /// Memory of the table of flows, bytes.
+    /// Memory allocated by the flow table, in bytes.
     pub flow_table_bytes: Gauge<u64, AtomicU64>,
     /// Slots in use at services that this balancer owns.
     pub busy_slots: Gauge<u64, AtomicU64>,
-    /// Requests that wait at services that this balancer owns.
+    /// Requests queued at services that this balancer owns.
     pub waiting: Gauge<u64, AtomicU64>,
-    /// Configuration version in force.
+    /// Version of the installed configuration.
     pub configuration_version: Gauge<u64, AtomicU64>,
-    /// Milliseconds since the platform was last heard, directly or by a peer.
+    /// Milliseconds since the platform last answered this balancer or a peer.
     pub configuration_age_ms: Gauge<u64, AtomicU64>,
     /// Live balancers, this one included.
     pub live_balancers: Gauge<u64, AtomicU64>,
@@ -61,22 +61,22 @@
 }
 
 impl BalancerMetrics {
-    /// `refused` counts a refusal or drop.
+    /// Counts a refusal or a dropped packet.
     pub fn refused(&self, reason: RefusalReason) {
         self.refusals.get_or_create(&reason.into()).inc();
     }
 
-    /// `retried` counts a retry.
+    /// Counts a retry of a request.
     pub fn retried(&self, reason: RetryReason) {
         self.retries.get_or_create(&reason.into()).inc();
     }
 
-    /// `steered` counts a flow packet on its way to a backend server.
+    /// Counts a flow packet forwarded to a backend server.
     pub fn steered(&self, source: FlowSource) {
         self.flow_packets.get_or_create(&source.into()).inc();
     }
 
-    /// `text` gives all metrics in the OpenMetrics text format.
+    /// Returns all metrics in the OpenMetrics text format.
     #[must_use]
     pub fn text(&self) -> String {
         let mut text = String::new();
@@ -91,7 +91,7 @@
         let mut registry = Registry::with_prefix(PREFIX);
         let r = &mut registry;
 
-        // The data path.
+        // Metrics of the data path.
         r.register("received", "Datagrams received", self.received.clone());
         r.register("sent", "Datagrams sent", self.sent.clone());
         r.register(
@@ -111,7 +111,7 @@
         r.register("busy_slots", "Slots in use", self.busy_slots.clone());
         r.register("waiting", "Requests that wait", self.waiting.clone());
 
-        // Control.
+        // Metrics of the control thread.
         r.register("control_bytes", "Control traffic with peers", self.control_bytes.clone());
         r.register("platform_calls", "Platform calls", self.platform_calls.clone());
         r.register("configuration_version", "In force", self.configuration_version.clone());
--- a/crates/valvestage-balancer/src/metrics/labels.rs
+++ b/crates/valvestage-balancer/src/metrics/labels.rs
@@ -1,10 +1,10 @@
-//! Labels of the metrics.
+//! Label sets of the metrics.
 
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue, LabelValueEncoder};
 use valvestage_core::{RefusalReason, RetryReason};
 use valvestage_policy::flows::FlowSource;
 
-/// `ReasonLabel` tells refusals apart.
+/// Label of the refusal counter.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ReasonLabel {
     /// Label of a [`RefusalReason`].
@@ -17,7 +17,7 @@
     }
 }
 
-/// `RetryLabel` tells retries apart.
+/// Label of the retry counter.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RetryLabel {
     /// Label of a [`RetryReason`].
@@ -30,7 +30,7 @@
     }
 }
 
-/// `SourceLabel` tells the layers apart that found a flow's backend server.
+/// Label of the flow packet counter: the layer that found the flow's backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct SourceLabel {
     /// `token`, `table`, `placement` or `history`.
@@ -50,21 +50,21 @@
     }
 }
 
-/// `DirectionLabel` tells bytes sent from bytes received.
+/// Label of the control traffic gauge.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct DirectionLabel {
     /// `sent` or `received`.
     pub direction: &'static str,
 }
 
-/// `PlatformResult` is the result of a platform call.
+/// Result of a platform call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum PlatformResult {
-    /// It was carried out.
+    /// The platform carried out the call.
     Done,
-    /// The object had another version.
+    /// The write was rejected because the object has another version than expected.
     Conflict,
-    /// No answer came.
+    /// No usable answer arrived.
     NoAnswer,
 }
 
@@ -80,11 +80,11 @@
     }
 }
 
-/// `PlatformLabel` tells platform calls apart.
+/// Labels of the platform call counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct PlatformLabel {
     /// `read`, `write` or `watch`.
     pub call: &'static str,
-    /// How it ended.
+    /// Result of the call.
     pub result: PlatformResult,
 }
--- a/crates/valvestage-balancer/src/process.rs
+++ b/crates/valvestage-balancer/src/process.rs
@@ -1,4 +1,4 @@
-//! The life cycle of the process: starting, serving, stopped.
+//! The life cycle of the balancer process: starting, serving, stopped.
 
 use std::io;
 use std::net::UdpSocket;
@@ -21,16 +21,17 @@
 use crate::metrics::BalancerMetrics;
 use crate::threads::{batch_ring, decide_loop, receive_loop, send_loop};
 
-/// Commands that wait for the decide thread.
+/// Capacity of the queue of commands to the decide thread.
 const COMMAND_RING: usize = 1_024;
 
-/// Wait of the receive thread before it looks at the stop flag.
+/// Longest time that the receive thread blocks before it checks the stop flag.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Buffer of the socket; the operating system may grant less.
+/// Requested size of the socket's send and receive buffers; the operating system may grant less.
 const SOCKET_BUFFER_BYTES: usize = 8 << 20;
 
-/// `Starting` holds what was checked before anything runs.
+/// Stage of a [`BalancerProcess`] whose secrets are read and whose socket is open, but which runs
+/// no thread yet.
 pub struct Starting {
     settings: BalancerSettings,
     peer_key: PeerKey,
@@ -39,7 +40,7 @@
     socket: UdpSocket,
 }
 
-/// `Serving` holds the running threads.
+/// Stage of a [`BalancerProcess`] whose data path threads run.
 pub struct Serving {
     control: ControlInputs,
     receive: JoinHandle<()>,
@@ -49,13 +50,13 @@
     commands: Sender<Command>,
 }
 
-/// `BalancerProcess` is a balancer in one stage of its life: [`Starting`], then [`Serving`].
+/// Balancer process in one stage of its life cycle: [`Starting`], then [`Serving`].
 pub struct BalancerProcess<Stage> {
     stage: Stage,
 }
 
 impl BalancerProcess<Starting> {
-    /// `new` reads the secrets and opens the socket of the data path.
+    /// Reads the secrets and opens the socket of the data path.
     pub fn new(settings: BalancerSettings) -> Result<Self, BalancerError> {
         let peer_key = PeerKey::read(&settings.peer_key_file)?;
         let admin_token = read_token(&settings.admin_token_file)?;
@@ -69,7 +70,7 @@
         Ok(Self { stage: Starting { settings, peer_key, platform_token, admin_token, socket } })
     }
 
-    /// `serve` starts the threads of the data path.
+    /// Starts the threads of the data path.
     pub fn serve(self) -> Result<BalancerProcess<Serving>, BalancerError> {
         let Starting { settings, peer_key, platform_token, admin_token, socket } = self.stage;
         let metrics = Arc::new(BalancerMetrics::default());
@@ -77,7 +78,7 @@
         let (inbound_sender, inbound) = batch_ring(metrics.clone());
         let (outbound_sender, outbound) = batch_ring(metrics.clone());
 
-        // Receive.
+        // The receive thread.
         let receive_stops = Arc::new(AtomicBool::new(false));
         let receive_socket = clone_socket(&socket, &settings)?;
         let receive = {
@@ -87,13 +88,13 @@
             })?
         };
 
-        // Decide.
+        // The decide thread.
         let handler = data_handler(&settings, metrics.clone());
         let decide = spawn("decide", move || {
             decide_loop(handler, &inbound, &commands, &outbound_sender);
         })?;
 
-        // Send.
+        // The send thread.
         let send = {
             let metrics = metrics.clone();
             spawn("send", move || send_loop(&socket, &outbound, &metrics))?
@@ -114,21 +115,23 @@
 }
 
 impl BalancerProcess<Serving> {
-    /// `stop_flag` gives the flag that asks for the planned stop.
+    /// Returns the flag that requests the planned stop when it is set.
     #[must_use]
     pub fn stop_flag(&self) -> Arc<AtomicBool> {
         self.stage.control.stop_asked.clone()
     }
 
-    /// `run` runs the control thread here until the planned stop, then ends the data path.
+    /// Runs control on the calling thread until the planned stop has ended, then stops the threads
+    /// of the data path.
     pub fn run(self) -> Result<(), BalancerError> {
         let Serving { control, receive, decide, send, receive_stops, commands } = self.stage;
         let result = control::run(control);
 
-        // Decide ends, then send; what decide had put out is still sent.
+        // The decide thread ends first. That closes the ring to the send thread, which still sends
+        // what is left in the ring before it ends.
         receive_stops.store(true, Ordering::Relaxed);
         if commands.send(Command::Stop).is_err() {
-            log::error!("the decide thread had ended before");
+            log::error!("the decide thread had already ended before the stop");
         }
         for thread in [receive, decide, send] {
             if thread.join().is_err() {
--- a/crates/valvestage-balancer/src/threads.rs
+++ b/crates/valvestage-balancer/src/threads.rs
@@ -1,4 +1,4 @@
-//! The threads of the data path, joined by bounded rings.
+//! The threads of the data path, connected by bounded rings.
 //!
 //! ```text
 //! socket -> receive -> ring of batches -> decide -> ring of batches -> send -> socket
@@ -6,7 +6,7 @@
 //!                            ring of commands from control
 //! ```
 //!
-//! A full ring sheds the batch, with a counter; no thread waits for a slower one.
+//! A batch for a full ring is dropped and counted, so that no thread waits for a slower one.
 
 mod decide;
 mod receive;
--- a/crates/valvestage-balancer/src/threads/decide.rs
+++ b/crates/valvestage-balancer/src/threads/decide.rs
@@ -1,4 +1,4 @@
-//! The decide thread: the data handler, fed with datagrams, commands and time.
+//! The decide thread: passes datagrams, commands and timer ticks to the data handler.
 
 use std::time::{Duration, SystemTime};
 
@@ -8,10 +8,11 @@
 use crate::commands::Command;
 use crate::data_path::{DataHandler, Inbound, Outbound};
 
-/// Longest time between two looks at deadlines.
+/// Interval at which deadlines are checked.
 const TICK: Duration = Duration::from_millis(5);
 
-/// `decide_loop` runs until control tells it to stop.
+/// Runs the data handler until control sends the stop command or drops its sender, or until the
+/// send thread has ended.
 pub fn decide_loop(
     mut handler: DataHandler,
     datagrams: &BatchReceiver<Inbound>,
--- a/crates/valvestage-balancer/src/threads/receive.rs
+++ b/crates/valvestage-balancer/src/threads/receive.rs
@@ -1,4 +1,4 @@
-//! The receive thread: datagrams from the socket, in batches.
+//! The receive thread: reads datagrams from the socket in batches.
 
 use std::io::IoSliceMut;
 use std::net::{SocketAddr, UdpSocket};
@@ -13,12 +13,13 @@
 use crate::data_path::Inbound;
 use crate::metrics::BalancerMetrics;
 
-/// One byte more than allowed, so that a datagram that is too long is seen as such.
+/// Size of a receive buffer: one byte more than the longest datagram allowed, so that a longer one
+/// is detected.
 pub const BUFFER_BYTES: usize = MAX_DATAGRAM + 1;
 
-/// `receive_loop` reads batches until told to stop.
+/// Reads batches from the socket until the stop flag is set or the decide thread has ended.
 ///
-/// The socket needs a read timeout, so that the stop flag is seen without traffic.
+/// The socket needs a read timeout, so that the stop flag is checked without traffic, too.
 pub fn receive_loop(
     socket: &UdpSocket,
     ring: &BatchSender<Inbound>,
@@ -35,16 +36,16 @@
                     return;
                 }
             }
-            // The timeout, or a signal.
+            // The read timeout has passed, or a signal has interrupted the call.
             Err(Errno::EAGAIN | Errno::EINTR) => {}
-            // An ICMP error about something sent before.
+            // An ICMP error for a datagram sent earlier.
             Err(Errno::ECONNREFUSED) => {}
-            Err(error) => log::warn!(step = "receive"; "cannot receive: {error}"),
+            Err(error) => log::warn!(step = "receive"; "cannot receive datagrams: {error}"),
         }
     }
 }
 
-/// `receive_batch` waits for the first datagram and takes what else is there.
+/// Waits for the first datagram, and returns it together with those that are queued behind it.
 pub fn receive_batch(
     socket: &UdpSocket,
     buffers: &mut [[u8; BUFFER_BYTES]],
--- a/crates/valvestage-balancer/src/threads/rings.rs
+++ b/crates/valvestage-balancer/src/threads/rings.rs
@@ -1,4 +1,4 @@
-//! Bounded rings of batches.
+//! Bounded rings that carry batches from one thread to the next.
 
 use std::sync::Arc;
 
@@ -7,23 +7,23 @@
 
 use crate::metrics::BalancerMetrics;
 
-/// Datagrams in one system call and one batch.
+/// Largest number of datagrams in one system call, and in one batch of received datagrams.
 pub const BATCH_DATAGRAMS: usize = 64;
 
-/// Batches in one ring.
+/// Capacity of a ring, in batches.
 const RING_BATCHES: usize = 256;
 
-/// `BatchReceiver` is the reading end of a ring.
+/// Receiving end of a ring.
 pub type BatchReceiver<T> = Receiver<Vec<T>>;
 
-/// `BatchSender` is the writing end of a ring; it never waits.
+/// Sending end of a ring, which never blocks.
 #[derive(Debug, Clone)]
 pub struct BatchSender<T> {
     sender: Sender<Vec<T>>,
     metrics: Arc<BalancerMetrics>,
 }
 
-/// `batch_ring` gives the two ends of a new ring.
+/// Returns the two ends of a new ring. The metrics count the batches that it drops.
 #[must_use]
 pub fn batch_ring<T>(metrics: Arc<BalancerMetrics>) -> (BatchSender<T>, BatchReceiver<T>) {
     let (sender, receiver) = bounded(RING_BATCHES);
@@ -32,7 +32,8 @@
 }
 
 impl<T> BatchSender<T> {
-    /// `send` hands a batch on, or sheds it if the ring is full; false when nobody reads any more.
+    /// Sends a batch to the receiving end, or drops and counts it if the ring is full. Returns
+    /// false if the receiving end no longer exists.
     pub fn send(&self, batch: Vec<T>) -> bool {
         match self.sender.try_send(batch) {
             Ok(()) => true,
--- a/crates/valvestage-balancer/src/threads/send.rs
+++ b/crates/valvestage-balancer/src/threads/send.rs
@@ -1,4 +1,4 @@
-//! The send thread: batches of datagrams to the socket.
+//! The send thread: writes batches of datagrams to the socket.
 
 use std::io::IoSlice;
 use std::net::UdpSocket;
@@ -11,7 +11,7 @@
 use crate::data_path::Outbound;
 use crate::metrics::BalancerMetrics;
 
-/// `send_loop` sends batches until the ring is closed and empty.
+/// Sends batches until the ring is closed and empty.
 pub fn send_loop(socket: &UdpSocket, ring: &BatchReceiver<Outbound>, metrics: &BalancerMetrics) {
     while let Ok(batch) = ring.recv() {
         for part in batch.chunks(BATCH_DATAGRAMS) {
@@ -20,7 +20,8 @@
     }
 }
 
-/// `send_all` sends a batch in as few system calls as the socket takes.
+/// Sends a batch in as few system calls as the socket allows. A datagram that cannot be sent is
+/// counted and skipped.
 pub fn send_all(socket: &UdpSocket, mut batch: &[Outbound], metrics: &BalancerMetrics) {
     while !batch.is_empty() {
         match send_batch(socket, batch) {
@@ -29,10 +30,10 @@
                 batch = &batch[sent.max(1)..];
             }
             Err(Errno::EINTR) => {}
-            // The first datagram could not be sent; the others may.
+            // The error concerns the first datagram; the others may still be sent.
             Err(error) => {
                 metrics.send_failures.inc();
-                log::debug!(step = "send", peer:% = batch[0].to; "cannot send: {error}");
+                log::debug!(step = "send", peer:% = batch[0].to; "cannot send datagram: {error}");
                 batch = &batch[1..];
             }
         }
--- a/crates/valvestage-balancer/tests/data_path.rs
+++ b/crates/valvestage-balancer/tests/data_path.rs
@@ -1,4 +1,5 @@
-//! The data path: bad input is counted by reason, and never reaches a backend server.
+//! Tests of the data path: invalid input is counted by reason and never reaches a backend server;
+//! flows get tokens and are placed anew if their backend server is full.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -59,7 +60,8 @@
 }
 
 impl Fixture {
-    /// One balancer, two services with two backend servers each, one peer that is not alive.
+    /// Creates one balancer, two services with two backend servers each, and one peer whose address
+    /// is known but which is not in the set of live balancers.
     fn new() -> Self {
         let service =
             |id| Service { id, name: format!("service-{id}"), address: service_address(id) };
@@ -102,7 +104,8 @@
         self.metrics.refusals.get_or_create(&reason.into()).get()
     }
 
-    /// Gives a datagram that must be counted under a reason and reach no backend server.
+    /// Asserts that a datagram is counted under a reason and that nothing is sent to a backend
+    /// server.
     fn assert_refused(&mut self, source: &str, datagram: &[u8], reason: RefusalReason) {
         let before = self.count(reason);
         let out = self.give(source, datagram);
@@ -121,14 +124,14 @@
     let mut fixture = Fixture::new();
     let open = packet(Header::new(PacketKind::Open), service_address(1));
 
-    // Of the datagram.
+    // Unknown sources and invalid datagrams.
     fixture.assert_refused(STRANGER, &open, RefusalReason::UnauthorisedSource);
     fixture.assert_refused(FABRIC, &[0; MAX_DATAGRAM + 1], RefusalReason::Oversized);
     fixture.assert_refused(FABRIC, b"bare", RefusalReason::Malformed);
     fixture.assert_refused(FABRIC, &open[..20], RefusalReason::Malformed);
     fixture.assert_refused(FABRIC, &[], RefusalReason::Malformed);
 
-    // Of what a caller may say.
+    // Packets that callers may not send.
     let unknown = packet(Header::new(PacketKind::Open), at("203.0.113.9:7000"));
     fixture.assert_refused(FABRIC, &unknown, RefusalReason::UnknownService);
     let target = Target { service: 1, backend: 1, incarnation: 1 };
@@ -147,13 +150,13 @@
         fixture.assert_refused(FABRIC, &datagram, RefusalReason::Malformed);
     }
 
-    // Of tokens.
+    // A forged token.
     let token = FlowToken { key_id: 1, service: 1, backend: 1, incarnation: 1, mac: 99 };
     let forged = Header { token: Some(token), ..Header::new(PacketKind::Data) };
     let datagram = packet(forged, service_address(1));
     fixture.assert_refused(FABRIC, &datagram, RefusalReason::BadToken);
 
-    // Of peers and backend servers.
+    // Invalid packets from peers and backend servers.
     let unmarked = packet(Header::new(PacketKind::Data), service_address(1));
     fixture.assert_refused(PEER, &unmarked, RefusalReason::Malformed);
     let mut wrong = Header::new(PacketKind::Data);
@@ -185,7 +188,7 @@
     let mut fixture = Fixture::new();
     let open = packet(Header::new(PacketKind::Open), service_address(1));
 
-    // To a backend server, which answers.
+    // The opening packet reaches a backend server, which answers it.
     let out = fixture.give(FABRIC, &open);
     let [sent] = &out[..] else { panic!("{out:?}") };
     let target = decode(&sent.bytes).unwrap().header.target.unwrap();
@@ -193,14 +196,14 @@
     let answer = Header { target: Some(target), ..Header::new(PacketKind::Open) };
     let out = fixture.give(&sent.to.to_string(), &packet(answer, service_address(1)));
 
-    // The caller gets a token; a balancer that never saw the flow takes it.
+    // The caller receives a token, and a balancer that has not seen the flow accepts it.
     let token = decode(&out[0].bytes).unwrap().header.token.unwrap();
     let mut other = Fixture::new();
     let data = Header { token: Some(token), ..Header::new(PacketKind::Data) };
     let out = other.give(FABRIC, &packet(data, service_address(1)));
     assert_eq!(out[0].to, sent.to);
 
-    // Not for another caller, nor for the other service.
+    // The token is not valid for the other service.
     let elsewhere = packet(data, service_address(2));
     other.assert_refused(FABRIC, &elsewhere, RefusalReason::BadToken);
 }
@@ -211,7 +214,7 @@
     let open = packet(Header::new(PacketKind::Open), service_address(1));
     let first = fixture.give(FABRIC, &open)[0].to;
 
-    // The refusal carries the payload back, and the packet goes to the other backend server.
+    // The refusal returns the payload, and the packet goes to the other backend server.
     let refuse = |from: SocketAddr| {
         let id = u32::from(from.to_string().as_bytes()[11] - b'0');
         let mut header = Header::new(PacketKind::Refusal);
@@ -225,6 +228,6 @@
     assert_ne!(first, second);
     assert_eq!(decode(&out[0].bytes).unwrap().payload, b"payload");
 
-    // Both are full: the caller is told at once.
+    // Both backend servers are full: the caller gets a refusal at once.
     fixture.assert_refused(&second.to_string(), &refuse(second), RefusalReason::ConnectionsFull);
 }
--- a/crates/valvestage-balancer/tests/processes/deployment.rs
+++ b/crates/valvestage-balancer/tests/processes/deployment.rs
@@ -1,4 +1,4 @@
-//! A small deployment: stand-ins as threads, balancers as processes.
+//! A small deployment for tests: the stand-ins run as threads, the balancers as processes.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -22,7 +22,7 @@
 use valvestage_standins::layout::{DeploymentPlan, Layout, ServicePlan, write_layout};
 use valvestage_standins::platform::{self, PlatformStandin};
 
-/// Four balancers over two zones, short leases.
+/// Four balancers in two availability zones, and two services.
 const PLAN: DeploymentPlan = DeploymentPlan {
     name: "test",
     zones: &["zone-a", "zone-b"],
@@ -33,21 +33,25 @@
     ],
 };
 
+/// Short times for heartbeats, leases and deadlines, which keep the tests short.
 const EXTRA_SETTINGS: &str =
     "heartbeat_ms = 100\ndead_after_ms = 1500\nlease_ms = 2000\nmax_deadline_ms = 6000\n";
 
-/// Pause between two looks at something that is awaited.
+/// Interval at which an awaited condition is checked.
 const LOOK_AGAIN: Duration = Duration::from_millis(20);
 
-/// An event that has not come by then will not come.
+/// Time limit for an awaited event. It is far longer than any event takes, so that a test fails
+/// only if the event does not occur.
 const LONGEST_WAIT: Duration = Duration::from_secs(120);
 
 const LOAD: Duration = Duration::from_secs(8);
 const PATIENCE: Duration = Duration::from_secs(6);
 
-/// A child has copies of all sockets of this process from its fork until its exec. While the free
-/// ports of another test's deployment are drawn nothing is forked: a copy of a listening socket
-/// would keep its port from being used.
+/// Locks out forks, and the selection of free ports, of tests that run in parallel.
+///
+/// From its fork until its exec, a child process holds copies of all sockets of this process. If
+/// another test selects free ports at this time, the copy of a listening socket keeps the selected
+/// port in use. Forks and the selection of ports therefore hold the same lock.
 pub fn hold_forks() -> MutexGuard<'static, ()> {
     static FORKS: Mutex<()> = Mutex::new(());
 
@@ -66,7 +70,8 @@
 }
 
 impl Deployment {
-    /// Starts everything, and waits until both services have an owner.
+    /// Starts the stand-ins and balancers, and waits until both services have an owner and all
+    /// requests of a trial round are answered.
     pub fn start() -> Self {
         static COUNT: AtomicU64 = AtomicU64::new(0);
         let number = COUNT.fetch_add(1, Ordering::Relaxed);
@@ -182,14 +187,15 @@
         }
     }
 
-    /// Offers load in the background.
+    /// Starts a caller that offers load in the background.
     pub fn start_load(&self) -> JoinHandle<CallerSummary> {
         let options = self.caller_options(LOAD, 20, 7);
 
         thread::spawn(move || caller::run(options).unwrap())
     }
 
-    /// Sends requests of both kinds until all of one round are answered.
+    /// Sends rounds of requests, repeatable and once-only ones, until all requests of a round are
+    /// answered.
     pub fn wait_until_served(&self) {
         static ROUND: AtomicU64 = AtomicU64::new(1_000);
 
@@ -230,12 +236,12 @@
         stored.map(|value| serde_json::from_value(value).unwrap()).unwrap_or_default()
     }
 
-    /// The owner of the first service.
+    /// Returns the owner of the first service; 0 if it has none.
     pub fn owner(&self) -> u32 {
         self.owner_map().entries.get(&1).map_or(0, |entry| entry.owner)
     }
 
-    /// The owners of all services.
+    /// Returns the owners of all services that have one.
     pub fn owners(&self) -> Vec<u32> {
         self.owner_map().entries.values().map(|entry| entry.owner).collect()
     }
--- a/crates/valvestage-balancer/tests/processes/main.rs
+++ b/crates/valvestage-balancer/tests/processes/main.rs
@@ -1,8 +1,8 @@
-//! Balancers as processes, between stand-ins, under SIGKILL, SIGSTOP past a lease, SIGTERM, and an
-//! outage of the platform.
+//! Tests of balancer processes, run against stand-ins: SIGKILL, SIGSTOP for longer than a lease,
+//! SIGTERM, and an outage of the platform.
 //!
-//! The tests wait for events (so many runs, another owner, an exit) and not for times; what they
-//! demand holds however slow the machine is.
+//! The tests wait for events (a number of runs, a change of owner, an exit) and not for fixed
+//! times, so that their result does not depend on the speed of the host.
 
 mod deployment;
 
@@ -11,10 +11,12 @@
 use valvestage_standins::caller::CallerSummary;
 use valvestage_standins::platform::Faults;
 
-/// Runs after which a fault strikes: the load is under way.
+/// Number of runs after which a fault is injected, so that it occurs under load.
 const RUNS_BEFORE: u64 = 60;
 
-/// Whatever happens: nothing twice, nothing false, nobody else's, everything told.
+/// Asserts what holds under every fault: no request runs twice or at the wrong service, no caller
+/// gets contradicting answers or the answer of another request, no request reported as not run has
+/// run, and at least one request is answered.
 fn assert_safe(deployment: &Deployment, summary: &CallerSummary) {
     let backends = deployment.log.summary();
 
@@ -92,7 +94,7 @@
     deployment.platform.misbehave(Faults::default());
     let summary = load.join().unwrap();
 
-    // Flows and repeatable requests went on; the others were refused, not run twice.
+    // Flows and repeatable requests continue; other requests are refused and do not run twice.
     assert_safe(&deployment, &summary);
     assert_eq!(summary.broken_echoing + summary.broken_silent, 0, "a flow broke: {summary:?}");
     deployment.wait_until_served();
--- a/crates/valvestage-operator/src/api.rs
+++ b/crates/valvestage-operator/src/api.rs
@@ -1,4 +1,4 @@
-//! Routes and authorisation.
+//! Routes and authorisation of the API.
 
 mod key_rotation;
 
@@ -21,19 +21,19 @@
 use crate::plans::{confirm_plan, make_plan};
 use crate::stories::{StoryQuestion, tell};
 
-/// Id of the change that makes the first configuration.
+/// Id of the change that creates the first configuration.
 const BOOTSTRAP: &str = "bootstrap";
 
-/// `ApiOptions` is what each worker of the server starts with.
+/// Options from which each worker of the server creates its clients.
 #[derive(Clone)]
 pub struct ApiOptions {
-    /// How to reach the platform.
+    /// Address, token and time limit for calls to the platform.
     pub platform: StoreOptions,
     /// Admin addresses of the balancers.
     pub balancers: Vec<std::net::SocketAddr>,
-    /// Token for the balancers.
+    /// Bearer token that the balancers require.
     pub admin_token: String,
-    /// Token that operators present.
+    /// Bearer token that operators have to present.
     pub operator_token: String,
 }
 
@@ -43,7 +43,7 @@
     operator_token: String,
 }
 
-/// `configure` adds the routes; each worker has clients of its own.
+/// Adds the routes to the server of one worker, with clients of its own.
 pub fn configure(service: &mut ServiceConfig, options: &ApiOptions) {
     let api = Api {
         platform: PlatformClient::new(options.platform.clone()),
@@ -91,7 +91,7 @@
     let raw = deployment.to_configuration(BOOTSTRAP);
     Configuration::try_from((1, raw.clone()))?;
 
-    // The keys first: without them a configuration is of no use.
+    // Create the keys first: balancers cannot use a configuration without them.
     key_rotation::ensure_keys(&api.platform).await?;
     let version = write_configuration(&api.platform, None, &raw).await?;
     Ok(Json(ConfirmResult { change_id: raw.change_id, version }))
@@ -111,7 +111,7 @@
 async fn status(api: Data<Api>) -> Result<Json<StatusReport>, ApiError> {
     let balancers = api.balancers.reports().await;
 
-    // Balancers answer in an outage of the platform, too.
+    // The balancers' statuses are returned during an outage of the platform, too.
     let accepted_version = match read_configuration(&api.platform).await {
         Ok(stored) => Some(stored.map_or(0, |stored| stored.checked.version)),
         Err(error) => {
--- a/crates/valvestage-operator/src/api/key_rotation.rs
+++ b/crates/valvestage-operator/src/api/key_rotation.rs
@@ -1,4 +1,4 @@
-//! The keys of flow tokens: the first ones, and rotation.
+//! Creation and rotation of the keys of flow tokens.
 
 use valvestage_core::ids::TokenKeyId;
 use valvestage_platform::PlatformClient;
@@ -9,10 +9,10 @@
 
 use crate::errors::ApiError;
 
-/// Keys that are accepted at once; older ones are dropped by a rotation.
+/// Number of keys that are accepted at the same time; a rotation drops older ones.
 const KEPT_KEYS: usize = 3;
 
-/// `ensure_keys` makes the first keys, unless there are some.
+/// Creates the first keys, unless keys exist already.
 pub(super) async fn ensure_keys(platform: &PlatformClient) -> Result<(), ApiError> {
     let raw = RawTokenKeys {
         flow_hash: (random_word()?, random_word()?),
@@ -21,12 +21,12 @@
     };
     let value = to_json(&ObjectValue::TokenKeys(raw))?;
 
-    // A conflict means that there are keys: those stay.
+    // A conflict means that keys exist; they stay unchanged.
     platform.write_json(&ObjectKey::TokenKeys.path(), None, &value).await?;
     Ok(())
 }
 
-/// `rotate` adds a key, makes new tokens with it, and drops the oldest ones.
+/// Adds a key that signs all new tokens from now on, and drops the oldest keys.
 pub(super) async fn rotate(platform: &PlatformClient) -> Result<ConfirmResult, ApiError> {
     let key = ObjectKey::TokenKeys;
     let missing =
--- a/crates/valvestage-operator/src/balancers.rs
+++ b/crates/valvestage-operator/src/balancers.rs
@@ -1,4 +1,4 @@
-//! Asking the balancers.
+//! Queries to the admin addresses of the balancers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,13 +13,14 @@
 use valvestage_wire::operators::BalancerReport;
 use valvestage_wire::status::BalancerStatus;
 
-/// Longest wait for one balancer: one that is cut off must not hold up the rest.
+/// Time limit of a query to one balancer, so that an unreachable balancer does not delay the
+/// answers of the others.
 const BALANCER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Longest answer of a balancer.
+/// Size limit of a balancer's answer.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// `BalancerClients` asks all balancers at once.
+/// Client that queries all balancers in parallel.
 #[derive(Clone)]
 pub struct BalancerClients {
     client: Client,
@@ -28,7 +29,7 @@
 }
 
 impl BalancerClients {
-    /// `new` takes the admin addresses and the token for them.
+    /// Creates a client for the admin addresses, with the bearer token that they require.
     #[must_use]
     pub fn new(addresses: Vec<SocketAddr>, token: String) -> Self {
         let client = Client::builder().timeout(BALANCER_TIMEOUT).finish();
@@ -36,7 +37,7 @@
         Self { client, addresses, token }
     }
 
-    /// `reports` gives the status of each balancer that answers.
+    /// Returns the status of each balancer; a report without a status if it does not answer.
     pub async fn reports(&self) -> Vec<BalancerReport> {
         let asking = self.addresses.iter().map(|address| async move {
             let status: Option<BalancerStatus> = self.ask(*address, "status").await;
@@ -46,7 +47,8 @@
         join_all(asking).await
     }
 
-    /// `decisions` gives what each balancer decided about a subject; none where it is silent.
+    /// Returns the decisions of each balancer about a subject; `None` for a balancer that does not
+    /// answer.
     pub async fn decisions(
         &self,
         subject: Subject,
@@ -77,7 +79,8 @@
     }
 }
 
-/// `demand` sums up the use of each service: its owner counts it, the others have nothing of it.
+/// Returns the demand of each service, summed over all balancers. Only the owner of a service
+/// counts its demand; the other balancers report zero.
 #[must_use]
 pub fn demand(
     configuration: &Configuration,
@@ -97,7 +100,7 @@
     demand
 }
 
-/// `flows_on` sums up the flows of each backend server.
+/// Returns the number of flows of each backend server, by its name, summed over all balancers.
 #[must_use]
 pub fn flows_on(reports: &[BalancerReport]) -> BTreeMap<String, u64> {
     let mut flows = BTreeMap::new();
@@ -109,7 +112,7 @@
     flows
 }
 
-/// RFC 3986, section 2.1: everything but unreserved characters as %XX.
+/// Encodes all bytes except unreserved characters as `%XX` (RFC 3986, section 2.1).
 fn percent_encode(text: &str) -> String {
     let is_unreserved = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~".contains(&byte);
 
--- a/crates/valvestage-operator/src/changes.rs
+++ b/crates/valvestage-operator/src/changes.rs
@@ -1,4 +1,4 @@
-//! Conditional writes, and settling those whose answer was lost.
+//! Conditional writes, and finding out the outcome of writes whose answer was lost.
 
 use std::future::Future;
 
@@ -11,19 +11,19 @@
 
 use crate::errors::ApiError;
 
-/// Writes and reads until a change counts as unsettled.
+/// Largest number of attempts, each a write and a read, before the outcome counts as unknown.
 const SETTLE_TRIES: u32 = 5;
 
-/// `StoredConfiguration` is the configuration as the platform has it.
+/// The configuration that the platform stores.
 #[derive(Debug, Clone)]
 pub struct StoredConfiguration {
-    /// As stored.
+    /// The configuration as stored.
     pub raw: RawConfiguration,
-    /// Checked, under its version.
+    /// The same configuration, validated and with its version.
     pub checked: Configuration,
 }
 
-/// `read_configuration` reads the configuration in force; none before the first.
+/// Reads the current configuration; `None` if none has been written yet.
 pub async fn read_configuration(
     platform: &PlatformClient,
 ) -> Result<Option<StoredConfiguration>, ApiError> {
@@ -38,10 +38,10 @@
     Ok(Some(StoredConfiguration { raw, checked }))
 }
 
-/// `write_configuration` writes a configuration on the version that it starts from.
+/// Writes a configuration, on condition that the stored version is still `base`.
 ///
-/// The change id in the value settles a write whose answer was lost: it is looked for, and only
-/// written again under the same condition.
+/// If the answer to a write is lost, the change id in the stored value shows whether the write took
+/// effect. It is repeated only under the same condition.
 pub async fn write_configuration(
     platform: &PlatformClient,
     base: Option<ObjectVersion>,
@@ -54,15 +54,16 @@
     write_settled(platform, &key, base, &value, &raw.change_id, settle).await
 }
 
-/// What became of a write.
+/// Outcome of a write, as far as the stored value shows it.
 pub enum Settled {
-    /// It took effect.
+    /// The write took effect, and the value has this version.
     Accepted(ObjectVersion),
-    /// It has not taken effect so far.
+    /// The write has not taken effect so far.
     Open,
 }
 
-/// `write_settled` writes a value and finds out what became of it, whatever answers are lost.
+/// Writes a value and returns its version, even if answers are lost: after each write without a
+/// clear answer, `settle` looks for the outcome in the platform.
 pub async fn write_settled<F>(
     platform: &PlatformClient,
     key: &str,
@@ -79,7 +80,7 @@
     for _ in 0..SETTLE_TRIES {
         match platform.write_json(key, base, value).await {
             Ok(PlatformReply::Written { version }) => return Ok(version),
-            // The write that conflicts may be this one, its answer lost.
+            // The conflicting write may be an earlier attempt of this one whose answer was lost.
             Ok(_) => {}
             Err(error) => last = Some(error),
         }
--- a/crates/valvestage-operator/src/errors.rs
+++ b/crates/valvestage-operator/src/errors.rs
@@ -1,4 +1,4 @@
-//! The error type of this crate, and its HTTP form.
+//! The error type of this crate, and its HTTP response.
 
 use actix_web::http::StatusCode;
 use actix_web::{HttpResponse, ResponseError};
@@ -10,14 +10,14 @@
 use valvestage_policy::operations::PlanRefusal;
 use valvestage_wire::operators::ApiProblem;
 
-/// `ApiError` tells why a call was not carried out.
+/// Reason why an API call was not carried out.
 #[derive(Debug, Error)]
 pub enum ApiError {
     /// The platform does not answer.
     #[error("the platform does not answer: {0}")]
     Platform(#[from] PlatformError),
-    /// A write got no answer and could not be settled.
-    #[error("the platform does not tell whether change {change_id} was accepted")]
+    /// No attempt of a write got an answer that shows whether the write took effect.
+    #[error("cannot determine whether the platform accepted change {change_id}")]
     Unsettled {
         /// Id of the change.
         change_id: String,
@@ -28,30 +28,30 @@
     /// The deployment file does not give a valid configuration.
     #[error(transparent)]
     Core(#[from] CoreError),
-    /// Something that was asked for does not exist.
+    /// Something that the call needs does not exist.
     #[error("{what} does not exist")]
     Missing {
-        /// What.
+        /// Name of the missing object.
         what: String,
-        /// What to do.
+        /// How to create or find the object.
         remedy: &'static str,
     },
-    /// Another change came first.
+    /// Another change was accepted first.
     #[error(
         "version {base} is not in force any more: change {winner} came first, as version {version}"
     )]
     Raced {
-        /// The version that the plan starts from.
+        /// The version that the change was based on.
         base: ObjectVersion,
-        /// The version in force.
+        /// The current version; 0 if it was not read.
         version: ObjectVersion,
-        /// Id of the change that is in force.
+        /// Id of the change that was accepted first.
         winner: String,
     },
-    /// The plan would break a promise.
+    /// The plan would violate a guarantee.
     #[error("{}", .0.problem)]
     Refused(PlanRefusal),
-    /// The question cannot be understood.
+    /// The query is invalid.
     #[error("{0}")]
     Question(String),
 }
@@ -59,15 +59,15 @@
 impl ApiError {
     fn remedy(&self) -> String {
         match self {
-            Self::Platform(_) => "Try again once the platform answers; nothing was changed.".into(),
+            Self::Platform(_) => "Try again when the platform answers; nothing was changed.".into(),
             Self::Unsettled { change_id } => {
                 format!(
-                    "Look at `valvectl status` once the platform answers: the change is accepted if {change_id} is in force."
+                    "Run `valvectl status` when the platform answers: the change is accepted if {change_id} is in force."
                 )
             }
             Self::Policy(_) | Self::Core(_) => "Correct the call and send it again.".into(),
             Self::Missing { remedy, .. } => (*remedy).into(),
-            Self::Raced { .. } => "Make a new plan on the present version.".into(),
+            Self::Raced { .. } => "Make a new plan based on the current version.".into(),
             Self::Refused(refusal) => refusal.remedy.clone(),
             Self::Question(_) => "See `valvectl why --help`.".into(),
         }
--- a/crates/valvestage-operator/src/lib.rs
+++ b/crates/valvestage-operator/src/lib.rs
@@ -1,15 +1,15 @@
-//! The operators' API: intent, plan, confirmation, status, explanations.
+//! The HTTP API for operators: plans for intents, confirmation, status and explanations.
 //!
-//! It keeps nothing: plans and configuration live in the platform, so that any entry VM's operator
-//! process can take the next call.
+//! The process is stateless: plans and the configuration are stored in the platform, so that the
+//! operator process of any entry VM can handle the next call.
 //!
-//! | module | duty |
+//! | module | responsibility |
 //! |---|---|
 //! | [`api`] | routes and authorisation |
-//! | [`balancers`] | asking the balancers |
-//! | [`changes`] | conditional writes, and settling those whose answer was lost |
-//! | [`plans`] | drawing, storing and confirming plans |
-//! | [`stories`] | explanations |
+//! | [`balancers`] | queries to the balancers |
+//! | [`changes`] | conditional writes, and the outcome of writes whose answer was lost |
+//! | [`plans`] | computing, storing and confirming plans |
+//! | [`stories`] | explanations of decisions |
 //! | [`errors`] | the error type of this crate |
 
 pub mod api;
--- a/crates/valvestage-operator/src/main.rs
+++ b/crates/valvestage-operator/src/main.rs
@@ -1,4 +1,4 @@
-//! `valvestage-operator`: the operators' HTTP API.
+//! `valvestage-operator`: serves the HTTP API for operators.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -13,10 +13,10 @@
 use valvestage_process::secrets::read_token;
 use valvestage_process::{ProcessError, exit_codes, logging};
 
-/// Longest wait for an answer of the platform.
+/// Time limit of one platform call.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Name in messages.
+/// Program name in error messages.
 const PROGRAM: &str = "valvestage-operator";
 
 /// Offers operators plans, confirmation, status and explanations over HTTP.
@@ -77,7 +77,7 @@
 
 async fn serve(settings: &OperatorSettings, options: ApiOptions) -> std::io::Result<()> {
     let _logger = logging::start(settings.log_json).map_err(std::io::Error::other)?;
-    log::info!(address:% = settings.listen_address; "serving operators");
+    log::info!(address:% = settings.listen_address; "serving the operator API");
 
     HttpServer::new(move || App::new().configure(|service| configure(service, &options)))
         .workers(2)
--- a/crates/valvestage-operator/src/plans.rs
+++ b/crates/valvestage-operator/src/plans.rs
@@ -1,4 +1,4 @@
-//! Drawing, storing and confirming plans.
+//! Computes, stores and confirms plans.
 
 use serde_json::Value;
 use sha2::{Digest, Sha256};
@@ -11,7 +11,7 @@
 use crate::changes::{StoredConfiguration, read_configuration, write_configuration};
 use crate::errors::ApiError;
 
-/// Bytes of the digest that make a plan's id.
+/// Number of digest bytes that form the id of a plan.
 const ID_BYTES: usize = 6;
 
 fn no_configuration() -> ApiError {
@@ -21,7 +21,7 @@
     }
 }
 
-/// `make_plan` draws the plan for an intent and stores it; nothing else happens.
+/// Computes the plan for an intent and stores it. The configuration does not change.
 pub async fn make_plan(
     platform: &PlatformClient,
     balancers: &BalancerClients,
@@ -30,7 +30,8 @@
     let base = read_configuration(platform).await?.ok_or_else(no_configuration)?;
     let plan = draw(balancers, &base, intent).await?;
 
-    // The id is a digest of the content, so that storing it twice does no harm.
+    // The id is a digest of the base version and the intent, so that storing the plan twice is
+    // harmless.
     let value = serde_json::to_value(&plan).unwrap_or(Value::Null);
     platform.write_json(&plan_key(&plan.id), None, &value).await?;
     Ok(plan)
@@ -48,8 +49,8 @@
     Ok(draw_plan(id, &base.checked, &base.raw, intent, &demand, &flows_on(&reports))?)
 }
 
-/// `confirm_plan` carries a plan out, unless the configuration has changed since, or the plan
-/// would break a promise by now.
+/// Carries out a plan, unless the configuration has changed since it was made or the plan would
+/// violate a guarantee under the current load.
 pub async fn confirm_plan(
     platform: &PlatformClient,
     balancers: &BalancerClients,
@@ -58,7 +59,7 @@
     let plan = read_plan(platform, id).await?;
     let base = read_configuration(platform).await?.ok_or_else(no_configuration)?;
 
-    // Confirmed before: the same answer again.
+    // The plan has been confirmed before: return the same answer.
     if base.raw.change_id == plan.id {
         return Ok(ConfirmResult { change_id: plan.id, version: base.checked.version });
     }
@@ -70,14 +71,14 @@
         });
     }
 
-    // The load may have changed since the plan was drawn.
+    // The load may have changed since the plan was made.
     let fresh = draw(balancers, &base, plan.intent).await?;
     if let Some(refusal) = fresh.refusal {
         return Err(ApiError::Refused(refusal));
     }
 
     let version = write_configuration(platform, Some(plan.base_version), &fresh.result).await?;
-    log::info!(change = fresh.id.as_str(), version; "a change was accepted");
+    log::info!(change = fresh.id.as_str(), version; "change accepted");
     Ok(ConfirmResult { change_id: fresh.id, version })
 }
 
--- a/crates/valvestage-operator/src/stories.rs
+++ b/crates/valvestage-operator/src/stories.rs
@@ -1,4 +1,4 @@
-//! Explanations: what all balancers decided about one subject.
+//! Explanations: the decisions of all balancers about one subject.
 
 use std::net::SocketAddr;
 
@@ -15,22 +15,22 @@
 use crate::changes::read_configuration;
 use crate::errors::ApiError;
 
-/// `StoryQuestion` is the query of `/v1/why`: one of `request`, `change`, `service`, or `caller`
-/// with `service`.
+/// Query parameters of `/v1/why`: either `request`, `change`, `service`, or `caller` together with
+/// `service`.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoryQuestion {
-    /// Id of a request, hexadecimal.
+    /// Id of a request, in hexadecimal.
     pub request: Option<String>,
     /// Version of a configuration.
     pub change: Option<u64>,
-    /// Address of the caller of a flow.
+    /// Address of the caller of a flow. The flow's service has to be given, too.
     pub caller: Option<SocketAddr>,
     /// Name of a service.
     pub service: Option<String>,
 }
 
-/// `tell` gives the story that a question asks for.
+/// Returns the explanation of the subject that a query names, with the decisions in order of time.
 pub async fn tell(
     platform: &PlatformClient,
     balancers: &BalancerClients,
@@ -63,7 +63,7 @@
             let parsed = RequestId::from_str_radix(&id, 16);
             parsed
                 .map(Subject::Request)
-                .map_err(|_| ApiError::Question(format!("{id} is not a request id (hexadecimal)")))
+                .map_err(|_| ApiError::Question(format!("{id} is not a hexadecimal request id")))
         }
         StoryQuestion { change: Some(version), request: None, caller: None, service: None } => {
             Ok(Subject::Change(version))
@@ -79,7 +79,7 @@
             }
         }
         _ => Err(ApiError::Question(
-            "ask for one of: a request, a change, a service, or a caller with a service".into(),
+            "give exactly one of: a request, a change, a service, or a caller with a service".into(),
         )),
     }
 }
