--- a/crates/valvestage-balancer/src/data_path/datagrams.rs
+++ b/crates/valvestage-balancer/src/data_path/datagrams.rs
@@ -9,9 +9,9 @@
     pub source: SocketAddr,
     /// Encoded content of the datagram.
     pub bytes: Vec<u8>,
-    }
+}
 
-    /// Datagram to be sent.
+/// Datagram to be sent.
 #[derive(Debug, Clone)]
 pub struct Outbound {
     /// Destination address.
--- a/crates/valvestage-balancer/src/errors.rs
+++ b/crates/valvestage-balancer/src/errors.rs
@@ -19,8 +19,8 @@
         address: SocketAddr,
         /// Error returned by the operating system.
         cause: io::Error,
-        },
-        /// A thread could not be started.
+    },
+    /// A thread could not be started.
     #[error("start thread {name}: {cause}")]
     Thread {
         /// Name of the thread.
--- a/crates/valvestage-operator/src/stories.rs
+++ b/crates/valvestage-operator/src/stories.rs
@@ -79,7 +79,8 @@
             }
         }
         _ => Err(ApiError::Question(
-            "give exactly one of: a request, a change, a service, or a caller with a service".into(),
+            "give exactly one of: a request, a change, a service, or a caller with a service"
+                .into(),
         )),
     }
 }
