--- a/crates/valvestage-balancer/src/control/admin_server.rs
+++ b/crates/valvestage-balancer/src/control/admin_server.rs
@@ -57,7 +57,7 @@
     metrics.busy_slots.set(snapshot.loads.values().map(|load| u64::from(load.busy_slots)).sum());
     metrics.waiting.set(snapshot.loads.values().map(|load| load.waiting as u64).sum());
 
-    HttpResponse::Ok().content_type(OPEN_METRICS).body(metrics.text())
+    HttpResponse::Ok().content_type(OPEN_METRICS).body(metrics.to_openmetrics())
 }
 
 async fn live() -> HttpResponse {
@@ -100,8 +100,8 @@
         Err(error) => return HttpResponse::BadRequest().body(format!("subject: {error}\n")),
     };
 
-    let question = |reply| Command::ListDecisions { subject, reply };
-    let records = admin.state.ask(question).await.unwrap_or_default();
+    let to_command = |reply| Command::ListDecisions { subject, reply };
+    let records = admin.state.query_data_path(to_command).await.unwrap_or_default();
     HttpResponse::Ok().json(Json(records))
 }
 
--- a/crates/valvestage-balancer/src/control/bindings_task.rs
+++ b/crates/valvestage-balancer/src/control/bindings_task.rs
@@ -19,15 +19,15 @@
 
 /// Pause between two messages. Together with [`BINDINGS_PER_MESSAGE`] it limits the bandwidth of
 /// the copies.
-const MESSAGE_PAUSE: Duration = Duration::from_millis(800);
+const MESSAGE_INTERVAL: Duration = Duration::from_millis(800);
 
 /// Time to wait after a change, so that changes in quick succession are handled together.
-const GATHER: Duration = Duration::from_millis(150);
+const COALESCE_DELAY: Duration = Duration::from_millis(150);
 
 pub(super) async fn run(state: Arc<ControlState>, peers: PeerClients) {
     loop {
         state.placement_changed.notified().await;
-        sleep(GATHER).await;
+        sleep(COALESCE_DELAY).await;
 
         copy_exceptions(&state, &peers).await;
     }
@@ -37,7 +37,7 @@
 /// may need it. The configuration and the live balancers are read once at the start; a change
 /// during the copy makes the task run again afterwards.
 pub(super) async fn copy_exceptions(state: &Arc<ControlState>, peers: &PeerClients) {
-    let Some(flows) = state.ask(Command::ListBindings).await else {
+    let Some(flows) = state.query_data_path(Command::ListBindings).await else {
         return;
     };
     let finder = ExceptionFinder::new(state.settings.id, &flows.history, flows.view);
@@ -46,8 +46,8 @@
     };
 
     // This may compute millions of hashes, which would delay heartbeats on the control thread.
-    let finding = tokio::task::spawn_blocking(move || finder.copies(&flows.bindings));
-    let Ok(copies) = finding.await else {
+    let search = tokio::task::spawn_blocking(move || finder.copies(&flows.bindings));
+    let Ok(copies) = search.await else {
         return;
     };
     let addresses: BTreeMap<BalancerId, SocketAddr> = state
@@ -61,14 +61,14 @@
         let Some(address) = addresses.get(&target) else {
             continue;
         };
-        for part in bindings.chunks(BINDINGS_PER_MESSAGE) {
+        for chunk in bindings.chunks(BINDINGS_PER_MESSAGE) {
             if !is_first {
-                sleep(MESSAGE_PAUSE).await;
+                sleep(MESSAGE_INTERVAL).await;
             }
             is_first = false;
-            match send(peers, *address, part).await {
+            match send_bindings(peers, *address, chunk).await {
                 Ok(()) => {
-                    state.metrics.bindings_copied.inc_by(part.len() as u64);
+                    state.metrics.bindings_copied.inc_by(chunk.len() as u64);
                 }
                 Err(error) => log::warn!("{error}"),
             }
@@ -76,9 +76,13 @@
     }
 }
 
-async fn send(peers: &PeerClients, peer: SocketAddr, part: &[Binding]) -> Result<(), WireError> {
+async fn send_bindings(
+    peers: &PeerClients,
+    peer: SocketAddr,
+    chunk: &[Binding],
+) -> Result<(), WireError> {
     let client = peers.get(peer).await?;
-    let result = client.copy_bindings(call_context(), part.to_vec()).await;
+    let result = client.copy_bindings(call_context(), chunk.to_vec()).await;
 
     peers.check(peer, "copy bindings", result)
 }
--- a/crates/valvestage-balancer/src/control/control_state.rs
+++ b/crates/valvestage-balancer/src/control/control_state.rs
@@ -67,8 +67,8 @@
     }
 
     /// Calls a closure with the locked control policy and returns its result.
-    pub fn read<T>(&self, look: impl FnOnce(&ControlPolicy) -> T) -> T {
-        look(&self.lock())
+    pub fn read<T>(&self, inspect: impl FnOnce(&ControlPolicy) -> T) -> T {
+        inspect(&self.lock())
     }
 
     /// Runs the actions of the control policy that are due, and returns those that the step task
@@ -82,13 +82,13 @@
     }
 
     /// Applies an update to the control policy and installs what follows from it.
-    pub fn change<T>(
+    pub fn update<T>(
         &self,
-        change: impl FnOnce(&mut ControlPolicy, &mut Vec<ControlAction>) -> T,
+        apply: impl FnOnce(&mut ControlPolicy, &mut Vec<ControlAction>) -> T,
     ) -> T {
         let mut actions = Vec::new();
         let mut policy = self.lock();
-        let result = change(&mut policy, &mut actions);
+        let result = apply(&mut policy, &mut actions);
 
         // Only a step returns actions other than installations.
         let others = self.install_all(actions);
@@ -116,25 +116,25 @@
                 let version = configuration.version;
                 log::info!(version; "configuration installed");
                 self.metrics.configuration_version.set(version);
-                self.tell(Command::InstallConfiguration(configuration));
+                self.send_command(Command::InstallConfiguration(configuration));
                 self.placement_changed.notify_one();
             }
             Installation::OwnerMap(map) => {
                 log::info!(version = map.version; "owner map installed");
-                self.tell(Command::InstallOwnerMap(map));
+                self.send_command(Command::InstallOwnerMap(map));
             }
             Installation::Keys(keys) => {
                 log::info!(version = keys.version; "token keys installed");
-                self.tell(Command::InstallKeys(keys));
+                self.send_command(Command::InstallKeys(keys));
             }
             Installation::View { view, addresses } => {
                 let live = view.members().count() as u64;
                 log::info!(live; "set of live balancers changed");
                 self.metrics.live_balancers.set(live);
-                self.tell(Command::InstallView { view, addresses });
+                self.send_command(Command::InstallView { view, addresses });
                 self.placement_changed.notify_one();
             }
-            Installation::Grant(grant) => self.tell(Command::InstallGrant(grant)),
+            Installation::Grant(grant) => self.send_command(Command::InstallGrant(grant)),
         }
         self.step_now.notify_one();
     }
@@ -142,7 +142,7 @@
     /// Hands an object from the platform or a peer to the control policy. An object that cannot be
     /// used is logged and ignored.
     pub fn on_object(&self, key: ObjectKey, version: ObjectVersion, value: ObjectValue) {
-        self.change(|policy, out| {
+        self.update(|policy, out| {
             if let Err(error) = policy.on_object(key, version, value, out) {
                 log::error!(object = key.path().as_str(), version; "object not installed: {error}");
             }
@@ -151,23 +151,26 @@
 
     /// Sends a command to the decide thread. Blocks while the command queue is full; the decide
     /// thread itself never waits for control.
-    pub fn tell(&self, command: Command) {
+    pub fn send_command(&self, command: Command) {
         if self.commands.send(command).is_err() {
             log::debug!(step = "command"; "command not sent: the decide thread has ended");
         }
     }
 
     /// Sends a query to the decide thread and waits for the answer; `None` if the thread has ended.
-    pub async fn ask<T>(&self, question: impl FnOnce(oneshot::Sender<T>) -> Command) -> Option<T> {
+    pub async fn query_data_path<T>(
+        &self,
+        to_command: impl FnOnce(oneshot::Sender<T>) -> Command,
+    ) -> Option<T> {
         let (reply, answer) = oneshot::channel();
 
-        self.tell(question(reply));
+        self.send_command(to_command(reply));
         answer.await.ok()
     }
 
     /// Returns a snapshot of the data path; an empty one if the decide thread has ended.
     pub async fn snapshot(&self) -> DataSnapshot {
-        self.ask(Command::TakeSnapshot).await.unwrap_or_default()
+        self.query_data_path(Command::TakeSnapshot).await.unwrap_or_default()
     }
 
     /// Begins the planned stop: from now on this balancer takes no new work.
--- a/crates/valvestage-balancer/src/control/control_system.rs
+++ b/crates/valvestage-balancer/src/control/control_system.rs
@@ -28,7 +28,7 @@
     /// Bearer token that `/status` and `/decisions` require.
     pub admin_token: String,
     /// Flag that SIGTERM and SIGINT set to request the planned stop.
-    pub stop_asked: Arc<AtomicBool>,
+    pub stop_requested: Arc<AtomicBool>,
 }
 
 /// Runs the control tasks on the calling thread until the planned stop has ended.
@@ -54,7 +54,7 @@
     actix_rt::spawn(watch_task::run(state.clone(), platform.clone()));
     actix_rt::spawn(bindings_task::run(state.clone(), peers.clone()));
 
-    stop_task::wait_for_stop(&inputs.stop_asked).await;
+    stop_task::wait_for_stop_request(&inputs.stop_requested).await;
     stop_task::stop(&state, &peers, &platform).await;
     Ok(())
 }
--- a/crates/valvestage-balancer/src/control/peer_server.rs
+++ b/crates/valvestage-balancer/src/control/peer_server.rs
@@ -61,22 +61,22 @@
 
     // A frame with a wrong MAC closes the connection before the frame is decoded.
     BaseChannel::with_defaults(transport)
-        .execute(PeerAnswers { state }.serve())
-        .for_each(|answering| async {
-            actix_rt::spawn(answering);
+        .execute(PeerHandler { state }.serve())
+        .for_each(|response| async {
+            actix_rt::spawn(response);
         })
         .await;
 }
 
 #[derive(Clone)]
-struct PeerAnswers {
+struct PeerHandler {
     state: Arc<ControlState>,
 }
 
-impl PeerService for PeerAnswers {
+impl PeerService for PeerHandler {
     async fn heartbeat(self, _: Context, message: HeartbeatMessage) -> HeartbeatMessage {
         let now = SystemTime::now();
-        let answer = self.state.change(|policy, _| policy.on_heartbeat(now, message));
+        let answer = self.state.update(|policy, _| policy.on_heartbeat(now, message));
 
         // Run a step at once: it fetches the object versions that the heartbeat has announced.
         self.state.step_now.notify_one();
@@ -90,7 +90,7 @@
     }
 
     async fn copy_bindings(self, _: Context, bindings: Vec<Binding>) {
-        self.state.tell(Command::AddBindings(bindings));
+        self.state.send_command(Command::AddBindings(bindings));
     }
 
     async fn offer_handover(
@@ -101,17 +101,17 @@
         claims: Vec<HandedClaim<Payload>>,
     ) -> bool {
         // A balancer without a lease cannot own a service.
-        let takes = self.state.is_ready() && self.state.read(|policy| policy.grant().is_some());
+        let accepts = self.state.is_ready() && self.state.read(|policy| policy.grant().is_some());
 
-        if takes {
-            self.state.tell(Command::OfferHandover { service, handover, claims });
+        if accepts {
+            self.state.send_command(Command::OfferHandover { service, handover, claims });
         }
-        takes
+        accepts
     }
 
     async fn decisions(self, _: Context, subject: Subject) -> Vec<DecisionRecord> {
-        let question = |reply| Command::ListDecisions { subject, reply };
+        let to_command = |reply| Command::ListDecisions { subject, reply };
 
-        self.state.ask(question).await.unwrap_or_default()
+        self.state.query_data_path(to_command).await.unwrap_or_default()
     }
 }
--- a/crates/valvestage-balancer/src/control/platform_driver.rs
+++ b/crates/valvestage-balancer/src/control/platform_driver.rs
@@ -39,7 +39,7 @@
             PlatformReply::Conflict => PlatformResult::Conflict,
             _ => PlatformResult::Done,
         };
-        self.count(name, result);
+        self.record_result(name, result);
         reply
     }
 
@@ -51,16 +51,16 @@
     ) -> Result<WatchResult, PlatformError> {
         let result = self.client.watch(after, wait).await;
 
-        self.count(
+        self.record_result(
             "watch",
             if result.is_ok() { PlatformResult::Done } else { PlatformResult::NoAnswer },
         );
         result
     }
 
-    fn count(&self, call: &'static str, result: PlatformResult) {
+    fn record_result(&self, call: &'static str, result: PlatformResult) {
         if result != PlatformResult::NoAnswer {
-            self.state.change(|policy, _| policy.on_platform_heard(SystemTime::now()));
+            self.state.update(|policy, _| policy.on_platform_heard(SystemTime::now()));
         }
 
         let label = PlatformLabel { call, result };
--- a/crates/valvestage-balancer/src/control/step_task.rs
+++ b/crates/valvestage-balancer/src/control/step_task.rs
@@ -15,7 +15,7 @@
 use crate::metrics::DirectionLabel;
 
 /// Interval between two steps.
-const PAUSE: Duration = Duration::from_millis(50);
+const STEP_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs the control policy at a fixed interval, and at once after each change.
 pub(super) async fn run(state: Arc<ControlState>, peers: PeerClients, platform: PlatformDriver) {
@@ -26,7 +26,7 @@
         update_metrics(&state, &peers);
 
         tokio::select! {
-            () = sleep(PAUSE) => {}
+            () = sleep(STEP_INTERVAL) => {}
             () = state.step_now.notified() => {}
         }
     }
@@ -44,7 +44,7 @@
         }
         ControlAction::Heartbeat { to, message } => match heartbeat(&peers, &to, message).await {
             Ok(answer) => {
-                state.change(|policy, _| policy.on_heartbeat_answer(SystemTime::now(), answer));
+                state.update(|policy, _| policy.on_heartbeat_answer(SystemTime::now(), answer));
             }
             Err(error) => log::debug!("{error}"),
         },
@@ -66,8 +66,9 @@
 ) {
     let reply = platform.execute(call).await;
 
-    let taken = state.change(|policy, out| policy.on_reply(SystemTime::now(), machine, reply, out));
-    if let Err(error) = taken {
+    let result =
+        state.update(|policy, out| policy.on_reply(SystemTime::now(), machine, reply, out));
+    if let Err(error) = result {
         log::error!("object from the platform not installed: {error}");
     }
     state.step_now.notify_one();
--- a/crates/valvestage-balancer/src/control/stop_task.rs
+++ b/crates/valvestage-balancer/src/control/stop_task.rs
@@ -17,12 +17,12 @@
 use crate::commands::Command;
 
 /// Interval at which an awaited condition is checked.
-const PAUSE: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Waits until a signal requests the stop.
-pub(super) async fn wait_for_stop(stop_asked: &AtomicBool) {
-    while !stop_asked.load(Ordering::Relaxed) {
-        sleep(PAUSE).await;
+pub(super) async fn wait_for_stop_request(stop_requested: &AtomicBool) {
+    while !stop_requested.load(Ordering::Relaxed) {
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -38,27 +38,27 @@
     // From now on `/readyz` reports not ready to the fabric, and heartbeats report to the peers
     // that this balancer is leaving.
     state.leave();
-    let announced = SystemTime::now();
+    let announced_at = SystemTime::now();
 
-    hand_over_all(state, peers, platform, deadline).await;
-    state.change(|policy, _| policy.give_lease_back());
+    hand_over_services(state, peers, platform, deadline).await;
+    state.update(|policy, _| policy.give_lease_back());
     copy_exceptions(state, peers).await;
 
     // Packets arrive, and are relayed, until the fabric and every peer have noticed the stop.
-    let noticed = announced + state.settings.dead_after;
+    let noticed_at = announced_at + state.settings.dead_after;
     loop {
         let open_work = state.snapshot().await.open_work;
         let is_given_back = state.read(|policy| policy.is_lease_given_back());
         let now = SystemTime::now();
-        if (open_work == 0 && now >= noticed && is_given_back) || now >= deadline {
+        if (open_work == 0 && now >= noticed_at && is_given_back) || now >= deadline {
             log::info!(open_work; "stopped");
             return;
         }
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn hand_over_all(
+async fn hand_over_services(
     state: &Arc<ControlState>,
     peers: &PeerClients,
     platform: &PlatformDriver,
@@ -72,37 +72,39 @@
 
         match step {
             Some(StopStep::Offer { to, service, handover }) => {
-                let offered = offer(state, peers, to, service, handover).await;
-                let taken = offered.unwrap_or_else(|error| {
+                let result = offer_service(state, peers, to, service, handover).await;
+                let accepted = result.unwrap_or_else(|error| {
                     log::warn!("{error}");
                     false
                 });
-                stop.on_offered(taken);
+                stop.on_offered(accepted);
             }
             Some(StopStep::Call(call)) => {
                 stop.on_reply(SystemTime::now(), platform.execute(call).await);
             }
             Some(StopStep::Settle { service, moved, map }) => {
                 if let Some(map) = map {
-                    state.change(|policy, out| policy.on_owner_map(map, out));
+                    state.update(|policy, out| policy.on_owner_map(map, out));
                 }
-                state.tell(Command::SettleHandover { service, moved });
+                state.send_command(Command::SettleHandover { service, moved });
                 log::info!(service, moved; "service handover finished");
             }
-            None => sleep(PAUSE).await,
+            None => sleep(POLL_INTERVAL).await,
         }
     }
 }
 
-async fn offer(
+async fn offer_service(
     state: &ControlState,
     peers: &PeerClients,
     to: BalancerId,
     service: ServiceId,
     handover: u64,
 ) -> Result<bool, WireError> {
-    let question = |reply| Command::StartHandover { service, reply };
-    let (Some(record), Some(claims)) = (state.find_peer(to), state.ask(question).await) else {
+    let to_command = |reply| Command::StartHandover { service, reply };
+    let (Some(record), Some(claims)) =
+        (state.find_peer(to), state.query_data_path(to_command).await)
+    else {
         return Ok(false);
     };
 
--- a/crates/valvestage-balancer/src/control/watch_task.rs
+++ b/crates/valvestage-balancer/src/control/watch_task.rs
@@ -13,14 +13,14 @@
 const WATCH_WAIT: Duration = Duration::from_secs(2);
 
 /// Pause after a failed watch, and between two checks whether this balancer has to watch.
-const PAUSE: Duration = Duration::from_millis(300);
+const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 pub(super) async fn run(state: Arc<ControlState>, platform: PlatformDriver) {
     let mut after = None;
 
     loop {
         if !state.read(|policy| policy.should_watch(SystemTime::now())) {
-            sleep(PAUSE).await;
+            sleep(RETRY_INTERVAL).await;
             continue;
         }
 
@@ -28,17 +28,17 @@
             Ok(result) => {
                 // The watch may lag behind, and then returns a lower revision than before.
                 after = after.max(Some(result.revision));
-                take_in(&state, result);
+                apply_watch_result(&state, result);
             }
             Err(error) => {
                 log::warn!("{error}");
-                sleep(PAUSE).await;
+                sleep(RETRY_INTERVAL).await;
             }
         }
     }
 }
 
-fn take_in(state: &ControlState, result: WatchResult) {
+fn apply_watch_result(state: &ControlState, result: WatchResult) {
     for object in result.objects {
         let Some(key) = watched_key(&object) else {
             continue;
--- a/crates/valvestage-balancer/src/data_path/backend_packets.rs
+++ b/crates/valvestage-balancer/src/data_path/backend_packets.rs
@@ -12,7 +12,7 @@
 
 /// Time for which a backend server that has refused a flow at its connection limit gets no new
 /// flows.
-const FULL_PAUSE: Duration = Duration::from_secs(1);
+const CONNECTIONS_FULL_BACKOFF: Duration = Duration::from_secs(1);
 
 impl DataHandler {
     pub(super) fn on_backend_packet(
@@ -76,7 +76,7 @@
         out: &mut Vec<Outbound>,
     ) -> Result<(), RefusalReason> {
         let (_, reason) = envelope.header.refusal.ok_or(RefusalReason::Malformed)?;
-        self.metrics.refused(reason);
+        self.metrics.count_refusal(reason);
         if reason != RefusalReason::BackendConnections {
             return Ok(());
         }
@@ -84,12 +84,12 @@
         let director = self.policy.director_mut();
         let keys = director.keys().ok_or(RefusalReason::NoConfiguration)?;
         let key = keys.hasher().key(envelope.caller, sender.service);
-        director.on_connections_full(key, sender.backend, now + FULL_PAUSE);
+        director.on_connections_full(key, sender.backend, now + CONNECTIONS_FULL_BACKOFF);
 
         let header = Header::new(PacketKind::Open);
-        let again = Envelope { header, ..*envelope };
+        let reopening = Envelope { header, ..*envelope };
         let hop = HopMark { count: MAX_HOPS, ..HopMark::FIRST };
-        self.on_flow_packet(now, &again, sender.service, hop, out)
+        self.on_flow_packet(now, &reopening, sender.service, hop, out)
     }
 
     fn on_answer(
@@ -100,11 +100,11 @@
         out: &mut Vec<Outbound>,
     ) -> Result<(), RefusalReason> {
         let reply = read_reply(sender, envelope)?;
-        let place = envelope.header.segment.unwrap_or(Segment::WHOLE);
+        let position = envelope.header.segment.unwrap_or(Segment::WHOLE);
         let payload = envelope.payload.to_vec();
 
-        self.act(out, |policy, actions| {
-            policy.on_answer(now, sender.service, reply, place, payload, actions);
+        self.decide(out, |policy, actions| {
+            policy.on_answer(now, sender.service, reply, position, payload, actions);
         });
         Ok(())
     }
@@ -118,9 +118,9 @@
     ) -> Result<(), RefusalReason> {
         let reply = read_reply(sender, envelope)?;
         let (_, reason) = envelope.header.refusal.ok_or(RefusalReason::Malformed)?;
-        self.metrics.refused(reason);
+        self.metrics.count_refusal(reason);
 
-        self.act(out, |policy, actions| {
+        self.decide(out, |policy, actions| {
             policy.on_refused(now, sender.service, reply, reason, actions);
         });
         Ok(())
--- a/crates/valvestage-balancer/src/data_path/caller_packets.rs
+++ b/crates/valvestage-balancer/src/data_path/caller_packets.rs
@@ -92,15 +92,15 @@
 
         match self.policy.on_flow(now, &packet) {
             FlowVerdict::Forward { backend, incarnation, source, tell_binding } => {
-                self.metrics.steered(source);
-                self.push_to_backend(envelope, service, backend, incarnation, out);
+                self.metrics.count_flow_packet(source);
+                self.push_flow_packet(envelope, service, backend, incarnation, out);
                 if tell_binding {
                     self.push_binding(envelope, Binding { key: packet.key, backend }, out);
                 }
             }
             FlowVerdict::Relay { peer, hop } => self.push_to_peer(envelope, peer, hop, out),
             FlowVerdict::Refuse(reason) => {
-                self.metrics.refused(reason);
+                self.metrics.count_refusal(reason);
                 self.push_flow_refusal(envelope, reason, out);
             }
             FlowVerdict::Drop(reason) => return Err(reason),
@@ -108,7 +108,7 @@
         Ok(())
     }
 
-    fn push_to_backend(
+    fn push_flow_packet(
         &self,
         envelope: &Envelope<'_>,
         service: ServiceId,
@@ -118,7 +118,7 @@
     ) {
         let history = self.policy.director().history();
         let Some(record) = history.find(service, backend) else {
-            self.metrics.refused(RefusalReason::BackendGone);
+            self.metrics.count_refusal(RefusalReason::BackendGone);
             return;
         };
 
@@ -148,7 +148,7 @@
         out: &mut Vec<Outbound>,
     ) {
         let Some(address) = self.peer_addresses.get(&peer) else {
-            self.metrics.refused(RefusalReason::OwnerUnreachable);
+            self.metrics.count_refusal(RefusalReason::OwnerUnreachable);
             return;
         };
 
@@ -189,7 +189,7 @@
             payload: envelope.payload.to_vec(),
         };
 
-        self.act(out, |policy, actions| policy.on_request(now, request, hop, actions));
+        self.decide(out, |policy, actions| policy.on_request(now, request, hop, actions));
         Ok(())
     }
 
@@ -205,7 +205,7 @@
 
         let caller = envelope.caller;
         let owner =
-            self.act(out, |policy, actions| policy.on_cancel(now, service, id, caller, actions));
+            self.decide(out, |policy, actions| policy.on_cancel(now, service, id, caller, actions));
 
         if let Some(owner) = owner.filter(|_| hop.count == 0) {
             let hop = HopMark { count: 1, ..hop };
--- a/crates/valvestage-balancer/src/data_path/data_handler.rs
+++ b/crates/valvestage-balancer/src/data_path/data_handler.rs
@@ -20,10 +20,10 @@
 
 /// Time without a packet after which a flow is removed from the flow table. It exceeds one hour,
 /// the lifetime of a feed.
-const IDLE_FLOW_LIMIT: Duration = Duration::from_secs(2 * 3_600);
+const FLOW_IDLE_TIMEOUT: Duration = Duration::from_secs(2 * 3_600);
 
 /// Interval at which the flow table is searched for idle flows.
-const IDLE_CHECK_PAUSE: Duration = Duration::from_secs(60);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Options of the data path.
 #[derive(Debug, Clone)]
@@ -59,7 +59,7 @@
             fabrics: options.fabrics,
             peer_addresses: BTreeMap::new(),
             peer_sources: HashSet::new(),
-            next_idle_check: now + IDLE_CHECK_PAUSE,
+            next_idle_check: now + IDLE_CHECK_INTERVAL,
             actions: Vec::new(),
         }
     }
@@ -72,12 +72,12 @@
         datagram: &[u8],
         out: &mut Vec<Outbound>,
     ) {
-        if let Err(reason) = self.try_datagram(now, source, datagram, out) {
-            self.metrics.refused(reason);
+        if let Err(reason) = self.handle_datagram(now, source, datagram, out) {
+            self.metrics.count_refusal(reason);
         }
     }
 
-    fn try_datagram(
+    fn handle_datagram(
         &mut self,
         now: SystemTime,
         source: SocketAddr,
@@ -85,7 +85,7 @@
         out: &mut Vec<Outbound>,
     ) -> Result<(), RefusalReason> {
         // The source determines what a packet may contain, so it is checked first.
-        let origin = self.origin(source).ok_or(RefusalReason::UnauthorisedSource)?;
+        let origin = self.classify_source(source).ok_or(RefusalReason::UnauthorisedSource)?;
         if datagram.len() > MAX_DATAGRAM {
             return Err(RefusalReason::Oversized);
         }
@@ -101,7 +101,7 @@
         }
     }
 
-    fn origin(&self, source: SocketAddr) -> Option<Origin> {
+    fn classify_source(&self, source: SocketAddr) -> Option<Origin> {
         if self.fabrics.contains(&source) {
             return Some(Origin::Fabric);
         }
@@ -120,12 +120,12 @@
 
     /// Handles expired deadlines, and from time to time removes idle flows.
     pub fn tick(&mut self, now: SystemTime, out: &mut Vec<Outbound>) {
-        self.act(out, |policy, actions| policy.tick(now, actions));
+        self.decide(out, |policy, actions| policy.tick(now, actions));
 
         if now >= self.next_idle_check {
-            self.next_idle_check = now + IDLE_CHECK_PAUSE;
-            if let Some(seen_before) = now.checked_sub(IDLE_FLOW_LIMIT) {
-                self.policy.director_mut().drop_idle(seen_before);
+            self.next_idle_check = now + IDLE_CHECK_INTERVAL;
+            if let Some(idle_since) = now.checked_sub(FLOW_IDLE_TIMEOUT) {
+                self.policy.director_mut().drop_idle(idle_since);
             }
         }
     }
@@ -137,7 +137,7 @@
                 self.policy.install_configuration(now, &configuration);
             }
             Command::InstallOwnerMap(map) => {
-                self.act(out, |policy, actions| policy.install_owner_map(now, &map, actions));
+                self.decide(out, |policy, actions| policy.install_owner_map(now, &map, actions));
             }
             Command::InstallKeys(keys) => {
                 self.policy.install_keys(keys);
@@ -154,21 +154,21 @@
                 }
             }
             Command::SettleHandover { service, moved } => {
-                self.act(out, |policy, actions| {
+                self.decide(out, |policy, actions| {
                     policy.settle_handover(now, service, moved, actions);
                 });
             }
             Command::OfferHandover { service, handover, claims } => {
                 self.policy.offer_handover(now, service, handover, claims);
             }
-            question => self.answer(now, question),
+            query => self.answer_query(now, query),
         }
     }
 
     /// Answers a query of the control thread. The answer is dropped if the asking task no longer
     /// waits for it.
-    fn answer(&mut self, now: SystemTime, question: Command) {
-        match question {
+    fn answer_query(&mut self, now: SystemTime, query: Command) {
+        match query {
             Command::StartHandover { service, reply } => {
                 let _ = reply.send(self.policy.start_handover(service));
             }
@@ -191,15 +191,15 @@
     }
 
     /// Calls the policy and executes the actions that it returns.
-    pub(super) fn act<T>(
+    pub(super) fn decide<T>(
         &mut self,
         out: &mut Vec<Outbound>,
-        decide: impl FnOnce(&mut BalancerPolicy<Payload>, &mut Vec<RequestAction<Payload>>) -> T,
+        call: impl FnOnce(&mut BalancerPolicy<Payload>, &mut Vec<RequestAction<Payload>>) -> T,
     ) -> T {
         let mut actions = std::mem::take(&mut self.actions);
 
-        let result = decide(&mut self.policy, &mut actions);
-        self.perform(&mut actions, out);
+        let result = call(&mut self.policy, &mut actions);
+        self.perform_actions(&mut actions, out);
         self.actions = actions;
         result
     }
@@ -231,15 +231,15 @@
     pub(super) fn push(&self, to: SocketAddr, envelope: &Envelope<'_>, out: &mut Vec<Outbound>) {
         match encode(envelope) {
             Ok(bytes) => out.push(Outbound { to, bytes }),
-            Err(_) => self.metrics.refused(RefusalReason::Oversized),
+            Err(_) => self.metrics.count_refusal(RefusalReason::Oversized),
         }
     }
 
     /// Adds a datagram for a caller to the output. All datagrams of a caller go to the same address
     /// of the fabric.
     pub(super) fn push_to_caller(&self, envelope: &Envelope<'_>, out: &mut Vec<Outbound>) {
-        let place = usize::from(envelope.caller.port()) % self.fabrics.len();
+        let index = usize::from(envelope.caller.port()) % self.fabrics.len();
 
-        self.push(self.fabrics[place], envelope, out);
+        self.push(self.fabrics[index], envelope, out);
     }
 }
--- a/crates/valvestage-balancer/src/data_path/request_actions.rs
+++ b/crates/valvestage-balancer/src/data_path/request_actions.rs
@@ -13,28 +13,28 @@
 
 impl DataHandler {
     /// Turns all actions into datagrams, and leaves the list of actions empty.
-    pub(super) fn perform(
+    pub(super) fn perform_actions(
         &self,
         actions: &mut Vec<RequestAction<Payload>>,
         out: &mut Vec<Outbound>,
     ) {
         for action in actions.drain(..) {
-            self.perform_one(action, out);
+            self.perform_action(action, out);
         }
     }
 
-    fn perform_one(&self, action: RequestAction<Payload>, out: &mut Vec<Outbound>) {
+    fn perform_action(&self, action: RequestAction<Payload>, out: &mut Vec<Outbound>) {
         match action {
             RequestAction::Dispatch { backend, incarnation, attempt, deadline, retry, request } => {
                 self.metrics.dispatches.inc();
                 if let Some(reason) = retry {
-                    self.metrics.retried(reason);
+                    self.metrics.count_retry(reason);
                 }
 
                 let mut header = request_header(&request, PacketKind::Request);
                 header.deadline = Some(deadline);
                 header.attempt = Some(attempt);
-                self.push_to_backend_server(&request, backend, incarnation, header, out);
+                self.push_request(&request, backend, incarnation, header, out);
             }
             RequestAction::Cancel { backend, incarnation, id, service, attempt, caller } => {
                 let mut header = Header::new(PacketKind::Cancel);
@@ -48,7 +48,7 @@
                 self.push_answer(id, service, caller, &segments, out);
             }
             RequestAction::Refuse { id, service, caller, refusal } => {
-                self.metrics.refused(refusal.reason);
+                self.metrics.count_refusal(refusal.reason);
                 self.push_refusal(id, service, caller, refusal, out);
             }
             RequestAction::Relay { peer, hop, request } => {
@@ -67,7 +67,7 @@
         }
     }
 
-    fn push_to_backend_server(
+    fn push_request(
         &self,
         request: &Request<Payload>,
         backend: BackendId,
@@ -91,7 +91,7 @@
         let history = self.policy.director().history();
         let backend = history.find(target.service, target.backend);
         let (Some(backend), Some(service)) = (backend, self.service_address(target.service)) else {
-            self.metrics.refused(RefusalReason::BackendGone);
+            self.metrics.count_refusal(RefusalReason::BackendGone);
             return;
         };
 
--- a/crates/valvestage-balancer/src/metrics/balancer_metrics.rs
+++ b/crates/valvestage-balancer/src/metrics/balancer_metrics.rs
@@ -62,23 +62,23 @@
 
 impl BalancerMetrics {
     /// Counts a refusal or a dropped packet.
-    pub fn refused(&self, reason: RefusalReason) {
+    pub fn count_refusal(&self, reason: RefusalReason) {
         self.refusals.get_or_create(&reason.into()).inc();
     }
 
     /// Counts a retry of a request.
-    pub fn retried(&self, reason: RetryReason) {
+    pub fn count_retry(&self, reason: RetryReason) {
         self.retries.get_or_create(&reason.into()).inc();
     }
 
     /// Counts a flow packet forwarded to a backend server.
-    pub fn steered(&self, source: FlowSource) {
+    pub fn count_flow_packet(&self, source: FlowSource) {
         self.flow_packets.get_or_create(&source.into()).inc();
     }
 
     /// Returns all metrics in the OpenMetrics text format.
     #[must_use]
-    pub fn text(&self) -> String {
+    pub fn to_openmetrics(&self) -> String {
         let mut text = String::new();
 
         match encode(&mut text, &self.registry()) {
--- a/crates/valvestage-balancer/src/process.rs
+++ b/crates/valvestage-balancer/src/process.rs
@@ -22,7 +22,7 @@
 use crate::threads::{batch_ring, decide_loop, receive_loop, send_loop};
 
 /// Capacity of the queue of commands to the decide thread.
-const COMMAND_RING: usize = 1_024;
+const COMMAND_CAPACITY: usize = 1_024;
 
 /// Longest time that the receive thread blocks before it checks the stop flag.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(100);
@@ -46,7 +46,7 @@
     receive: JoinHandle<()>,
     decide: JoinHandle<()>,
     send: JoinHandle<()>,
-    receive_stops: Arc<AtomicBool>,
+    receive_stop_flag: Arc<AtomicBool>,
     commands: Sender<Command>,
 }
 
@@ -65,7 +65,8 @@
         let address = settings.data_address;
         let socket = UdpSocket::bind(address)
             .map_err(BalancerError::socket("open the data path on", address))?;
-        prepare(&socket).map_err(BalancerError::socket("prepare the data path on", address))?;
+        configure_socket(&socket)
+            .map_err(BalancerError::socket("prepare the data path on", address))?;
 
         Ok(Self { stage: Starting { settings, peer_key, platform_token, admin_token, socket } })
     }
@@ -74,30 +75,30 @@
     pub fn serve(self) -> Result<BalancerProcess<Serving>, BalancerError> {
         let Starting { settings, peer_key, platform_token, admin_token, socket } = self.stage;
         let metrics = Arc::new(BalancerMetrics::default());
-        let (command_sender, commands) = bounded(COMMAND_RING);
+        let (command_sender, commands) = bounded(COMMAND_CAPACITY);
         let (inbound_sender, inbound) = batch_ring(metrics.clone());
         let (outbound_sender, outbound) = batch_ring(metrics.clone());
 
         // The receive thread.
-        let receive_stops = Arc::new(AtomicBool::new(false));
+        let receive_stop_flag = Arc::new(AtomicBool::new(false));
         let receive_socket = clone_socket(&socket, &settings)?;
         let receive = {
-            let (metrics, stops) = (metrics.clone(), receive_stops.clone());
-            spawn("receive", move || {
-                receive_loop(&receive_socket, &inbound_sender, &metrics, &stops);
+            let (metrics, stop_flag) = (metrics.clone(), receive_stop_flag.clone());
+            spawn_thread("receive", move || {
+                receive_loop(&receive_socket, &inbound_sender, &metrics, &stop_flag);
             })?
         };
 
         // The decide thread.
-        let handler = data_handler(&settings, metrics.clone());
-        let decide = spawn("decide", move || {
+        let handler = new_data_handler(&settings, metrics.clone());
+        let decide = spawn_thread("decide", move || {
             decide_loop(handler, &inbound, &commands, &outbound_sender);
         })?;
 
         // The send thread.
         let send = {
             let metrics = metrics.clone();
-            spawn("send", move || send_loop(&socket, &outbound, &metrics))?
+            spawn_thread("send", move || send_loop(&socket, &outbound, &metrics))?
         };
 
         let state = ControlState::new(settings, metrics, command_sender.clone(), SystemTime::now());
@@ -106,10 +107,10 @@
             peer_key,
             platform_token,
             admin_token,
-            stop_asked: Arc::new(AtomicBool::new(false)),
+            stop_requested: Arc::new(AtomicBool::new(false)),
         };
         let stage =
-            Serving { control, receive, decide, send, receive_stops, commands: command_sender };
+            Serving { control, receive, decide, send, receive_stop_flag, commands: command_sender };
         Ok(BalancerProcess { stage })
     }
 }
@@ -118,18 +119,18 @@
     /// Returns the flag that requests the planned stop when it is set.
     #[must_use]
     pub fn stop_flag(&self) -> Arc<AtomicBool> {
-        self.stage.control.stop_asked.clone()
+        self.stage.control.stop_requested.clone()
     }
 
     /// Runs control on the calling thread until the planned stop has ended, then stops the threads
     /// of the data path.
     pub fn run(self) -> Result<(), BalancerError> {
-        let Serving { control, receive, decide, send, receive_stops, commands } = self.stage;
+        let Serving { control, receive, decide, send, receive_stop_flag, commands } = self.stage;
         let result = control::run(control);
 
         // The decide thread ends first. That closes the ring to the send thread, which still sends
         // what is left in the ring before it ends.
-        receive_stops.store(true, Ordering::Relaxed);
+        receive_stop_flag.store(true, Ordering::Relaxed);
         if commands.send(Command::Stop).is_err() {
             log::error!("the decide thread had already ended before the stop");
         }
@@ -142,7 +143,7 @@
     }
 }
 
-fn prepare(socket: &UdpSocket) -> io::Result<()> {
+fn configure_socket(socket: &UdpSocket) -> io::Result<()> {
     socket.set_read_timeout(Some(RECEIVE_TIMEOUT))?;
     setsockopt(socket, sockopt::RcvBuf, &SOCKET_BUFFER_BYTES)?;
     setsockopt(socket, sockopt::SndBuf, &SOCKET_BUFFER_BYTES)?;
@@ -158,7 +159,7 @@
     socket.try_clone().map_err(BalancerError::socket("share the data path on", address))
 }
 
-fn spawn(
+fn spawn_thread(
     name: &'static str,
     work: impl FnOnce() + Send + 'static,
 ) -> Result<JoinHandle<()>, BalancerError> {
@@ -167,7 +168,7 @@
     spawned.map_err(|cause| BalancerError::Thread { name, cause })
 }
 
-fn data_handler(settings: &BalancerSettings, metrics: Arc<BalancerMetrics>) -> DataHandler {
+fn new_data_handler(settings: &BalancerSettings, metrics: Arc<BalancerMetrics>) -> DataHandler {
     let mut policy = BalancerOptions::new(settings.id, settings.zone.clone());
     policy.requests.max_deadline = settings.max_deadline;
     let options = DataOptions { policy, fabrics: settings.fabric_addresses.clone() };
--- a/crates/valvestage-balancer/src/threads/decide.rs
+++ b/crates/valvestage-balancer/src/threads/decide.rs
@@ -9,7 +9,7 @@
 use crate::data_path::{DataHandler, Inbound, Outbound};
 
 /// Interval at which deadlines are checked.
-const TICK: Duration = Duration::from_millis(5);
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Runs the data handler until control sends the stop command or drops its sender, or until the
 /// send thread has ended.
@@ -20,7 +20,7 @@
     ring: &BatchSender<Outbound>,
 ) {
     let mut out = Vec::new();
-    let mut next_tick = SystemTime::now() + TICK;
+    let mut next_tick = SystemTime::now() + TICK_INTERVAL;
 
     loop {
         let wait = next_tick.duration_since(SystemTime::now()).unwrap_or(Duration::ZERO);
@@ -46,7 +46,7 @@
 
         if now >= next_tick {
             handler.tick(now, &mut out);
-            next_tick = now + TICK;
+            next_tick = now + TICK_INTERVAL;
         }
         if !out.is_empty() && !ring.send(std::mem::take(&mut out)) {
             return;
--- a/crates/valvestage-balancer/src/threads/receive.rs
+++ b/crates/valvestage-balancer/src/threads/receive.rs
@@ -24,11 +24,11 @@
     socket: &UdpSocket,
     ring: &BatchSender<Inbound>,
     metrics: &BalancerMetrics,
-    stops: &AtomicBool,
+    stop_flag: &AtomicBool,
 ) {
     let mut buffers = vec![[0; BUFFER_BYTES]; BATCH_DATAGRAMS];
 
-    while !stops.load(Ordering::Relaxed) {
+    while !stop_flag.load(Ordering::Relaxed) {
         match receive_batch(socket, &mut buffers) {
             Ok(batch) => {
                 metrics.received.inc_by(batch.len() as u64);
@@ -60,8 +60,9 @@
         MsgFlags::MSG_WAITFORONE,
         None,
     )?;
-    let lengths: Vec<(usize, Option<SocketAddr>)> =
-        results.map(|result| (result.bytes, result.address.as_ref().and_then(to_std))).collect();
+    let lengths: Vec<(usize, Option<SocketAddr>)> = results
+        .map(|result| (result.bytes, result.address.as_ref().and_then(to_socket_addr)))
+        .collect();
 
     let datagrams = lengths.into_iter().zip(buffers.iter());
     Ok(datagrams
@@ -71,7 +72,7 @@
         .collect())
 }
 
-fn to_std(address: &SockaddrStorage) -> Option<SocketAddr> {
+fn to_socket_addr(address: &SockaddrStorage) -> Option<SocketAddr> {
     if let Some(v4) = address.as_sockaddr_in() {
         return Some(SocketAddr::new(v4.ip().into(), v4.port()));
     }
--- a/crates/valvestage-balancer/src/threads/send.rs
+++ b/crates/valvestage-balancer/src/threads/send.rs
@@ -14,8 +14,8 @@
 /// Sends batches until the ring is closed and empty.
 pub fn send_loop(socket: &UdpSocket, ring: &BatchReceiver<Outbound>, metrics: &BalancerMetrics) {
     while let Ok(batch) = ring.recv() {
-        for part in batch.chunks(BATCH_DATAGRAMS) {
-            send_all(socket, part, metrics);
+        for chunk in batch.chunks(BATCH_DATAGRAMS) {
+            send_all(socket, chunk, metrics);
         }
     }
 }
--- a/crates/valvestage-balancer/tests/data_path.rs
+++ b/crates/valvestage-balancer/tests/data_path.rs
@@ -20,10 +20,10 @@
 
 const FABRIC: &str = "192.0.2.250:9000";
 const PEER: &str = "192.0.2.2:9000";
-const STRANGER: &str = "192.0.2.99:9000";
+const UNKNOWN_SOURCE: &str = "192.0.2.99:9000";
 const CALLER: &str = "198.18.0.1:4000";
 
-fn at(address: &str) -> SocketAddr {
+fn socket_addr(address: &str) -> SocketAddr {
     address.parse().unwrap()
 }
 
@@ -75,7 +75,7 @@
         let metrics = Arc::new(BalancerMetrics::default());
         let options = DataOptions {
             policy: BalancerOptions::new(1, "brest-a".to_owned()),
-            fabrics: vec![at(FABRIC)],
+            fabrics: vec![socket_addr(FABRIC)],
         };
         let mut handler = DataHandler::new(options, metrics.clone(), now());
 
@@ -85,7 +85,7 @@
             Command::InstallKeys(TokenKeys::new(1, keys)),
             Command::InstallView {
                 view: LiveView::new([(1, "brest-a".to_owned())]),
-                addresses: BTreeMap::from([(2, at(PEER))]),
+                addresses: BTreeMap::from([(2, socket_addr(PEER))]),
             },
         ] {
             handler.on_command(now(), command, &mut Vec::new());
@@ -93,10 +93,10 @@
         Self { handler, metrics }
     }
 
-    fn give(&mut self, source: &str, datagram: &[u8]) -> Vec<Outbound> {
+    fn deliver(&mut self, source: &str, datagram: &[u8]) -> Vec<Outbound> {
         let mut out = Vec::new();
 
-        self.handler.on_datagram(now(), at(source), datagram, &mut out);
+        self.handler.on_datagram(now(), socket_addr(source), datagram, &mut out);
         out
     }
 
@@ -108,31 +108,35 @@
     /// server.
     fn assert_refused(&mut self, source: &str, datagram: &[u8], reason: RefusalReason) {
         let before = self.count(reason);
-        let out = self.give(source, datagram);
+        let out = self.deliver(source, datagram);
 
         assert_eq!(self.count(reason), before + 1, "{}", reason.label());
-        assert!(out.iter().all(|sent| sent.to == at(FABRIC)), "{}: {out:?}", reason.label());
+        assert!(
+            out.iter().all(|sent| sent.to == socket_addr(FABRIC)),
+            "{}: {out:?}",
+            reason.label()
+        );
     }
 }
 
 fn packet(header: Header, service: SocketAddr) -> Vec<u8> {
-    encode(&Envelope { caller: at(CALLER), service, header, payload: b"payload" }).unwrap()
+    encode(&Envelope { caller: socket_addr(CALLER), service, header, payload: b"payload" }).unwrap()
 }
 
 #[test]
-fn bad_input_is_counted_by_reason_and_reaches_no_backend_server() {
+fn invalid_input_is_counted_by_reason_and_reaches_no_backend_server() {
     let mut fixture = Fixture::new();
     let open = packet(Header::new(PacketKind::Open), service_address(1));
 
     // Unknown sources and invalid datagrams.
-    fixture.assert_refused(STRANGER, &open, RefusalReason::UnauthorisedSource);
+    fixture.assert_refused(UNKNOWN_SOURCE, &open, RefusalReason::UnauthorisedSource);
     fixture.assert_refused(FABRIC, &[0; MAX_DATAGRAM + 1], RefusalReason::Oversized);
     fixture.assert_refused(FABRIC, b"bare", RefusalReason::Malformed);
     fixture.assert_refused(FABRIC, &open[..20], RefusalReason::Malformed);
     fixture.assert_refused(FABRIC, &[], RefusalReason::Malformed);
 
     // Packets that callers may not send.
-    let unknown = packet(Header::new(PacketKind::Open), at("203.0.113.9:7000"));
+    let unknown = packet(Header::new(PacketKind::Open), socket_addr("203.0.113.9:7000"));
     fixture.assert_refused(FABRIC, &unknown, RefusalReason::UnknownService);
     let target = Target { service: 1, backend: 1, incarnation: 1 };
     let hop = HopMark { count: 1, purpose: RelayPurpose::Home, view_epoch: 0 };
@@ -167,52 +171,52 @@
 }
 
 #[test]
-fn before_the_first_configuration_everything_is_refused() {
+fn datagrams_before_the_first_configuration_are_refused() {
     let metrics = Arc::new(BalancerMetrics::default());
     let options = DataOptions {
         policy: BalancerOptions::new(1, "brest-a".to_owned()),
-        fabrics: vec![at(FABRIC)],
+        fabrics: vec![socket_addr(FABRIC)],
     };
     let mut handler = DataHandler::new(options, metrics.clone(), now());
     let open = packet(Header::new(PacketKind::Open), service_address(1));
     let mut out = Vec::new();
 
-    handler.on_datagram(now(), at(FABRIC), &open, &mut out);
+    handler.on_datagram(now(), socket_addr(FABRIC), &open, &mut out);
 
     assert!(out.is_empty());
     assert_eq!(metrics.refusals.get_or_create(&RefusalReason::NoConfiguration.into()).get(), 1);
 }
 
 #[test]
-fn the_answer_to_an_opening_packet_carries_a_token_that_any_balancer_takes() {
+fn the_answer_to_an_opening_packet_carries_a_token_that_any_balancer_accepts() {
     let mut fixture = Fixture::new();
     let open = packet(Header::new(PacketKind::Open), service_address(1));
 
     // The opening packet reaches a backend server, which answers it.
-    let out = fixture.give(FABRIC, &open);
+    let out = fixture.deliver(FABRIC, &open);
     let [sent] = &out[..] else { panic!("{out:?}") };
     let target = decode(&sent.bytes).unwrap().header.target.unwrap();
     assert_eq!(sent.to, backend_address(target.backend));
     let answer = Header { target: Some(target), ..Header::new(PacketKind::Open) };
-    let out = fixture.give(&sent.to.to_string(), &packet(answer, service_address(1)));
+    let out = fixture.deliver(&sent.to.to_string(), &packet(answer, service_address(1)));
 
     // The caller receives a token, and a balancer that has not seen the flow accepts it.
     let token = decode(&out[0].bytes).unwrap().header.token.unwrap();
     let mut other = Fixture::new();
     let data = Header { token: Some(token), ..Header::new(PacketKind::Data) };
-    let out = other.give(FABRIC, &packet(data, service_address(1)));
+    let out = other.deliver(FABRIC, &packet(data, service_address(1)));
     assert_eq!(out[0].to, sent.to);
 
     // The token is not valid for the other service.
-    let elsewhere = packet(data, service_address(2));
-    other.assert_refused(FABRIC, &elsewhere, RefusalReason::BadToken);
+    let to_other_service = packet(data, service_address(2));
+    other.assert_refused(FABRIC, &to_other_service, RefusalReason::BadToken);
 }
 
 #[test]
-fn a_flow_that_its_backend_server_has_no_room_for_is_placed_on_another() {
+fn a_flow_refused_by_a_full_backend_server_is_placed_on_another() {
     let mut fixture = Fixture::new();
     let open = packet(Header::new(PacketKind::Open), service_address(1));
-    let first = fixture.give(FABRIC, &open)[0].to;
+    let first = fixture.deliver(FABRIC, &open)[0].to;
 
     // The refusal returns the payload, and the packet goes to the other backend server.
     let refuse = |from: SocketAddr| {
@@ -223,7 +227,7 @@
             Some((valvestage_core::Outcome::NotRun, RefusalReason::BackendConnections));
         packet(header, service_address(1))
     };
-    let out = fixture.give(&first.to_string(), &refuse(first));
+    let out = fixture.deliver(&first.to_string(), &refuse(first));
     let second = out[0].to;
     assert_ne!(first, second);
     assert_eq!(decode(&out[0].bytes).unwrap().payload, b"payload");
--- a/crates/valvestage-balancer/tests/processes/deployment.rs
+++ b/crates/valvestage-balancer/tests/processes/deployment.rs
@@ -38,21 +38,21 @@
     "heartbeat_ms = 100\ndead_after_ms = 1500\nlease_ms = 2000\nmax_deadline_ms = 6000\n";
 
 /// Interval at which an awaited condition is checked.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Time limit for an awaited event. It is far longer than any event takes, so that a test fails
 /// only if the event does not occur.
-const LONGEST_WAIT: Duration = Duration::from_secs(120);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(120);
 
-const LOAD: Duration = Duration::from_secs(8);
-const PATIENCE: Duration = Duration::from_secs(6);
+const LOAD_DURATION: Duration = Duration::from_secs(8);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Locks out forks, and the selection of free ports, of tests that run in parallel.
 ///
 /// From its fork until its exec, a child process holds copies of all sockets of this process. If
 /// another test selects free ports at this time, the copy of a listening socket keeps the selected
 /// port in use. Forks and the selection of ports therefore hold the same lock.
-pub fn hold_forks() -> MutexGuard<'static, ()> {
+pub fn lock_forks() -> MutexGuard<'static, ()> {
     static FORKS: Mutex<()> = Mutex::new(());
 
     FORKS.lock().unwrap_or_else(PoisonError::into_inner)
@@ -61,7 +61,7 @@
 pub struct Deployment {
     pub log: Arc<RunLog>,
     pub platform: PlatformStandin,
-    pub stops: Arc<AtomicBool>,
+    pub stop_flag: Arc<AtomicBool>,
     folder: PathBuf,
     layout: Layout,
     settings: DeploymentSettings,
@@ -78,7 +78,7 @@
         let folder =
             std::env::temp_dir().join(format!("valvestage-{}-{number}", std::process::id()));
         let layout = {
-            let _no_fork = hold_forks();
+            let _fork_lock = lock_forks();
             write_layout(&PLAN, &folder, 1, EXTRA_SETTINGS).unwrap()
         };
         let settings = DeploymentSettings::read(&folder.join("deployment.toml")).unwrap();
@@ -86,7 +86,7 @@
         let mut deployment = Self {
             log: Arc::new(RunLog::default()),
             platform: PlatformStandin::default(),
-            stops: Arc::new(AtomicBool::new(false)),
+            stop_flag: Arc::new(AtomicBool::new(false)),
             folder,
             layout,
             settings,
@@ -109,14 +109,14 @@
         self.platform.put("configuration", serde_json::to_value(raw).unwrap());
 
         let listener = TcpListener::bind(self.layout.platform).unwrap();
-        let (standin, stops) = (self.platform.clone(), self.stops.clone());
+        let (standin, stop_flag) = (self.platform.clone(), self.stop_flag.clone());
         self.threads.push(thread::spawn(move || {
             actix_rt::System::new().block_on(async {
                 let (_, server) = platform::start(listener, standin).unwrap();
                 let handle = server.handle();
                 actix_rt::spawn(server);
-                while !stops.load(Ordering::Relaxed) {
-                    actix_rt::time::sleep(LOOK_AGAIN).await;
+                while !stop_flag.load(Ordering::Relaxed) {
+                    actix_rt::time::sleep(POLL_INTERVAL).await;
                 }
                 handle.stop(false).await;
             });
@@ -132,8 +132,8 @@
                 answer_segments: 2,
             };
             let server = BackendServer::new(options, self.log.clone()).unwrap();
-            let stops = self.stops.clone();
-            self.threads.push(thread::spawn(move || server.run(&stops).unwrap()));
+            let stop_flag = self.stop_flag.clone();
+            self.threads.push(thread::spawn(move || server.run(&stop_flag).unwrap()));
         }
     }
 
@@ -145,17 +145,17 @@
             faults: SprayFaults::default(),
             seed: 1,
         };
-        let stops = self.stops.clone();
+        let stop_flag = self.stop_flag.clone();
 
         self.threads.push(thread::spawn(move || {
-            fabric::run(&options, &stops).unwrap();
+            fabric::run(&options, &stop_flag).unwrap();
         }));
     }
 
     fn start_balancers(&mut self) {
         for balancer in &self.layout.balancers {
             let settings = self.folder.join(format!("balancer-{}.toml", balancer.id));
-            let _one_fork = hold_forks();
+            let _fork_lock = lock_forks();
             let child = Command::new(env!("CARGO_BIN_EXE_valvestage-balancer"))
                 .arg("--settings")
                 .arg(settings)
@@ -181,7 +181,7 @@
             flow_pause: Duration::from_millis(200),
             echoing_share: 0.5,
             once_only_share: 0.5,
-            request_patience: PATIENCE,
+            request_patience: REQUEST_TIMEOUT,
             resend_pause: Duration::from_millis(300),
             seed,
         }
@@ -189,7 +189,7 @@
 
     /// Starts a caller that offers load in the background.
     pub fn start_load(&self) -> JoinHandle<CallerSummary> {
-        let options = self.caller_options(LOAD, 20, 7);
+        let options = self.caller_options(LOAD_DURATION, 20, 7);
 
         thread::spawn(move || caller::run(options).unwrap())
     }
@@ -211,12 +211,12 @@
         self.wait_until("runs", |d| d.log.summary().runs >= runs);
     }
 
-    pub fn wait_until(&self, what: &str, holds: impl Fn(&Self) -> bool) {
-        let deadline = SystemTime::now() + LONGEST_WAIT;
+    pub fn wait_until(&self, what: &str, condition: impl Fn(&Self) -> bool) {
+        let deadline = SystemTime::now() + WAIT_TIMEOUT;
 
-        while !holds(self) {
+        while !condition(self) {
             assert!(SystemTime::now() < deadline, "still waiting for {what}");
-            thread::sleep(LOOK_AGAIN);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
@@ -269,7 +269,7 @@
             let _ = child.kill();
             let _ = child.wait();
         }
-        self.stops.store(true, Ordering::Relaxed);
+        self.stop_flag.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
--- a/crates/valvestage-balancer/tests/processes/main.rs
+++ b/crates/valvestage-balancer/tests/processes/main.rs
@@ -6,13 +6,13 @@
 
 mod deployment;
 
-use deployment::{Deployment, hold_forks};
+use deployment::{Deployment, lock_forks};
 use nix::sys::signal::Signal;
 use valvestage_standins::caller::CallerSummary;
 use valvestage_standins::platform::Faults;
 
 /// Number of runs after which a fault is injected, so that it occurs under load.
-const RUNS_BEFORE: u64 = 60;
+const RUNS_BEFORE_FAULT: u64 = 60;
 
 /// Asserts what holds under every fault: no request runs twice or at the wrong service, no caller
 /// gets contradicting answers or the answer of another request, no request reported as not run has
@@ -35,7 +35,7 @@
 fn an_owner_is_killed() {
     let deployment = Deployment::start();
     let load = deployment.start_load();
-    deployment.wait_for_runs(RUNS_BEFORE);
+    deployment.wait_for_runs(RUNS_BEFORE_FAULT);
 
     let owner = deployment.owner();
     deployment.signal(owner, Signal::SIGKILL);
@@ -47,10 +47,10 @@
 }
 
 #[test]
-fn an_owner_is_frozen_past_its_lease_and_wakes() {
+fn an_owner_is_suspended_past_its_lease_and_resumes() {
     let deployment = Deployment::start();
     let load = deployment.start_load();
-    deployment.wait_for_runs(RUNS_BEFORE);
+    deployment.wait_for_runs(RUNS_BEFORE_FAULT);
 
     let owner = deployment.owner();
     deployment.signal(owner, Signal::SIGSTOP);
@@ -66,7 +66,7 @@
 fn an_owner_stops_as_planned() {
     let mut deployment = Deployment::start();
     let load = deployment.start_load();
-    deployment.wait_for_runs(RUNS_BEFORE);
+    deployment.wait_for_runs(RUNS_BEFORE_FAULT);
 
     let owner = deployment.owner();
     deployment.signal(owner, Signal::SIGTERM);
@@ -82,15 +82,15 @@
 }
 
 #[test]
-fn the_platform_is_out_for_longer_than_a_lease() {
+fn the_platform_is_unavailable_for_longer_than_a_lease() {
     let deployment = Deployment::start();
     let load = deployment.start_load();
-    deployment.wait_for_runs(RUNS_BEFORE);
+    deployment.wait_for_runs(RUNS_BEFORE_FAULT);
 
     deployment.platform.misbehave(Faults { down: true, ..Faults::default() });
     deployment.wait_until("the lease to lapse", |d| !d.any_lease_is_valid());
     let runs = deployment.log.summary().runs;
-    deployment.wait_for_runs(runs + RUNS_BEFORE);
+    deployment.wait_for_runs(runs + RUNS_BEFORE_FAULT);
     deployment.platform.misbehave(Faults::default());
     let summary = load.join().unwrap();
 
@@ -101,10 +101,10 @@
 }
 
 #[test]
-fn all_balancers_of_a_zone_are_frozen_and_wake() {
+fn all_balancers_of_a_zone_are_suspended_and_resume() {
     let deployment = Deployment::start();
     let load = deployment.start_load();
-    deployment.wait_for_runs(RUNS_BEFORE);
+    deployment.wait_for_runs(RUNS_BEFORE_FAULT);
 
     let zone = deployment.balancers_of("zone-b");
     for id in &zone {
@@ -114,7 +114,7 @@
         d.owners().iter().all(|owner| !zone.contains(owner))
     });
     let runs = deployment.log.summary().runs;
-    deployment.wait_for_runs(runs + RUNS_BEFORE / 2);
+    deployment.wait_for_runs(runs + RUNS_BEFORE_FAULT / 2);
     for id in &zone {
         deployment.signal(*id, Signal::SIGCONT);
     }
@@ -128,7 +128,7 @@
 fn exit_codes_of_a_wrong_command_line_and_wrong_settings() {
     let run = |arguments: &[&str]| {
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_valvestage-balancer"));
-        let _one_fork = hold_forks();
+        let _fork_lock = lock_forks();
         command.args(arguments).output().unwrap()
     };
 
--- a/crates/valvestage-operator/src/api.rs
+++ b/crates/valvestage-operator/src/api.rs
@@ -18,8 +18,8 @@
 use crate::balancers::BalancerClients;
 use crate::changes::{read_configuration, write_configuration};
 use crate::errors::ApiError;
+use crate::explanations::{ExplanationQuery, explain};
 use crate::plans::{confirm_plan, make_plan};
-use crate::stories::{StoryQuestion, tell};
 
 /// Id of the change that creates the first configuration.
 const BOOTSTRAP: &str = "bootstrap";
@@ -129,9 +129,9 @@
 
 async fn why(
     api: Data<Api>,
-    question: Query<StoryQuestion>,
+    query: Query<ExplanationQuery>,
 ) -> Result<Json<valvestage_wire::operators::Story>, ApiError> {
-    tell(&api.platform, &api.balancers, question.into_inner()).await.map(Json)
+    explain(&api.platform, &api.balancers, query.into_inner()).await.map(Json)
 }
 
 async fn rotate_keys(api: Data<Api>) -> Result<Json<ConfirmResult>, ApiError> {
--- a/crates/valvestage-operator/src/api/key_rotation.rs
+++ b/crates/valvestage-operator/src/api/key_rotation.rs
@@ -10,14 +10,14 @@
 use crate::errors::ApiError;
 
 /// Number of keys that are accepted at the same time; a rotation drops older ones.
-const KEPT_KEYS: usize = 3;
+const MAX_KEYS: usize = 3;
 
 /// Creates the first keys, unless keys exist already.
 pub(super) async fn ensure_keys(platform: &PlatformClient) -> Result<(), ApiError> {
     let raw = RawTokenKeys {
-        flow_hash: (random_word()?, random_word()?),
+        flow_hash: (random_u64()?, random_u64()?),
         current: 1,
-        keys: vec![(1, random_word()?, random_word()?)],
+        keys: vec![(1, random_u64()?, random_u64()?)],
     };
     let value = to_json(&ObjectValue::TokenKeys(raw))?;
 
@@ -39,8 +39,8 @@
 
     let next: TokenKeyId = raw.current.wrapping_add(1);
     raw.keys.retain(|(id, ..)| *id != next);
-    raw.keys.push((next, random_word()?, random_word()?));
-    let surplus = raw.keys.len().saturating_sub(KEPT_KEYS);
+    raw.keys.push((next, random_u64()?, random_u64()?));
+    let surplus = raw.keys.len().saturating_sub(MAX_KEYS);
     raw.keys.drain(..surplus);
     raw.current = next;
 
@@ -48,7 +48,7 @@
     let change_id = format!("token-key-{next}");
     match platform.write_json(&key.path(), Some(stored.version), &value).await? {
         PlatformReply::Written { version } => Ok(ConfirmResult { change_id, version }),
-        _ => Err(ApiError::Raced {
+        _ => Err(ApiError::VersionConflict {
             base: stored.version,
             version: 0,
             winner: "another rotation".into(),
@@ -56,6 +56,6 @@
     }
 }
 
-fn random_word() -> Result<u64, ApiError> {
-    getrandom::u64().map_err(|error| ApiError::Question(format!("no random numbers: {error}")))
+fn random_u64() -> Result<u64, ApiError> {
+    getrandom::u64().map_err(|error| ApiError::BadQuery(format!("no random numbers: {error}")))
 }
--- a/crates/valvestage-operator/src/balancers.rs
+++ b/crates/valvestage-operator/src/balancers.rs
@@ -39,12 +39,12 @@
 
     /// Returns the status of each balancer; a report without a status if it does not answer.
     pub async fn reports(&self) -> Vec<BalancerReport> {
-        let asking = self.addresses.iter().map(|address| async move {
-            let status: Option<BalancerStatus> = self.ask(*address, "status").await;
+        let requests = self.addresses.iter().map(|address| async move {
+            let status: Option<BalancerStatus> = self.query(*address, "status").await;
             BalancerReport { address: *address, status }
         });
 
-        join_all(asking).await
+        join_all(requests).await
     }
 
     /// Returns the decisions of each balancer about a subject; `None` for a balancer that does not
@@ -56,18 +56,18 @@
         let json = serde_json::to_string(&subject).unwrap_or_default();
         let path = format!("decisions?subject={}", percent_encode(&json));
 
-        let asking = self.addresses.iter().map(|address| {
+        let requests = self.addresses.iter().map(|address| {
             let path = path.clone();
-            async move { (*address, self.ask(*address, &path).await) }
+            async move { (*address, self.query(*address, &path).await) }
         });
-        join_all(asking).await
+        join_all(requests).await
     }
 
-    async fn ask<T: DeserializeOwned>(&self, address: SocketAddr, path: &str) -> Option<T> {
+    async fn query<T: DeserializeOwned>(&self, address: SocketAddr, path: &str) -> Option<T> {
         let url = format!("http://{address}/{path}");
-        let sent = self.client.get(url).bearer_auth(&self.token).send().await;
+        let result = self.client.get(url).bearer_auth(&self.token).send().await;
 
-        let mut response = match sent {
+        let mut response = match result {
             Ok(response) => response,
             Err(error) => {
                 log::warn!(step = "ask balancer", peer:% = address; "{error}");
@@ -82,7 +82,7 @@
 /// Returns the demand of each service, summed over all balancers. Only the owner of a service
 /// counts its demand; the other balancers report zero.
 #[must_use]
-pub fn demand(
+pub fn sum_demand(
     configuration: &Configuration,
     reports: &[BalancerReport],
 ) -> BTreeMap<ServiceId, ServiceDemand> {
@@ -102,7 +102,7 @@
 
 /// Returns the number of flows of each backend server, by its name, summed over all balancers.
 #[must_use]
-pub fn flows_on(reports: &[BalancerReport]) -> BTreeMap<String, u64> {
+pub fn sum_flows(reports: &[BalancerReport]) -> BTreeMap<String, u64> {
     let mut flows = BTreeMap::new();
     let statuses = reports.iter().filter_map(|report| report.status.as_ref());
 
--- a/crates/valvestage-operator/src/changes.rs
+++ b/crates/valvestage-operator/src/changes.rs
@@ -12,7 +12,7 @@
 use crate::errors::ApiError;
 
 /// Largest number of attempts, each a write and a read, before the outcome counts as unknown.
-const SETTLE_TRIES: u32 = 5;
+const MAX_WRITE_ATTEMPTS: u32 = 5;
 
 /// The configuration that the platform stores.
 #[derive(Debug, Clone)]
@@ -49,70 +49,70 @@
 ) -> Result<ObjectVersion, ApiError> {
     let value = to_json(&ObjectValue::Configuration(raw.clone()))?;
     let key = ObjectKey::Configuration.path();
-    let settle = || find_change(platform, base, &raw.change_id);
+    let resolve = || find_change(platform, base, &raw.change_id);
 
-    write_settled(platform, &key, base, &value, &raw.change_id, settle).await
+    write_and_resolve(platform, &key, base, &value, &raw.change_id, resolve).await
 }
 
 /// Outcome of a write, as far as the stored value shows it.
-pub enum Settled {
+pub enum WriteOutcome {
     /// The write took effect, and the value has this version.
     Accepted(ObjectVersion),
     /// The write has not taken effect so far.
-    Open,
+    NotApplied,
 }
 
-/// Writes a value and returns its version, even if answers are lost: after each write without a
-/// clear answer, `settle` looks for the outcome in the platform.
-pub async fn write_settled<F>(
+/// Writes a value and returns its version, even if answers are lost: after each write that the
+/// platform has not confirmed, `resolve` reads the outcome from the platform.
+pub async fn write_and_resolve<F>(
     platform: &PlatformClient,
     key: &str,
     base: Option<ObjectVersion>,
     value: &Value,
     change_id: &str,
-    settle: impl Fn() -> F,
+    resolve: impl Fn() -> F,
 ) -> Result<ObjectVersion, ApiError>
 where
-    F: Future<Output = Result<Settled, ApiError>>,
+    F: Future<Output = Result<WriteOutcome, ApiError>>,
 {
-    let mut last: Option<PlatformError> = None;
+    let mut last_error: Option<PlatformError> = None;
 
-    for _ in 0..SETTLE_TRIES {
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         match platform.write_json(key, base, value).await {
             Ok(PlatformReply::Written { version }) => return Ok(version),
             // The conflicting write may be an earlier attempt of this one whose answer was lost.
             Ok(_) => {}
-            Err(error) => last = Some(error),
+            Err(error) => last_error = Some(error),
         }
 
-        match settle().await {
-            Ok(Settled::Accepted(version)) => return Ok(version),
-            Ok(Settled::Open) => {}
-            Err(ApiError::Platform(error)) => last = Some(error),
+        match resolve().await {
+            Ok(WriteOutcome::Accepted(version)) => return Ok(version),
+            Ok(WriteOutcome::NotApplied) => {}
+            Err(ApiError::Platform(error)) => last_error = Some(error),
             Err(error) => return Err(error),
         }
     }
 
-    if let Some(error) = last {
+    if let Some(error) = last_error {
         log::warn!(change = change_id; "{error}");
     }
-    Err(ApiError::Unsettled { change_id: change_id.to_owned() })
+    Err(ApiError::OutcomeUnknown { change_id: change_id.to_owned() })
 }
 
 async fn find_change(
     platform: &PlatformClient,
     base: Option<ObjectVersion>,
     change_id: &str,
-) -> Result<Settled, ApiError> {
+) -> Result<WriteOutcome, ApiError> {
     match read_configuration(platform).await? {
         Some(found) if found.raw.change_id == change_id => {
-            Ok(Settled::Accepted(found.checked.version))
+            Ok(WriteOutcome::Accepted(found.checked.version))
         }
-        Some(found) if Some(found.checked.version) != base => Err(ApiError::Raced {
+        Some(found) if Some(found.checked.version) != base => Err(ApiError::VersionConflict {
             base: base.unwrap_or(0),
             version: found.checked.version,
             winner: found.raw.change_id,
         }),
-        _ => Ok(Settled::Open),
+        _ => Ok(WriteOutcome::NotApplied),
     }
 }
--- a/crates/valvestage-operator/src/errors.rs
+++ b/crates/valvestage-operator/src/errors.rs
@@ -18,7 +18,7 @@
     Platform(#[from] PlatformError),
     /// No attempt of a write got an answer that shows whether the write took effect.
     #[error("cannot determine whether the platform accepted change {change_id}")]
-    Unsettled {
+    OutcomeUnknown {
         /// Id of the change.
         change_id: String,
     },
@@ -40,7 +40,7 @@
     #[error(
         "version {base} is not in force any more: change {winner} came first, as version {version}"
     )]
-    Raced {
+    VersionConflict {
         /// The version that the change was based on.
         base: ObjectVersion,
         /// The current version; 0 if it was not read.
@@ -53,23 +53,23 @@
     Refused(PlanRefusal),
     /// The query is invalid.
     #[error("{0}")]
-    Question(String),
+    BadQuery(String),
 }
 
 impl ApiError {
     fn remedy(&self) -> String {
         match self {
             Self::Platform(_) => "Try again when the platform answers; nothing was changed.".into(),
-            Self::Unsettled { change_id } => {
+            Self::OutcomeUnknown { change_id } => {
                 format!(
                     "Run `valvectl status` when the platform answers: the change is accepted if {change_id} is in force."
                 )
             }
             Self::Policy(_) | Self::Core(_) => "Correct the call and send it again.".into(),
             Self::Missing { remedy, .. } => (*remedy).into(),
-            Self::Raced { .. } => "Make a new plan based on the current version.".into(),
+            Self::VersionConflict { .. } => "Make a new plan based on the current version.".into(),
             Self::Refused(refusal) => refusal.remedy.clone(),
-            Self::Question(_) => "See `valvectl why --help`.".into(),
+            Self::BadQuery(_) => "See `valvectl why --help`.".into(),
         }
     }
 }
@@ -77,12 +77,12 @@
 impl ResponseError for ApiError {
     fn status_code(&self) -> StatusCode {
         match self {
-            Self::Platform(_) | Self::Unsettled { .. } => StatusCode::SERVICE_UNAVAILABLE,
+            Self::Platform(_) | Self::OutcomeUnknown { .. } => StatusCode::SERVICE_UNAVAILABLE,
             Self::Policy(PolicyError::NotFound { .. }) | Self::Missing { .. } => {
                 StatusCode::NOT_FOUND
             }
-            Self::Policy(_) | Self::Core(_) | Self::Question(_) => StatusCode::BAD_REQUEST,
-            Self::Raced { .. } => StatusCode::CONFLICT,
+            Self::Policy(_) | Self::Core(_) | Self::BadQuery(_) => StatusCode::BAD_REQUEST,
+            Self::VersionConflict { .. } => StatusCode::CONFLICT,
             Self::Refused(_) => StatusCode::UNPROCESSABLE_ENTITY,
         }
     }
--- a/crates/valvestage-operator/src/stories.rs
+++ b/crates/valvestage-operator/src/explanations.rs
@@ -19,7 +19,7 @@
 /// `service`.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct StoryQuestion {
+pub struct ExplanationQuery {
     /// Id of a request, in hexadecimal.
     pub request: Option<String>,
     /// Version of a configuration.
@@ -31,12 +31,12 @@
 }
 
 /// Returns the explanation of the subject that a query names, with the decisions in order of time.
-pub async fn tell(
+pub async fn explain(
     platform: &PlatformClient,
     balancers: &BalancerClients,
-    question: StoryQuestion,
+    query: ExplanationQuery,
 ) -> Result<Story, ApiError> {
-    let subject = find_subject(platform, question).await?;
+    let subject = find_subject(platform, query).await?;
     let answers = balancers.decisions(subject).await;
 
     let silent = answers.iter().filter(|(_, records)| records.is_none());
@@ -45,10 +45,10 @@
         answers.into_iter().filter_map(|(_, records)| records).flatten().collect();
     records.sort_by_key(|record| record.at_ms);
 
-    Ok(Story { sentences: records.into_iter().map(told).collect(), silent })
+    Ok(Story { sentences: records.into_iter().map(to_sentence).collect(), silent })
 }
 
-fn told(record: DecisionRecord) -> StorySentence {
+fn to_sentence(record: DecisionRecord) -> StorySentence {
     let sentence = format!("Balancer {} {}.", record.balancer, record.decision);
 
     StorySentence { record, sentence }
@@ -56,19 +56,19 @@
 
 async fn find_subject(
     platform: &PlatformClient,
-    question: StoryQuestion,
+    query: ExplanationQuery,
 ) -> Result<Subject, ApiError> {
-    match question {
-        StoryQuestion { request: Some(id), change: None, caller: None, service: None } => {
+    match query {
+        ExplanationQuery { request: Some(id), change: None, caller: None, service: None } => {
             let parsed = RequestId::from_str_radix(&id, 16);
             parsed
                 .map(Subject::Request)
-                .map_err(|_| ApiError::Question(format!("{id} is not a hexadecimal request id")))
+                .map_err(|_| ApiError::BadQuery(format!("{id} is not a hexadecimal request id")))
         }
-        StoryQuestion { change: Some(version), request: None, caller: None, service: None } => {
+        ExplanationQuery { change: Some(version), request: None, caller: None, service: None } => {
             Ok(Subject::Change(version))
         }
-        StoryQuestion { service: Some(name), caller, request: None, change: None } => {
+        ExplanationQuery { service: Some(name), caller, request: None, change: None } => {
             let service = find_service(platform, &name).await?;
             match caller {
                 None => Ok(Subject::Service(service)),
@@ -78,7 +78,7 @@
                 }
             }
         }
-        _ => Err(ApiError::Question(
+        _ => Err(ApiError::BadQuery(
             "give exactly one of: a request, a change, a service, or a caller with a service"
                 .into(),
         )),
--- a/crates/valvestage-operator/src/lib.rs
+++ b/crates/valvestage-operator/src/lib.rs
@@ -9,12 +9,12 @@
 //! | [`balancers`] | queries to the balancers |
 //! | [`changes`] | conditional writes, and the outcome of writes whose answer was lost |
 //! | [`plans`] | computing, storing and confirming plans |
-//! | [`stories`] | explanations of decisions |
+//! | [`explanations`] | explanations of decisions |
 //! | [`errors`] | the error type of this crate |
 
 pub mod api;
 pub mod balancers;
 pub mod changes;
 pub mod errors;
+pub mod explanations;
 pub mod plans;
-pub mod stories;
--- a/crates/valvestage-operator/src/plans.rs
+++ b/crates/valvestage-operator/src/plans.rs
@@ -7,12 +7,12 @@
 use valvestage_policy::operations::{Intent, Plan, draw_plan};
 use valvestage_wire::operators::ConfirmResult;
 
-use crate::balancers::{BalancerClients, demand, flows_on};
+use crate::balancers::{BalancerClients, sum_demand, sum_flows};
 use crate::changes::{StoredConfiguration, read_configuration, write_configuration};
 use crate::errors::ApiError;
 
 /// Number of digest bytes that form the id of a plan.
-const ID_BYTES: usize = 6;
+const PLAN_ID_BYTES: usize = 6;
 
 fn no_configuration() -> ApiError {
     ApiError::Missing {
@@ -28,7 +28,7 @@
     intent: Intent,
 ) -> Result<Plan, ApiError> {
     let base = read_configuration(platform).await?.ok_or_else(no_configuration)?;
-    let plan = draw(balancers, &base, intent).await?;
+    let plan = plan_for_intent(balancers, &base, intent).await?;
 
     // The id is a digest of the base version and the intent, so that storing the plan twice is
     // harmless.
@@ -37,16 +37,16 @@
     Ok(plan)
 }
 
-async fn draw(
+async fn plan_for_intent(
     balancers: &BalancerClients,
     base: &StoredConfiguration,
     intent: Intent,
 ) -> Result<Plan, ApiError> {
     let reports = balancers.reports().await;
     let id = plan_id(base.checked.version, &intent);
-    let demand = demand(&base.checked, &reports);
+    let demand = sum_demand(&base.checked, &reports);
 
-    Ok(draw_plan(id, &base.checked, &base.raw, intent, &demand, &flows_on(&reports))?)
+    Ok(draw_plan(id, &base.checked, &base.raw, intent, &demand, &sum_flows(&reports))?)
 }
 
 /// Carries out a plan, unless the configuration has changed since it was made or the plan would
@@ -64,7 +64,7 @@
         return Ok(ConfirmResult { change_id: plan.id, version: base.checked.version });
     }
     if base.checked.version != plan.base_version {
-        return Err(ApiError::Raced {
+        return Err(ApiError::VersionConflict {
             base: plan.base_version,
             version: base.checked.version,
             winner: base.raw.change_id,
@@ -72,14 +72,15 @@
     }
 
     // The load may have changed since the plan was made.
-    let fresh = draw(balancers, &base, plan.intent).await?;
-    if let Some(refusal) = fresh.refusal {
+    let recomputed = plan_for_intent(balancers, &base, plan.intent).await?;
+    if let Some(refusal) = recomputed.refusal {
         return Err(ApiError::Refused(refusal));
     }
 
-    let version = write_configuration(platform, Some(plan.base_version), &fresh.result).await?;
-    log::info!(change = fresh.id.as_str(), version; "change accepted");
-    Ok(ConfirmResult { change_id: fresh.id, version })
+    let version =
+        write_configuration(platform, Some(plan.base_version), &recomputed.result).await?;
+    log::info!(change = recomputed.id.as_str(), version; "change accepted");
+    Ok(ConfirmResult { change_id: recomputed.id, version })
 }
 
 async fn read_plan(platform: &PlatformClient, id: &str) -> Result<Plan, ApiError> {
@@ -100,5 +101,5 @@
     let intent = serde_json::to_string(intent).unwrap_or_default();
     let digest = Sha256::digest(format!("{base} {intent}"));
 
-    digest.iter().take(ID_BYTES).map(|byte| format!("{byte:02x}")).collect()
+    digest.iter().take(PLAN_ID_BYTES).map(|byte| format!("{byte:02x}")).collect()
 }
