--- a/crates/valvestage-balancer/src/commands.rs
+++ b/crates/valvestage-balancer/src/commands.rs
@@ -53,7 +53,7 @@
     InstallOwnerMap(Arc<OwnerMap>),
     /// Install the keys that sign and verify flow tokens.
     InstallKeys(TokenKeys),
-    /// Install the set of live balancers and the data addresses of the reachable ones.
+    /// Install the set of live balancers, and the data addresses of the others that answer.
     InstallView {
         /// The live balancers.
         view: LiveView,
--- a/crates/valvestage-balancer/src/control/bindings_task.rs
+++ b/crates/valvestage-balancer/src/control/bindings_task.rs
@@ -33,9 +33,9 @@
     }
 }
 
-/// Copies each binding that the configuration would not place the same way to the balancers that
-/// may need it. The configuration and the live balancers are read once at the start; a change
-/// during the copy makes the task run again afterwards.
+/// Copies each binding that does not follow from the configuration to the balancers that may need
+/// it. The configuration and the live balancers are read once at the start; a change during the
+/// copy makes the task run again afterwards.
 pub(super) async fn copy_exceptions(state: &Arc<ControlState>, peers: &PeerClients) {
     let Some(flows) = state.query_data_path(Command::ListBindings).await else {
         return;
--- a/crates/valvestage-balancer/src/errors.rs
+++ b/crates/valvestage-balancer/src/errors.rs
@@ -11,9 +11,9 @@
 #[derive(Debug, Error)]
 pub enum BalancerError {
     /// A socket could not be opened or configured.
-    #[error("{step} {address}: {cause}")]
+    #[error("cannot {step} {address}: {cause}")]
     Socket {
-        /// The failed operation, worded so that the address can follow it.
+        /// The failed operation, worded so that it fits between "cannot" and the address.
         step: &'static str,
         /// The local address.
         address: SocketAddr,
@@ -21,7 +21,7 @@
         cause: io::Error,
     },
     /// A thread could not be started.
-    #[error("start thread {name}: {cause}")]
+    #[error("cannot start thread {name}: {cause}")]
     Thread {
         /// Name of the thread.
         name: &'static str,
--- a/crates/valvestage-balancer/src/metrics/balancer_metrics.rs
+++ b/crates/valvestage-balancer/src/metrics/balancer_metrics.rs
@@ -46,7 +46,7 @@
     pub flows: Gauge<u64, AtomicU64>,
     /// Memory allocated by the flow table, in bytes.
     pub flow_table_bytes: Gauge<u64, AtomicU64>,
-    /// Slots in use at services that this balancer owns.
+    /// Request slots in use at the backend servers of services that this balancer owns.
     pub busy_slots: Gauge<u64, AtomicU64>,
     /// Requests queued at services that this balancer owns.
     pub waiting: Gauge<u64, AtomicU64>,
--- a/crates/valvestage-balancer/src/process.rs
+++ b/crates/valvestage-balancer/src/process.rs
@@ -64,9 +64,9 @@
 
         let address = settings.data_address;
         let socket = UdpSocket::bind(address)
-            .map_err(BalancerError::socket("open the data path on", address))?;
+            .map_err(BalancerError::socket("bind the data socket to", address))?;
         configure_socket(&socket)
-            .map_err(BalancerError::socket("prepare the data path on", address))?;
+            .map_err(BalancerError::socket("set up the data socket on", address))?;
 
         Ok(Self { stage: Starting { settings, peer_key, platform_token, admin_token, socket } })
     }
@@ -156,7 +156,7 @@
 ) -> Result<UdpSocket, BalancerError> {
     let address = settings.data_address;
 
-    socket.try_clone().map_err(BalancerError::socket("share the data path on", address))
+    socket.try_clone().map_err(BalancerError::socket("clone the data socket on", address))
 }
 
 fn spawn_thread(
--- a/crates/valvestage-balancer/src/threads.rs
+++ b/crates/valvestage-balancer/src/threads.rs
@@ -3,7 +3,7 @@
 //! ```text
 //! socket -> receive -> ring of batches -> decide -> ring of batches -> send -> socket
 //!                                           ^
-//!                            ring of commands from control
+//!                           queue of commands from control
 //! ```
 //!
 //! A batch for a full ring is dropped and counted, so that no thread waits for a slower one.
--- a/crates/valvestage-balancer/tests/processes/main.rs
+++ b/crates/valvestage-balancer/tests/processes/main.rs
@@ -20,13 +20,13 @@
 fn assert_safe(deployment: &Deployment, summary: &CallerSummary) {
     let backends = deployment.log.summary();
 
-    assert_eq!(backends.repeated, 0, "ran twice");
-    assert_eq!(backends.misdelivered, 0, "reached the wrong service");
-    assert_eq!(summary.contradicted, 0, "told two different things");
-    assert_eq!(summary.foreign_answers, 0, "got the answer of another request");
+    assert_eq!(backends.repeated, 0, "a request ran twice");
+    assert_eq!(backends.misdelivered, 0, "a request reached the wrong service");
+    assert_eq!(summary.contradicted, 0, "a caller got contradicting results");
+    assert_eq!(summary.foreign_answers, 0, "a caller got the answer to another request");
     for id in &summary.not_run_ids {
         let id = u128::from_str_radix(id, 16).unwrap();
-        assert!(!deployment.log.ran(id), "{id:032x} was told not to have run");
+        assert!(!deployment.log.ran(id), "{id:032x} ran, but was reported as not run");
     }
     assert!(summary.answered > 0);
 }
--- a/crates/valvestage-operator/src/errors.rs
+++ b/crates/valvestage-operator/src/errors.rs
@@ -41,7 +41,7 @@
         "version {base} is not in force any more: change {winner} came first, as version {version}"
     )]
     VersionConflict {
-        /// The version that the change was based on.
+        /// The version that the change was based on; 0 for a first configuration.
         base: ObjectVersion,
         /// The current version; 0 if it was not read.
         version: ObjectVersion,
