--- a/crates/valvestage-balancer/src/control/peer_server.rs
+++ b/crates/valvestage-balancer/src/control/peer_server.rs
@@ -1,4 +1,4 @@
-//! Answering peers.
+//! Answers calls of peers.
 
 use std::sync::Arc;
 use std::time::SystemTime;
@@ -19,7 +19,7 @@
 use crate::commands::{Command, Payload};
 use crate::errors::BalancerError;
 
-/// Listens on the peer address, and answers in the background.
+/// Listens on the peer address and answers calls in the background.
 pub(super) async fn start(
     state: Arc<ControlState>,
     key: PeerKey,
@@ -59,26 +59,26 @@
         }
     };
 
-    // A frame with a wrong MAC ends the connection before anything of it is looked at.
+    // A frame with a wrong MAC closes the connection before the frame is decoded.
     BaseChannel::with_defaults(transport)
-        .execute(PeerAnswers { state }.serve())
-        .for_each(|answering| async {
-            actix_rt::spawn(answering);
+        .execute(PeerHandler { state }.serve())
+        .for_each(|response| async {
+            actix_rt::spawn(response);
         })
         .await;
 }
 
 #[derive(Clone)]
-struct PeerAnswers {
+struct PeerHandler {
     state: Arc<ControlState>,
 }
 
-impl PeerService for PeerAnswers {
+impl PeerService for PeerHandler {
     async fn heartbeat(self, _: Context, message: HeartbeatMessage) -> HeartbeatMessage {
         let now = SystemTime::now();
-        let answer = self.state.change(|policy, _| policy.on_heartbeat(now, message));
+        let answer = self.state.update(|policy, _| policy.on_heartbeat(now, message));
 
-        // News travel on at once: the next step fetches them.
+        // Run a step at once: it fetches the object versions that the heartbeat has announced.
         self.state.step_now.notify_one();
         answer
     }
@@ -90,7 +90,7 @@
     }
 
     async fn copy_bindings(self, _: Context, bindings: Vec<Binding>) {
-        self.state.tell(Command::AddBindings(bindings));
+        self.state.send_command(Command::AddBindings(bindings));
     }
 
     async fn offer_handover(
@@ -100,18 +100,18 @@
         handover: u64,
         claims: Vec<ExportedClaim<Payload>>,
     ) -> bool {
-        // Without a lease this balancer could not own the service.
-        let takes = self.state.is_ready() && self.state.read(|policy| policy.grant().is_some());
+        // A balancer without a lease cannot own a service.
+        let accepts = self.state.is_ready() && self.state.read(|policy| policy.grant().is_some());
 
-        if takes {
-            self.state.tell(Command::OfferHandover { service, handover, claims });
+        if accepts {
+            self.state.send_command(Command::OfferHandover { service, handover, claims });
         }
-        takes
+        accepts
     }
 
     async fn decisions(self, _: Context, subject: Subject) -> Vec<DecisionRecord> {
-        let question = |reply| Command::ListDecisions { subject, reply };
+        let to_command = |reply| Command::ListDecisions { subject, reply };
 
-        self.state.ask(question).await.unwrap_or_default()
+        self.state.query_data_path(to_command).await.unwrap_or_default()
     }
 }
--- a/crates/valvestage-balancer/src/control/platform_driver.rs
+++ b/crates/valvestage-balancer/src/control/platform_driver.rs
@@ -1,4 +1,4 @@
-//! Carrying platform calls out, with metrics and logs.
+//! Executes platform calls and records them in metrics and logs.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
@@ -11,7 +11,7 @@
 use super::control_state::ControlState;
 use crate::metrics::{PlatformLabel, PlatformResult};
 
-/// `PlatformDriver` is shared by the control tasks.
+/// Executor of platform calls, shared by the control tasks.
 #[derive(Clone)]
 pub(super) struct PlatformDriver {
     client: PlatformClient,
@@ -23,7 +23,7 @@
         Self { client, state }
     }
 
-    /// Carries a call out; no usable answer is a reply, too.
+    /// Executes a call. If no usable answer arrives, the reply is [`PlatformReply::Unknown`].
     pub(super) async fn execute(&self, call: PlatformCall) -> PlatformReply {
         let name = match call {
             PlatformCall::Read { .. } => "read",
@@ -39,11 +39,11 @@
             PlatformReply::Conflict => PlatformResult::Conflict,
             _ => PlatformResult::Done,
         };
-        self.count(name, result);
+        self.record_result(name, result);
         reply
     }
 
-    /// Waits for changes.
+    /// Waits until objects have changed since version `after`, at most for the time `wait`.
     pub(super) async fn watch(
         &self,
         after: Option<ObjectVersion>,
@@ -51,16 +51,16 @@
     ) -> Result<WatchResult, PlatformError> {
         let result = self.client.watch(after, wait).await;
 
-        self.count(
+        self.record_result(
             "watch",
             if result.is_ok() { PlatformResult::Done } else { PlatformResult::NoAnswer },
         );
         result
     }
 
-    fn count(&self, call: &'static str, result: PlatformResult) {
+    fn record_result(&self, call: &'static str, result: PlatformResult) {
         if result != PlatformResult::NoAnswer {
-            self.state.change(|policy, _| policy.record_platform_contact(SystemTime::now()));
+            self.state.update(|policy, _| policy.record_platform_contact(SystemTime::now()));
         }
 
         let label = PlatformLabel { call, result };
--- a/crates/valvestage-balancer/src/control/step_task.rs
+++ b/crates/valvestage-balancer/src/control/step_task.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the control policy says: heartbeats, fetches, platform calls.
+//! Executes the actions of the control policy: heartbeats, fetches and platform calls.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
@@ -14,10 +14,10 @@
 use super::platform_driver::PlatformDriver;
 use crate::metrics::DirectionLabel;
 
-/// Pause between two steps.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Interval between two steps.
+const STEP_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Steps at the pause, and at once when something is new.
+/// Runs the control policy at a fixed interval, and at once after each change.
 pub(super) async fn run(state: Arc<ControlState>, peers: PeerClients, platform: PlatformDriver) {
     loop {
         for action in state.step(SystemTime::now()) {
@@ -26,7 +26,7 @@
         update_metrics(&state, &peers);
 
         tokio::select! {
-            () = sleep(PAUSE) => {}
+            () = sleep(STEP_INTERVAL) => {}
             () = state.step_now.notified() => {}
         }
     }
@@ -44,7 +44,7 @@
         }
         ControlAction::Heartbeat { to, message } => match heartbeat(&peers, &to, message).await {
             Ok(answer) => {
-                state.change(|policy, _| policy.on_heartbeat_answer(SystemTime::now(), answer));
+                state.update(|policy, _| policy.on_heartbeat_answer(SystemTime::now(), answer));
             }
             Err(error) => log::debug!("{error}"),
         },
@@ -53,7 +53,7 @@
             Ok(None) => {}
             Err(error) => log::debug!("{error}"),
         },
-        // Put in force by the control state.
+        // The control state has already installed it.
         ControlAction::Install(_) => {}
     }
 }
@@ -66,9 +66,10 @@
 ) {
     let reply = platform.execute(call).await;
 
-    let taken = state.change(|policy, out| policy.on_reply(SystemTime::now(), machine, reply, out));
-    if let Err(error) = taken {
-        log::error!("not put in force: {error}");
+    let result =
+        state.update(|policy, out| policy.on_reply(SystemTime::now(), machine, reply, out));
+    if let Err(error) = result {
+        log::error!("object from the platform not installed: {error}");
     }
     state.step_now.notify_one();
 }
--- a/crates/valvestage-balancer/src/control/stop_task.rs
+++ b/crates/valvestage-balancer/src/control/stop_task.rs
@@ -1,4 +1,5 @@
-//! The planned stop: no request cut, no claim lost, no flow forgotten.
+//! The planned stop: lets open requests finish, hands claims to the next owners and copies the
+//! bindings of flows to other balancers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,48 +16,49 @@
 use super::platform_driver::PlatformDriver;
 use crate::commands::Command;
 
-/// Pause between two looks at something that is awaited.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Interval at which an awaited condition is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits until a signal asks for the stop.
-pub(super) async fn wait_for_stop(stop_asked: &AtomicBool) {
-    while !stop_asked.load(Ordering::Relaxed) {
-        sleep(PAUSE).await;
+/// Waits until a signal requests the stop.
+pub(super) async fn wait_for_stop_request(stop_requested: &AtomicBool) {
+    while !stop_requested.load(Ordering::Relaxed) {
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Stops within the time that the settings allow.
+/// Performs the planned stop, within the time that the settings allow.
 pub(super) async fn stop(
     state: &Arc<ControlState>,
     peers: &PeerClients,
     platform: &PlatformDriver,
 ) {
     let deadline = SystemTime::now() + state.settings.stop_within;
-    log::info!("stopping: no new work, services are handed over");
+    log::info!("stopping: taking no new work, handing services over");
 
-    // The fabric sees that this balancer is not ready, the peers that it leaves.
+    // From now on `/readyz` reports not ready to the fabric, and heartbeats report to the peers
+    // that this balancer is leaving.
     state.leave();
-    let announced = SystemTime::now();
+    let announced_at = SystemTime::now();
 
-    hand_over_all(state, peers, platform, deadline).await;
-    state.change(|policy, _| policy.release_lease());
+    hand_over_services(state, peers, platform, deadline).await;
+    state.update(|policy, _| policy.release_lease());
     copy_exceptions(state, peers).await;
 
-    // Until every peer and the fabric have noticed, packets still come and are relayed.
-    let noticed = announced + state.settings.dead_after;
+    // Packets arrive, and are relayed, until the fabric and every peer have noticed the stop.
+    let noticed_at = announced_at + state.settings.dead_after;
     loop {
         let open_work = state.snapshot().await.open_work;
         let is_given_back = state.read(|policy| policy.is_lease_released());
         let now = SystemTime::now();
-        if (open_work == 0 && now >= noticed && is_given_back) || now >= deadline {
+        if (open_work == 0 && now >= noticed_at && is_given_back) || now >= deadline {
             log::info!(open_work; "stopped");
             return;
         }
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn hand_over_all(
+async fn hand_over_services(
     state: &Arc<ControlState>,
     peers: &PeerClients,
     platform: &PlatformDriver,
@@ -70,37 +72,39 @@
 
         match step {
             Some(StopStep::Offer { to, service, handover }) => {
-                let offered = offer(state, peers, to, service, handover).await;
-                let taken = offered.unwrap_or_else(|error| {
+                let result = offer_service(state, peers, to, service, handover).await;
+                let accepted = result.unwrap_or_else(|error| {
                     log::warn!("{error}");
                     false
                 });
-                stop.on_offered(taken);
+                stop.on_offered(accepted);
             }
             Some(StopStep::Call(call)) => {
                 stop.on_reply(SystemTime::now(), platform.execute(call).await);
             }
             Some(StopStep::Settle { service, moved, map }) => {
                 if let Some(map) = map {
-                    state.change(|policy, out| policy.on_owner_map(map, out));
+                    state.update(|policy, out| policy.on_owner_map(map, out));
                 }
-                state.tell(Command::SettleHandover { service, moved });
-                log::info!(service, moved; "handover of a service");
+                state.send_command(Command::SettleHandover { service, moved });
+                log::info!(service, moved; "service handover finished");
             }
-            None => sleep(PAUSE).await,
+            None => sleep(POLL_INTERVAL).await,
         }
     }
 }
 
-async fn offer(
+async fn offer_service(
     state: &ControlState,
     peers: &PeerClients,
     to: BalancerId,
     service: ServiceId,
     handover: u64,
 ) -> Result<bool, WireError> {
-    let question = |reply| Command::StartHandover { service, reply };
-    let (Some(record), Some(claims)) = (state.find_peer(to), state.ask(question).await) else {
+    let to_command = |reply| Command::StartHandover { service, reply };
+    let (Some(record), Some(claims)) =
+        (state.find_peer(to), state.query_data_path(to_command).await)
+    else {
         return Ok(false);
     };
 
--- a/crates/valvestage-balancer/src/data_path/backend_packets.rs
+++ b/crates/valvestage-balancer/src/data_path/backend_packets.rs
@@ -1,4 +1,4 @@
-//! Packets from backend servers.
+//! Handling of packets from backend servers.
 
 use std::time::{Duration, SystemTime};
 
@@ -10,8 +10,9 @@
 use super::data_handler::DataHandler;
 use super::datagrams::Outbound;
 
-/// How long a backend server that refused a flow gets no new ones.
-const FULL_PAUSE: Duration = Duration::from_secs(1);
+/// Time for which a backend server that has refused a flow at its connection limit gets no new
+/// flows.
+const CONNECTIONS_FULL_BACKOFF: Duration = Duration::from_secs(1);
 
 impl DataHandler {
     pub(super) fn on_backend_packet(
@@ -21,7 +22,8 @@
         envelope: &Envelope<'_>,
         out: &mut Vec<Outbound>,
     ) -> Result<(), RefusalReason> {
-        // The answer names what it answers for; it has to be what the record says.
+        // The target in the header has to match the record of the source address, so that a backend
+        // server cannot answer for another one.
         if envelope.header.target != Some(sender) {
             return Err(RefusalReason::WrongService);
         }
@@ -52,7 +54,7 @@
         let key = keys.hasher().key(envelope.caller, sender.service);
         let mut header = Header::new(kind);
 
-        // The answer to the opening packet carries the token.
+        // The answer to the opening packet carries the flow's token.
         if kind == PacketKind::Open {
             let history = self.policy.director().history();
             let backend = history.find(sender.service, sender.backend);
@@ -64,7 +66,8 @@
         Ok(())
     }
 
-    /// A refused opening packet comes back with its payload and is placed elsewhere.
+    /// Handles the refusal of a flow. A backend server at its connection limit returns the opening
+    /// packet with its payload, and the flow is placed on another backend server.
     fn on_flow_refused(
         &mut self,
         now: SystemTime,
@@ -73,7 +76,7 @@
         out: &mut Vec<Outbound>,
     ) -> Result<(), RefusalReason> {
         let (_, reason) = envelope.header.refusal.ok_or(RefusalReason::Malformed)?;
-        self.metrics.refused(reason);
+        self.metrics.count_refusal(reason);
         if reason != RefusalReason::BackendConnections {
             return Ok(());
         }
@@ -81,12 +84,12 @@
         let director = self.policy.director_mut();
         let keys = director.keys().ok_or(RefusalReason::NoConfiguration)?;
         let key = keys.hasher().key(envelope.caller, sender.service);
-        director.on_connections_full(key, sender.backend, now + FULL_PAUSE);
+        director.on_connections_full(key, sender.backend, now + CONNECTIONS_FULL_BACKOFF);
 
         let header = Header::new(PacketKind::Open);
-        let again = Envelope { header, ..*envelope };
+        let reopening = Envelope { header, ..*envelope };
         let hop = RelayHeader { count: MAX_HOPS, ..RelayHeader::FIRST };
-        self.on_flow_packet(now, &again, sender.service, hop, out)
+        self.on_flow_packet(now, &reopening, sender.service, hop, out)
     }
 
     fn on_answer(
@@ -97,11 +100,11 @@
         out: &mut Vec<Outbound>,
     ) -> Result<(), RefusalReason> {
         let reply = read_reply(sender, envelope)?;
-        let place = envelope.header.segment.unwrap_or(Segment::WHOLE);
+        let position = envelope.header.segment.unwrap_or(Segment::WHOLE);
         let payload = envelope.payload.to_vec();
 
-        self.act(out, |policy, actions| {
-            policy.on_answer(now, sender.service, reply, place, payload, actions);
+        self.decide(out, |policy, actions| {
+            policy.on_answer(now, sender.service, reply, position, payload, actions);
         });
         Ok(())
     }
@@ -115,9 +118,9 @@
     ) -> Result<(), RefusalReason> {
         let reply = read_reply(sender, envelope)?;
         let (_, reason) = envelope.header.refusal.ok_or(RefusalReason::Malformed)?;
-        self.metrics.refused(reason);
+        self.metrics.count_refusal(reason);
 
-        self.act(out, |policy, actions| {
+        self.decide(out, |policy, actions| {
             policy.on_refused(now, sender.service, reply, reason, actions);
         });
         Ok(())
--- a/crates/valvestage-balancer/src/data_path/caller_packets.rs
+++ b/crates/valvestage-balancer/src/data_path/caller_packets.rs
@@ -1,4 +1,4 @@
-//! Packets from callers, by the fabric or by another balancer.
+//! Handling of caller packets, which arrive from the fabric or are relayed by another balancer.
 
 use std::time::{Duration, SystemTime};
 
@@ -11,7 +11,7 @@
 use super::data_handler::DataHandler;
 use super::datagrams::Outbound;
 
-/// When the caller of a refused flow may open it again.
+/// Time after which the caller of a refused flow may open it again.
 const FLOW_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 impl DataHandler {
@@ -21,7 +21,7 @@
         envelope: &Envelope<'_>,
         out: &mut Vec<Outbound>,
     ) -> Result<(), RefusalReason> {
-        // What only balancers and backend servers may say is not taken from callers.
+        // Only balancers and backend servers may set these fields.
         let header = &envelope.header;
         if header.hop.is_some() || header.target.is_some() || header.binding.is_some() {
             return Err(RefusalReason::Malformed);
@@ -92,15 +92,15 @@
 
         match self.policy.on_flow(now, &packet) {
             FlowVerdict::Forward { backend, incarnation, source, reply_with_binding } => {
-                self.metrics.steered(source);
-                self.push_to_backend(envelope, service, backend, incarnation, out);
+                self.metrics.count_flow_packet(source);
+                self.push_flow_packet(envelope, service, backend, incarnation, out);
                 if reply_with_binding {
                     self.push_binding(envelope, Binding { key: packet.key, backend }, out);
                 }
             }
             FlowVerdict::Relay { peer, hop } => self.push_to_peer(envelope, peer, hop, out),
             FlowVerdict::Refuse(reason) => {
-                self.metrics.refused(reason);
+                self.metrics.count_refusal(reason);
                 self.push_flow_refusal(envelope, reason, out);
             }
             FlowVerdict::Drop(reason) => return Err(reason),
@@ -108,7 +108,7 @@
         Ok(())
     }
 
-    fn push_to_backend(
+    fn push_flow_packet(
         &self,
         envelope: &Envelope<'_>,
         service: ServiceId,
@@ -118,7 +118,7 @@
     ) {
         let history = self.policy.director().history();
         let Some(record) = history.find(service, backend) else {
-            self.metrics.refused(RefusalReason::BackendGone);
+            self.metrics.count_refusal(RefusalReason::BackendGone);
             return;
         };
 
@@ -127,7 +127,8 @@
         self.push(record.address, &Envelope { header, ..*envelope }, out);
     }
 
-    /// The balancer that is home now learns the binding that the former one knows.
+    /// Sends a binding that this balancer has as the former home of a flow to the flow's current
+    /// home.
     fn push_binding(&self, envelope: &Envelope<'_>, binding: Binding, out: &mut Vec<Outbound>) {
         let home = self.policy.director().view().home(binding.key);
         let Some(address) = home.and_then(|home| self.peer_addresses.get(&home)) else {
@@ -147,7 +148,7 @@
         out: &mut Vec<Outbound>,
     ) {
         let Some(address) = self.peer_addresses.get(&peer) else {
-            self.metrics.refused(RefusalReason::OwnerUnreachable);
+            self.metrics.count_refusal(RefusalReason::OwnerUnreachable);
             return;
         };
 
@@ -188,7 +189,7 @@
             payload: envelope.payload.to_vec(),
         };
 
-        self.act(out, |policy, actions| policy.on_request(now, request, hop, actions));
+        self.decide(out, |policy, actions| policy.on_request(now, request, hop, actions));
         Ok(())
     }
 
@@ -204,7 +205,7 @@
 
         let caller = envelope.caller;
         let owner =
-            self.act(out, |policy, actions| policy.on_cancel(now, service, id, caller, actions));
+            self.decide(out, |policy, actions| policy.on_cancel(now, service, id, caller, actions));
 
         if let Some(owner) = owner.filter(|_| hop.count == 0) {
             let hop = RelayHeader { count: 1, ..hop };
--- a/crates/valvestage-balancer/src/process.rs
+++ b/crates/valvestage-balancer/src/process.rs
@@ -1,4 +1,4 @@
-//! The life cycle of the process: starting, serving, stopped.
+//! The life cycle of the balancer process: starting, serving, stopped.
 
 use std::io;
 use std::net::UdpSocket;
@@ -21,16 +21,17 @@
 use crate::metrics::BalancerMetrics;
 use crate::threads::{batch_ring, decide_loop, receive_loop, send_loop};
 
-/// Commands that wait for the decide thread.
-const COMMAND_RING: usize = 1_024;
+/// Capacity of the queue of commands to the decide thread.
+const COMMAND_CAPACITY: usize = 1_024;
 
-/// Wait of the receive thread before it looks at the stop flag.
+/// Longest time that the receive thread blocks before it checks the stop flag.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Buffer of the socket; the operating system may grant less.
+/// Requested size of the socket's send and receive buffers; the operating system may grant less.
 const SOCKET_BUFFER_BYTES: usize = 8 << 20;
 
-/// `Starting` holds what was checked before anything runs.
+/// Stage of a [`BalancerProcess`] whose secrets are read and whose socket is open, but which runs
+/// no thread yet.
 pub struct Starting {
     settings: BalancerSettings,
     peer_key: PeerKey,
@@ -39,23 +40,23 @@
     socket: UdpSocket,
 }
 
-/// `Serving` holds the running threads.
+/// Stage of a [`BalancerProcess`] whose data path threads run.
 pub struct Serving {
     control: ControlInputs,
     receive: JoinHandle<()>,
     decide: JoinHandle<()>,
     send: JoinHandle<()>,
-    receive_stops: Arc<AtomicBool>,
+    receive_stop_flag: Arc<AtomicBool>,
     commands: Sender<Command>,
 }
 
-/// `BalancerProcess` is a balancer in one stage of its life: [`Starting`], then [`Serving`].
+/// Balancer process in one stage of its life cycle: [`Starting`], then [`Serving`].
 pub struct BalancerProcess<Stage> {
     stage: Stage,
 }
 
 impl BalancerProcess<Starting> {
-    /// `new` reads the secrets and opens the socket of the data path.
+    /// Reads the secrets and opens the socket of the data path.
     pub fn new(settings: BalancerSettings) -> Result<Self, BalancerError> {
         let peer_key = PeerKey::read(&settings.peer_key_file)?;
         let admin_token = read_token(&settings.admin_token_file)?;
@@ -63,40 +64,41 @@
 
         let address = settings.data_address;
         let socket = UdpSocket::bind(address)
-            .map_err(BalancerError::socket("open the data path on", address))?;
-        prepare(&socket).map_err(BalancerError::socket("prepare the data path on", address))?;
+            .map_err(BalancerError::socket("bind the data socket to", address))?;
+        configure_socket(&socket)
+            .map_err(BalancerError::socket("set up the data socket on", address))?;
 
         Ok(Self { stage: Starting { settings, peer_key, platform_token, admin_token, socket } })
     }
 
-    /// `serve` starts the threads of the data path.
+    /// Starts the threads of the data path.
     pub fn serve(self) -> Result<BalancerProcess<Serving>, BalancerError> {
         let Starting { settings, peer_key, platform_token, admin_token, socket } = self.stage;
         let metrics = Arc::new(BalancerMetrics::default());
-        let (command_sender, commands) = bounded(COMMAND_RING);
+        let (command_sender, commands) = bounded(COMMAND_CAPACITY);
         let (inbound_sender, inbound) = batch_ring(metrics.clone());
         let (outbound_sender, outbound) = batch_ring(metrics.clone());
 
-        // Receive.
-        let receive_stops = Arc::new(AtomicBool::new(false));
+        // The receive thread.
+        let receive_stop_flag = Arc::new(AtomicBool::new(false));
         let receive_socket = clone_socket(&socket, &settings)?;
         let receive = {
-            let (metrics, stops) = (metrics.clone(), receive_stops.clone());
-            spawn("receive", move || {
-                receive_loop(&receive_socket, &inbound_sender, &metrics, &stops);
+            let (metrics, stop_flag) = (metrics.clone(), receive_stop_flag.clone());
+            spawn_thread("receive", move || {
+                receive_loop(&receive_socket, &inbound_sender, &metrics, &stop_flag);
             })?
         };
 
-        // Decide.
-        let handler = data_handler(&settings, metrics.clone());
-        let decide = spawn("decide", move || {
+        // The decide thread.
+        let handler = new_data_handler(&settings, metrics.clone());
+        let decide = spawn_thread("decide", move || {
             decide_loop(handler, &inbound, &commands, &outbound_sender);
         })?;
 
-        // Send.
+        // The send thread.
         let send = {
             let metrics = metrics.clone();
-            spawn("send", move || send_loop(&socket, &outbound, &metrics))?
+            spawn_thread("send", move || send_loop(&socket, &outbound, &metrics))?
         };
 
         let state = ControlState::new(settings, metrics, command_sender.clone(), SystemTime::now());
@@ -105,30 +107,32 @@
             peer_key,
             platform_token,
             admin_token,
-            stop_asked: Arc::new(AtomicBool::new(false)),
+            stop_requested: Arc::new(AtomicBool::new(false)),
         };
         let stage =
-            Serving { control, receive, decide, send, receive_stops, commands: command_sender };
+            Serving { control, receive, decide, send, receive_stop_flag, commands: command_sender };
         Ok(BalancerProcess { stage })
     }
 }
 
 impl BalancerProcess<Serving> {
-    /// `stop_flag` gives the flag that asks for the planned stop.
+    /// Returns the flag that requests the planned stop when it is set.
     #[must_use]
     pub fn stop_flag(&self) -> Arc<AtomicBool> {
-        self.stage.control.stop_asked.clone()
+        self.stage.control.stop_requested.clone()
     }
 
-    /// `run` runs the control thread here until the planned stop, then ends the data path.
+    /// Runs control on the calling thread until the planned stop has ended, then stops the threads
+    /// of the data path.
     pub fn run(self) -> Result<(), BalancerError> {
-        let Serving { control, receive, decide, send, receive_stops, commands } = self.stage;
+        let Serving { control, receive, decide, send, receive_stop_flag, commands } = self.stage;
         let result = control::run(control);
 
-        // Decide ends, then send; what decide had put out is still sent.
-        receive_stops.store(true, Ordering::Relaxed);
+        // The decide thread ends first. That closes the ring to the send thread, which still sends
+        // what is left in the ring before it ends.
+        receive_stop_flag.store(true, Ordering::Relaxed);
         if commands.send(Command::Stop).is_err() {
-            log::error!("the decide thread had ended before");
+            log::error!("the decide thread had already ended before the stop");
         }
         for thread in [receive, decide, send] {
             if thread.join().is_err() {
@@ -139,7 +143,7 @@
     }
 }
 
-fn prepare(socket: &UdpSocket) -> io::Result<()> {
+fn configure_socket(socket: &UdpSocket) -> io::Result<()> {
     socket.set_read_timeout(Some(RECEIVE_TIMEOUT))?;
     setsockopt(socket, sockopt::RcvBuf, &SOCKET_BUFFER_BYTES)?;
     setsockopt(socket, sockopt::SndBuf, &SOCKET_BUFFER_BYTES)?;
@@ -152,10 +156,10 @@
 ) -> Result<UdpSocket, BalancerError> {
     let address = settings.data_address;
 
-    socket.try_clone().map_err(BalancerError::socket("share the data path on", address))
+    socket.try_clone().map_err(BalancerError::socket("clone the data socket on", address))
 }
 
-fn spawn(
+fn spawn_thread(
     name: &'static str,
     work: impl FnOnce() + Send + 'static,
 ) -> Result<JoinHandle<()>, BalancerError> {
@@ -164,7 +168,7 @@
     spawned.map_err(|cause| BalancerError::Thread { name, cause })
 }
 
-fn data_handler(settings: &BalancerSettings, metrics: Arc<BalancerMetrics>) -> DataHandler {
+fn new_data_handler(settings: &BalancerSettings, metrics: Arc<BalancerMetrics>) -> DataHandler {
     let mut policy = BalancerOptions::new(settings.id, settings.zone.clone());
     policy.requests.max_deadline = settings.max_deadline;
     let options = DataOptions { policy, fabrics: settings.fabric_addresses.clone() };
--- a/crates/valvestage-operator/src/balancers.rs
+++ b/crates/valvestage-operator/src/balancers.rs
@@ -1,4 +1,4 @@
-//! Asking the balancers.
+//! Queries to the admin addresses of the balancers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,13 +13,14 @@
 use valvestage_wire::operators::BalancerReport;
 use valvestage_wire::status::BalancerStatus;
 
-/// Longest wait for one balancer: one that is cut off must not hold up the rest.
+/// Time limit of a query to one balancer, so that an unreachable balancer does not delay the
+/// answers of the others.
 const BALANCER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Longest answer of a balancer.
+/// Size limit of a balancer's answer.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// `BalancerClients` asks all balancers at once.
+/// Client that queries all balancers in parallel.
 #[derive(Clone)]
 pub struct BalancerClients {
     client: Client,
@@ -28,7 +29,7 @@
 }
 
 impl BalancerClients {
-    /// `new` takes the admin addresses and the token for them.
+    /// Creates a client for the admin addresses, with the bearer token that they require.
     #[must_use]
     pub fn new(addresses: Vec<SocketAddr>, token: String) -> Self {
         let client = Client::builder().timeout(BALANCER_TIMEOUT).finish();
@@ -36,17 +37,18 @@
         Self { client, addresses, token }
     }
 
-    /// `reports` gives the status of each balancer that answers.
+    /// Returns the status of each balancer; a report without a status if it does not answer.
     pub async fn reports(&self) -> Vec<BalancerReport> {
-        let asking = self.addresses.iter().map(|address| async move {
-            let status: Option<BalancerStatus> = self.ask(*address, "status").await;
+        let requests = self.addresses.iter().map(|address| async move {
+            let status: Option<BalancerStatus> = self.query(*address, "status").await;
             BalancerReport { address: *address, status }
         });
 
-        join_all(asking).await
+        join_all(requests).await
     }
 
-    /// `decisions` gives what each balancer decided about a subject; none where it is silent.
+    /// Returns the decisions of each balancer about a subject; `None` for a balancer that does not
+    /// answer.
     pub async fn decisions(
         &self,
         subject: Subject,
@@ -54,18 +56,18 @@
         let json = serde_json::to_string(&subject).unwrap_or_default();
         let path = format!("decisions?subject={}", percent_encode(&json));
 
-        let asking = self.addresses.iter().map(|address| {
+        let requests = self.addresses.iter().map(|address| {
             let path = path.clone();
-            async move { (*address, self.ask(*address, &path).await) }
+            async move { (*address, self.query(*address, &path).await) }
         });
-        join_all(asking).await
+        join_all(requests).await
     }
 
-    async fn ask<T: DeserializeOwned>(&self, address: SocketAddr, path: &str) -> Option<T> {
+    async fn query<T: DeserializeOwned>(&self, address: SocketAddr, path: &str) -> Option<T> {
         let url = format!("http://{address}/{path}");
-        let sent = self.client.get(url).bearer_auth(&self.token).send().await;
+        let result = self.client.get(url).bearer_auth(&self.token).send().await;
 
-        let mut response = match sent {
+        let mut response = match result {
             Ok(response) => response,
             Err(error) => {
                 log::warn!(step = "ask balancer", peer:% = address; "{error}");
@@ -77,9 +79,10 @@
     }
 }
 
-/// `demand` sums up the use of each service: its owner counts it, the others have nothing of it.
+/// Returns the demand of each service, summed over all balancers. Only the owner of a service
+/// counts its demand; the other balancers report zero.
 #[must_use]
-pub fn demand(
+pub fn sum_demand(
     configuration: &Configuration,
     reports: &[BalancerReport],
 ) -> BTreeMap<ServiceId, ServiceDemand> {
@@ -97,9 +100,9 @@
     demand
 }
 
-/// `flows_on` sums up the flows of each backend server.
+/// Returns the number of flows of each backend server, by its name, summed over all balancers.
 #[must_use]
-pub fn flows_on(reports: &[BalancerReport]) -> BTreeMap<String, u64> {
+pub fn sum_flows(reports: &[BalancerReport]) -> BTreeMap<String, u64> {
     let mut flows = BTreeMap::new();
     let statuses = reports.iter().filter_map(|report| report.status.as_ref());
 
@@ -109,7 +112,7 @@
     flows
 }
 
-/// RFC 3986, section 2.1: everything but unreserved characters as %XX.
+/// Encodes all bytes except unreserved characters as `%XX` (RFC 3986, section 2.1).
 fn percent_encode(text: &str) -> String {
     let is_unreserved = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~".contains(&byte);
 
--- a/crates/valvestage-operator/src/changes.rs
+++ b/crates/valvestage-operator/src/changes.rs
@@ -1,4 +1,4 @@
-//! Conditional writes, and settling those whose answer was lost.
+//! Conditional writes, and finding out the outcome of writes whose answer was lost.
 
 use std::future::Future;
 
@@ -11,19 +11,19 @@
 
 use crate::errors::ApiError;
 
-/// Writes and reads until a change counts as unsettled.
-const SETTLE_TRIES: u32 = 5;
+/// Largest number of attempts, each a write and a read, before the outcome counts as unknown.
+const MAX_WRITE_ATTEMPTS: u32 = 5;
 
-/// `StoredConfiguration` is the configuration as the platform has it.
+/// The configuration that the platform stores.
 #[derive(Debug, Clone)]
 pub struct StoredConfiguration {
-    /// As stored.
+    /// The configuration as stored.
     pub raw: RawConfiguration,
-    /// Checked, under its version.
+    /// The same configuration, validated and with its version.
     pub checked: Configuration,
 }
 
-/// `read_configuration` reads the configuration in force; none before the first.
+/// Reads the current configuration; `None` if none has been written yet.
 pub async fn read_configuration(
     platform: &PlatformClient,
 ) -> Result<Option<StoredConfiguration>, ApiError> {
@@ -38,10 +38,10 @@
     Ok(Some(StoredConfiguration { raw, checked }))
 }
 
-/// `write_configuration` writes a configuration on the version that it starts from.
+/// Writes a configuration, on condition that the stored version is still `base`.
 ///
-/// The change id in the value settles a write whose answer was lost: it is looked for, and only
-/// written again under the same condition.
+/// If the answer to a write is lost, the change id in the stored value shows whether the write took
+/// effect. It is repeated only under the same condition.
 pub async fn write_configuration(
     platform: &PlatformClient,
     base: Option<ObjectVersion>,
@@ -49,69 +49,70 @@
 ) -> Result<ObjectVersion, ApiError> {
     let value = to_json(&ObjectValue::Configuration(raw.clone()))?;
     let key = ObjectKey::Configuration.path();
-    let settle = || find_change(platform, base, &raw.change_id);
+    let resolve = || find_change(platform, base, &raw.change_id);
 
-    write_settled(platform, &key, base, &value, &raw.change_id, settle).await
+    write_and_resolve(platform, &key, base, &value, &raw.change_id, resolve).await
 }
 
-/// What became of a write.
-pub enum Settled {
-    /// It took effect.
+/// Outcome of a write, as far as the stored value shows it.
+pub enum WriteOutcome {
+    /// The write took effect, and the value has this version.
     Accepted(ObjectVersion),
-    /// It has not taken effect so far.
-    Open,
+    /// The write has not taken effect so far.
+    NotApplied,
 }
 
-/// `write_settled` writes a value and finds out what became of it, whatever answers are lost.
-pub async fn write_settled<F>(
+/// Writes a value and returns its version, even if answers are lost: after each write that the
+/// platform has not confirmed, `resolve` reads the outcome from the platform.
+pub async fn write_and_resolve<F>(
     platform: &PlatformClient,
     key: &str,
     base: Option<ObjectVersion>,
     value: &Value,
     change_id: &str,
-    settle: impl Fn() -> F,
+    resolve: impl Fn() -> F,
 ) -> Result<ObjectVersion, ApiError>
 where
-    F: Future<Output = Result<Settled, ApiError>>,
+    F: Future<Output = Result<WriteOutcome, ApiError>>,
 {
-    let mut last: Option<PlatformError> = None;
+    let mut last_error: Option<PlatformError> = None;
 
-    for _ in 0..SETTLE_TRIES {
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         match platform.write_json(key, base, value).await {
             Ok(PlatformReply::Written { version }) => return Ok(version),
-            // The write that conflicts may be this one, its answer lost.
+            // The conflicting write may be an earlier attempt of this one whose answer was lost.
             Ok(_) => {}
-            Err(error) => last = Some(error),
+            Err(error) => last_error = Some(error),
         }
 
-        match settle().await {
-            Ok(Settled::Accepted(version)) => return Ok(version),
-            Ok(Settled::Open) => {}
-            Err(ApiError::Platform(error)) => last = Some(error),
+        match resolve().await {
+            Ok(WriteOutcome::Accepted(version)) => return Ok(version),
+            Ok(WriteOutcome::NotApplied) => {}
+            Err(ApiError::Platform(error)) => last_error = Some(error),
             Err(error) => return Err(error),
         }
     }
 
-    if let Some(error) = last {
+    if let Some(error) = last_error {
         log::warn!(change = change_id; "{error}");
     }
-    Err(ApiError::Unsettled { change_id: change_id.to_owned() })
+    Err(ApiError::OutcomeUnknown { change_id: change_id.to_owned() })
 }
 
 async fn find_change(
     platform: &PlatformClient,
     base: Option<ObjectVersion>,
     change_id: &str,
-) -> Result<Settled, ApiError> {
+) -> Result<WriteOutcome, ApiError> {
     match read_configuration(platform).await? {
         Some(found) if found.raw.change_id == change_id => {
-            Ok(Settled::Accepted(found.checked.version))
+            Ok(WriteOutcome::Accepted(found.checked.version))
         }
-        Some(found) if Some(found.checked.version) != base => Err(ApiError::Raced {
+        Some(found) if Some(found.checked.version) != base => Err(ApiError::VersionConflict {
             base: base.unwrap_or(0),
             version: found.checked.version,
             winner: found.raw.change_id,
         }),
-        _ => Ok(Settled::Open),
+        _ => Ok(WriteOutcome::NotApplied),
     }
 }
--- a/crates/valvestage-operator/src/stories.rs
+++ b/crates/valvestage-operator/src/explanations.rs
@@ -1,4 +1,4 @@
-//! Explanations: what all balancers decided about one subject.
+//! Explanations: the decisions of all balancers about one subject.
 
 use std::net::SocketAddr;
 
@@ -15,28 +15,28 @@
 use crate::changes::read_configuration;
 use crate::errors::ApiError;
 
-/// `StoryQuestion` is the query of `/v1/why`: one of `request`, `change`, `service`, or `caller`
-/// with `service`.
+/// Query parameters of `/v1/why`: either `request`, `change`, `service`, or `caller` together with
+/// `service`.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct StoryQuestion {
-    /// Id of a request, hexadecimal.
+pub struct ExplanationQuery {
+    /// Id of a request, in hexadecimal.
     pub request: Option<String>,
     /// Version of a configuration.
     pub change: Option<u64>,
-    /// Address of the caller of a flow.
+    /// Address of the caller of a flow. The flow's service has to be given, too.
     pub caller: Option<SocketAddr>,
     /// Name of a service.
     pub service: Option<String>,
 }
 
-/// `tell` gives the story that a question asks for.
-pub async fn tell(
+/// Returns the explanation of the subject that a query names, with the decisions in order of time.
+pub async fn explain(
     platform: &PlatformClient,
     balancers: &BalancerClients,
-    question: StoryQuestion,
+    query: ExplanationQuery,
 ) -> Result<Story, ApiError> {
-    let subject = find_subject(platform, question).await?;
+    let subject = find_subject(platform, query).await?;
     let answers = balancers.decisions(subject).await;
 
     let silent = answers.iter().filter(|(_, records)| records.is_none());
@@ -45,10 +45,10 @@
         answers.into_iter().filter_map(|(_, records)| records).flatten().collect();
     records.sort_by_key(|record| record.at_ms);
 
-    Ok(Story { sentences: records.into_iter().map(told).collect(), silent })
+    Ok(Story { sentences: records.into_iter().map(to_sentence).collect(), silent })
 }
 
-fn told(record: DecisionRecord) -> StorySentence {
+fn to_sentence(record: DecisionRecord) -> StorySentence {
     let sentence = format!("Balancer {} {}.", record.balancer, record.decision);
 
     StorySentence { record, sentence }
@@ -56,19 +56,19 @@
 
 async fn find_subject(
     platform: &PlatformClient,
-    question: StoryQuestion,
+    query: ExplanationQuery,
 ) -> Result<Subject, ApiError> {
-    match question {
-        StoryQuestion { request: Some(id), change: None, caller: None, service: None } => {
+    match query {
+        ExplanationQuery { request: Some(id), change: None, caller: None, service: None } => {
             let parsed = RequestId::from_str_radix(&id, 16);
             parsed
                 .map(Subject::Request)
-                .map_err(|_| ApiError::Question(format!("{id} is not a request id (hexadecimal)")))
+                .map_err(|_| ApiError::BadQuery(format!("{id} is not a hexadecimal request id")))
         }
-        StoryQuestion { change: Some(version), request: None, caller: None, service: None } => {
+        ExplanationQuery { change: Some(version), request: None, caller: None, service: None } => {
             Ok(Subject::Change(version))
         }
-        StoryQuestion { service: Some(name), caller, request: None, change: None } => {
+        ExplanationQuery { service: Some(name), caller, request: None, change: None } => {
             let service = find_service(platform, &name).await?;
             match caller {
                 None => Ok(Subject::Service(service)),
@@ -78,8 +78,9 @@
                 }
             }
         }
-        _ => Err(ApiError::Question(
-            "ask for one of: a request, a change, a service, or a caller with a service".into(),
+        _ => Err(ApiError::BadQuery(
+            "give exactly one of: a request, a change, a service, or a caller with a service"
+                .into(),
         )),
     }
 }
--- a/crates/valvestage-operator/src/plans.rs
+++ b/crates/valvestage-operator/src/plans.rs
@@ -1,4 +1,4 @@
-//! Drawing, storing and confirming plans.
+//! Computes, stores and confirms plans.
 
 use serde_json::Value;
 use sha2::{Digest, Sha256};
@@ -7,12 +7,12 @@
 use valvestage_policy::operations::{Intent, Plan, create_plan};
 use valvestage_wire::operators::ConfirmResult;
 
-use crate::balancers::{BalancerClients, demand, flows_on};
+use crate::balancers::{BalancerClients, sum_demand, sum_flows};
 use crate::changes::{StoredConfiguration, read_configuration, write_configuration};
 use crate::errors::ApiError;
 
-/// Bytes of the digest that make a plan's id.
-const ID_BYTES: usize = 6;
+/// Number of digest bytes that form the id of a plan.
+const PLAN_ID_BYTES: usize = 6;
 
 fn no_configuration() -> ApiError {
     ApiError::Missing {
@@ -21,35 +21,36 @@
     }
 }
 
-/// `make_plan` draws the plan for an intent and stores it; nothing else happens.
+/// Computes the plan for an intent and stores it. The configuration does not change.
 pub async fn make_plan(
     platform: &PlatformClient,
     balancers: &BalancerClients,
     intent: Intent,
 ) -> Result<Plan, ApiError> {
     let base = read_configuration(platform).await?.ok_or_else(no_configuration)?;
-    let plan = draw(balancers, &base, intent).await?;
+    let plan = plan_for_intent(balancers, &base, intent).await?;
 
-    // The id is a digest of the content, so that storing it twice does no harm.
+    // The id is a digest of the base version and the intent, so that storing the plan twice is
+    // harmless.
     let value = serde_json::to_value(&plan).unwrap_or(Value::Null);
     platform.write_json(&plan_key(&plan.id), None, &value).await?;
     Ok(plan)
 }
 
-async fn draw(
+async fn plan_for_intent(
     balancers: &BalancerClients,
     base: &StoredConfiguration,
     intent: Intent,
 ) -> Result<Plan, ApiError> {
     let reports = balancers.reports().await;
     let id = plan_id(base.checked.version, &intent);
-    let demand = demand(&base.checked, &reports);
+    let demand = sum_demand(&base.checked, &reports);
 
-    Ok(create_plan(id, &base.checked, &base.raw, intent, &demand, &flows_on(&reports))?)
+    Ok(create_plan(id, &base.checked, &base.raw, intent, &demand, &sum_flows(&reports))?)
 }
 
-/// `confirm_plan` carries a plan out, unless the configuration has changed since, or the plan
-/// would break a promise by now.
+/// Carries out a plan, unless the configuration has changed since it was made or the plan would
+/// violate a guarantee under the current load.
 pub async fn confirm_plan(
     platform: &PlatformClient,
     balancers: &BalancerClients,
@@ -58,27 +59,28 @@
     let plan = read_plan(platform, id).await?;
     let base = read_configuration(platform).await?.ok_or_else(no_configuration)?;
 
-    // Confirmed before: the same answer again.
+    // The plan has been confirmed before: return the same answer.
     if base.raw.change_id == plan.id {
         return Ok(ConfirmResult { change_id: plan.id, version: base.checked.version });
     }
     if base.checked.version != plan.base_version {
-        return Err(ApiError::Raced {
+        return Err(ApiError::VersionConflict {
             base: plan.base_version,
             version: base.checked.version,
             winner: base.raw.change_id,
         });
     }
 
-    // The load may have changed since the plan was drawn.
-    let fresh = draw(balancers, &base, plan.intent).await?;
-    if let Some(refusal) = fresh.refusal {
+    // The load may have changed since the plan was made.
+    let recomputed = plan_for_intent(balancers, &base, plan.intent).await?;
+    if let Some(refusal) = recomputed.refusal {
         return Err(ApiError::Refused(refusal));
     }
 
-    let version = write_configuration(platform, Some(plan.base_version), &fresh.result).await?;
-    log::info!(change = fresh.id.as_str(), version; "a change was accepted");
-    Ok(ConfirmResult { change_id: fresh.id, version })
+    let version =
+        write_configuration(platform, Some(plan.base_version), &recomputed.result).await?;
+    log::info!(change = recomputed.id.as_str(), version; "change accepted");
+    Ok(ConfirmResult { change_id: recomputed.id, version })
 }
 
 async fn read_plan(platform: &PlatformClient, id: &str) -> Result<Plan, ApiError> {
@@ -99,5 +101,5 @@
     let intent = serde_json::to_string(intent).unwrap_or_default();
     let digest = Sha256::digest(format!("{base} {intent}"));
 
-    digest.iter().take(ID_BYTES).map(|byte| format!("{byte:02x}")).collect()
+    digest.iter().take(PLAN_ID_BYTES).map(|byte| format!("{byte:02x}")).collect()
 }
