--- a/crates/valvestage-policy/tests/fault_matrix/backend.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/backend.rs
@@ -1,4 +1,4 @@
-//! A fake backend server, which counts its slots and records each run.
+//! Fake backend server: enforces its slot limit and keeps track of the requests that run.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use valvestage_core::{Backend, RefusalReason};
 use valvestage_policy::rendezvous::mix;
 
-/// A request as it reaches a backend server.
+/// Request that a balancer dispatches to a backend server.
 #[derive(Debug, Clone, Copy)]
 pub struct Work {
     pub id: RequestId,
@@ -16,18 +16,19 @@
     pub repeatable: bool,
     pub deadline: SystemTime,
     pub from: BalancerId,
-    /// What the balancer believes it is talking to.
+    /// Service that the balancer expects the backend server to serve.
     pub service: ServiceId,
+    /// Incarnation that the balancer expects the backend server to have.
     pub incarnation: u32,
 }
 
-/// Why a request was not started.
+/// Reaction of a backend server to a dispatched request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It runs and ends at that time.
+    /// The request was started and finishes at the given time.
     Runs(SystemTime),
     Refused(RefusalReason),
-    /// The VM is gone: no word.
+    /// The VM is down: nothing is sent back.
     Silent,
 }
 
@@ -36,14 +37,18 @@
     pub record: Backend,
     pub is_dead: bool,
     pub is_shedding: bool,
+    /// Factor on each run time; 1 when the backend server is not slowed down.
     pub slow_factor: u32,
     pub mean_run_time: Duration,
-    /// Requests that run, by id and try.
+    /// Requests in execution, by id and attempt.
     pub running: BTreeSet<(RequestId, Attempt)>,
+    /// Highest number of requests that ran at once.
     pub peak: usize,
-    /// Callers with an open flow.
+    /// Addresses of the callers with an open flow.
     pub flows: BTreeSet<SocketAddr>,
+    /// When it last accepted a request or a new flow.
     pub last_new_work: Option<SystemTime>,
+    /// Random numbers drawn so far.
     draws: u64,
 }
 
@@ -67,6 +72,7 @@
         self.record.id
     }
 
+    /// Starts a request, or refuses it as a real backend server would.
     pub fn admit(&mut self, now: SystemTime, work: &Work) -> Admission {
         if self.is_dead {
             return Admission::Silent;
@@ -87,6 +93,7 @@
         Admission::Runs(now + self.run_time())
     }
 
+    /// Draws a run time from an exponential distribution around `mean_run_time`.
     fn run_time(&mut self) -> Duration {
         self.draws += 1;
         let word = mix(self.record.id.into(), self.draws) >> 11;
--- a/crates/valvestage-policy/tests/fault_matrix/caller.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: flows that notice when they break, and requests that are sent again.
+//! State of the callers: their flows, and the requests that they resend until answered.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::SystemTime;
@@ -11,27 +11,37 @@
     SocketAddr::new(Ipv4Addr::from(0xc612_0000 + number).into(), 4_000)
 }
 
+/// Flow as its caller sees it.
 #[derive(Debug, Clone)]
 pub struct Flow {
     pub caller: SocketAddr,
     pub service: ServiceId,
+    /// Whether the caller puts the token that it received into its packets.
     pub echoes: bool,
+    /// Last token that the caller received.
     pub token: Option<FlowToken>,
+    /// Backend server that first answered; an answer of any other breaks the flow.
     pub backend: Option<BackendId>,
+    /// When the first answer arrived.
     pub opened: Option<SystemTime>,
+    /// When the latest answer arrived.
     pub last_heard: Option<SystemTime>,
-    /// When and why it broke.
+    /// When and why the flow broke.
     pub broken: Option<(SystemTime, &'static str)>,
-    /// Whether it sends tokens that are not its own.
+    /// Whether the caller sends a token that was forged or issued to another flow.
     pub is_intruder: bool,
 }
 
+/// Reply that a caller receives for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
+    /// A complete set of answer segments.
     Answered,
+    /// A refusal that says what is known of the request's execution.
     Told(Outcome),
 }
 
+/// Request as its caller sees it.
 #[derive(Debug, Clone)]
 pub struct Request {
     pub id: RequestId,
@@ -40,15 +50,15 @@
     pub repeatable: bool,
     pub sent: SystemTime,
     pub deadline: SystemTime,
-    /// All that it was told, in order.
+    /// Replies that the caller received, in order.
     pub endings: Vec<(SystemTime, Ending)>,
-    /// Times that it ran, over all backend servers.
+    /// How often the request was started, over all backend servers.
     pub runs: u32,
-    /// Whether an answer was not its own, or not whole.
+    /// Whether an answer belonged to another request or caller, or was incomplete.
     pub got_wrong_answer: bool,
-    /// Whether it only shows that the service is there again after the fault.
+    /// Whether the request is sent after the fault, to check that the service has recovered.
     pub is_probe: bool,
-    /// Whether it was sent by a caller that reaches only one zone.
+    /// Availability zone whose balancers alone the caller reaches; `None` reaches all balancers.
     pub from_zone: Option<usize>,
 }
 
--- a/crates/valvestage-policy/tests/fault_matrix/cells.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/cells.rs
@@ -1,4 +1,4 @@
-//! The cells: which faults strike at which step, and with which seed.
+//! Cells of the matrix: each combines faults, the step at which they are injected, and a seed.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -10,19 +10,21 @@
 use crate::steps::Step;
 use crate::switches::Switch;
 
-/// Seeds of each single.
+/// Number of seeds with which each cell of one fault runs.
 const SEEDS: u64 = 2;
 
+/// How many faults a cell injects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Part {
     /// One fault.
     Single,
-    /// Two faults, the second shortly after the first.
+    /// Two different faults, the second 300 to 900 ms after the first.
     Pair,
-    /// The same fault again, shortly after the first has ended.
+    /// The same fault twice, the second time 500 ms after the first has ended.
     Twice,
 }
 
+/// One simulation run of the matrix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Cell {
     pub part: Part,
@@ -30,26 +32,31 @@
     pub first: Fault,
     pub second: Fault,
     pub seed: u64,
-    /// A pair that shows what one mechanism is for.
+    /// Whether the cell is a pair that is also run with each mechanism disabled in turn.
     pub is_made_for_switch: bool,
 }
 
+/// What a run of a cell showed.
 #[derive(Debug, Clone)]
 pub struct CellResult {
     pub cell: Cell,
-    /// Whether the step came and the fault struck.
+    /// Whether the step was reached, so that the fault was injected.
     pub is_reached: bool,
     pub violations: Vec<Violation>,
-    /// Promises put to the test, with the number of checks.
+    /// Promises that the run checked, with the number of checks.
     pub checked: Vec<(Promise, u64)>,
+    /// Number of simulation events.
     pub events: u64,
+    /// Lines with the time and the text of each event worth reporting.
     pub story: Vec<String>,
-    /// Flows that echo the token and flows that don't: opened, broken.
+    /// Flows that echo the token: opened, broken.
     pub echoing: (u64, u64),
+    /// Flows that don't echo the token: opened, broken.
     pub silent: (u64, u64),
 }
 
-/// Steps at which pairs and repeats strike: the ones with the most at stake.
+/// Steps at which pairs and repeated faults are injected: a running request, a drain and the
+/// handover of a planned stop are where a fault can do the most harm.
 const PAIR_STEPS: [Step; 3] = [Step::RequestRunning, Step::DrainInForce, Step::StopOffered];
 
 pub fn all_cells() -> Vec<Cell> {
@@ -106,7 +113,7 @@
     cells
 }
 
-/// Runs cells on all processors; the order of the results is that of the cells.
+/// Runs cells on all processors and returns the results in the order of the cells.
 pub fn run_cells(cells: &[Cell], switch: Switch) -> Vec<CellResult> {
     let next = AtomicUsize::new(0);
     let results: Vec<Mutex<Option<CellResult>>> = cells.iter().map(|_| Mutex::new(None)).collect();
--- a/crates/valvestage-policy/tests/fault_matrix/faults.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/faults.rs
@@ -1,43 +1,45 @@
-//! The faults, the rows of the matrix.
+//! Faults, which are the rows of the matrix.
 
-/// What goes wrong.
+/// Fault that a cell injects; "at work" means at the step that triggers the fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Fault {
     Nothing,
-    /// The balancer at work is killed; a new process takes its place 3 s later.
+    /// The balancer at work is killed; a new process starts on its VM 3 s later.
     BalancerKilled,
-    /// The balancer at work is paused past its lease, and wakes.
+    /// The balancer at work is paused until its lease has expired, and then resumes.
     BalancerFrozen,
-    /// As before, with a packet to a backend server already decided and not yet sent.
+    /// The owner is paused in the same way between the decision to dispatch a request to a backend
+    /// server and the sending of the packet, which leaves after the pause.
     BalancerFrozenSending,
-    /// Another balancer joins.
+    /// A new balancer joins.
     BalancerJoins,
     /// The backend server at work is killed.
     BackendKilled,
-    /// All backend servers of a service shed load.
+    /// All backend servers of service 1 refuse new requests.
     BackendsShedding,
-    /// A third of the backend servers are 10 times slower.
+    /// A third of the backend servers of service 1 are 10 times slower.
     BackendsSlow,
     PlatformDown,
     /// Answers of the platform take 1.5 s.
     PlatformSlow,
-    /// The next writes take effect and their answers are lost.
+    /// The next 3 writes to the platform take effect, but their answers are lost.
     AnswersLost,
+    /// Watches show the value that each object had before its last write.
     WatchLags,
-    /// The zone of the balancer at work is cut from the other zones.
+    /// The availability zone of the balancer at work is cut from the other zones.
     ZoneCutFromZones,
-    /// The zone of the balancer at work is cut from the platform.
+    /// The availability zone of the balancer at work is cut from the platform.
     ZoneCutFromPlatform,
-    /// The zone is cut from everything but callers.
+    /// The availability zone of the balancer at work is cut from everything but callers.
     ZoneCutFromAll,
     PacketsLost,
     PacketsDoubled,
     PacketsReordered,
-    /// Two operators change the configuration at once.
+    /// Two operators change the configuration at the same time.
     OperatorsRace,
-    /// The address of a backend server is given to another service.
+    /// The address of a backend server is reassigned to another service.
     AddressReused,
-    /// Callers send forged tokens and tokens of other flows.
+    /// Callers send forged tokens, and tokens that were issued to other flows.
     TokensForged,
 }
 
@@ -92,7 +94,8 @@
         }
     }
 
-    /// Whether flows may break: something that held them went without notice, or packets go.
+    /// Reports whether flows may break under this fault, because a balancer or backend server that
+    /// holds them fails without notice or becomes unreachable, or because packets are lost.
     pub fn excuses_broken_flows(self) -> bool {
         matches!(
             self,
@@ -107,7 +110,7 @@
         )
     }
 
-    /// Whether requests may end in another way than answered.
+    /// Reports whether requests may end without an answer under this fault.
     pub fn excuses_unanswered(self) -> bool {
         !matches!(
             self,
@@ -122,7 +125,7 @@
         )
     }
 
-    /// Whether a configuration may take longer than the limit to be in force.
+    /// Reports whether a configuration may come into force later than the limit under this fault.
     pub fn excuses_late_configuration(self) -> bool {
         matches!(
             self,
--- a/crates/valvestage-policy/tests/fault_matrix/main.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/main.rs
@@ -1,10 +1,10 @@
-//! The fault matrix: every fault at every step, judged by an oracle for each promise.
+//! Fault matrix: injects every fault at every step and checks each promise of the system.
 //!
-//! The balancers' policies run as they are, stepped by a small event queue with fakes of the
-//! platform, the backend servers and the callers. Everything follows from a seed.
+//! The tests run the production policies of the balancers in a discrete-event simulation with fakes
+//! of the platform, the backend servers and the callers. The seed determines each run completely.
 //!
-//! `cargo test -p valvestage-policy --test fault_matrix -- --nocapture` prints the tables;
-//! with `UPDATE_DOCS=1` it also writes docs/FAULT-MATRIX.md.
+//! `cargo test -p valvestage-policy --test fault_matrix -- --nocapture` prints the tables; with
+//! `UPDATE_DOCS=1` in the environment it also writes docs/FAULT-MATRIX.md.
 
 mod backend;
 mod caller;
@@ -28,14 +28,14 @@
 use cells::{CellResult, Part, all_cells, run_cells};
 use switches::{Switch, SwitchRow};
 
-/// All cells under the production policy, run once for all tests.
+/// Returns the results of all cells under the production policy, which run once for all tests.
 fn results() -> &'static [CellResult] {
     static RESULTS: OnceLock<Vec<CellResult>> = OnceLock::new();
 
     RESULTS.get_or_init(|| run_cells(&all_cells(), Switch::None))
 }
 
-/// The cells without each mechanism, run once for all tests.
+/// Returns the results with each mechanism disabled in turn, which are run once for all tests.
 fn switch_rows() -> &'static [SwitchRow] {
     static ROWS: OnceLock<Vec<SwitchRow>> = OnceLock::new();
 
@@ -73,7 +73,7 @@
     println!("{}", report::switch_table(switch_rows()));
 
     for row in switch_rows() {
-        assert!(!row.red.is_empty(), "nothing fails without {}", row.switch.label());
+        assert!(!row.red.is_empty(), "no cell fails without the mechanism: {}", row.switch.label());
     }
 }
 
--- a/crates/valvestage-policy/tests/fault_matrix/network.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/network.rs
@@ -1,4 +1,4 @@
-//! Delays, cuts, and what happens to packets on their way.
+//! Simulated network: delays, partitions, and packet loss, duplication and reordering.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -17,15 +17,18 @@
 const SLOW_PLATFORM: Duration = Duration::from_millis(1_500);
 const LATEST: Duration = Duration::from_millis(30);
 
+/// Present condition of the simulated network.
 #[derive(Debug, Default)]
 pub struct Network {
-    /// Zones cut from the other zones.
+    /// Availability zones cut from the other zones.
     pub cut_zones: BTreeSet<usize>,
-    /// Zones cut from the platform.
+    /// Availability zones cut from the platform.
     pub cut_from_platform: BTreeSet<usize>,
-    /// Shares of packets.
+    /// Fraction of the packets that are lost, 0 to 1.
     pub lost: f64,
+    /// Fraction of the packets that are duplicated, 0 to 1.
     pub doubled: f64,
+    /// Fraction of the packets that are delayed, so that others overtake them, 0 to 1.
     pub reordered: f64,
     pub platform_is_slow: bool,
 }
@@ -44,14 +47,16 @@
     }
 }
 
-/// Zone of a VM, from its record.
+/// Returns the number of a backend server's availability zone, which is the last digit of its name.
 pub fn zone_of(backend: &Backend) -> usize {
     backend.zone.bytes().last().map_or(0, |digit| usize::from(digit - b'0'))
 }
 
 impl World {
-    /// Sends a datagram: it may be lost, doubled or late. The last hop to a backend server does not
-    /// double, since nothing that the system could do would help there.
+    /// Sends a datagram, which may be lost, duplicated or delayed.
+    ///
+    /// `may_double` is false on the last hop to a backend server, since no balancer could do
+    /// anything about a copy made there, and for copies that were already made by the sender.
     fn send_packet(&mut self, delay: Duration, event: Event, may_double: bool) {
         if self.share() < self.network.lost {
             return;
@@ -126,7 +131,8 @@
         self.send_packet(TO_CALLER, event, true);
     }
 
-    /// From a caller, by the fabric, to a balancer drawn at random, or drawn within a zone.
+    /// Sends a caller's packet to a random balancer among those in the fabric's routes, or among
+    /// those of one availability zone.
     pub fn spray(&mut self, zone: Option<usize>, event: NodeEvent) {
         let among: Vec<_> = self
             .fabric
@@ -138,7 +144,7 @@
             return;
         }
 
-        // A doubled packet may reach two balancers.
+        // The copies of a duplicated packet may reach two different balancers.
         let copies = if self.share() < self.network.doubled { 2 } else { 1 };
         for _ in 0..copies {
             let place = usize::try_from(self.draw() % among.len() as u64).unwrap_or(0);
--- a/crates/valvestage-policy/tests/fault_matrix/node.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/node.rs
@@ -1,4 +1,4 @@
-//! One balancer of the matrix: the two policies, and whether its process runs.
+//! Simulated balancer: its control and data policies, and the state of its process.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
@@ -13,39 +13,46 @@
 use crate::switches::Switch;
 use crate::world::NodeEvent;
 
-/// Length of leases in the matrix, and the furthest deadline.
+/// Duration of the balancers' leases.
 pub const LEASE: Duration = Duration::from_secs(3);
+/// Longest time to the deadline of a request.
 pub const MAX_DEADLINE: Duration = Duration::from_secs(5);
+/// Time without a heartbeat after which a balancer is considered dead.
 pub const DEAD_AFTER: Duration = Duration::from_millis(1_200);
 
-/// The payload of requests and answers: whose it is, and which segment.
+/// Payload of requests and answers: the request's id and the number of the segment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Payload {
     pub id: u128,
     pub segment: u16,
 }
 
+/// State of a balancer's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Life {
     Running,
-    /// The process is paused; what arrives waits.
+    /// The process is paused; what arrives waits until it resumes.
     Frozen,
     /// There is no process.
     Dead,
 }
 
+/// Simulated balancer.
 pub struct Node {
     pub id: BalancerId,
     pub zone: usize,
     pub life: Life,
     pub control: ControlPolicy,
     pub policy: BalancerPolicy<Payload>,
+    /// Planned stop in progress.
     pub stop: Option<PlannedStop>,
     pub stop_began: Option<SystemTime>,
-    /// What arrived while it was frozen.
+    /// Events that arrived while the process was frozen.
     pub inbox: Vec<NodeEvent>,
-    /// The highest version that was ever in force on this VM while it took work.
+    /// Highest configuration version that was ever in force on this VM while the balancer was
+    /// ready, over all processes that ran on the VM.
     pub highest_in_force: ObjectVersion,
+    /// When the process last froze or resumed.
     pub last_frozen: Option<SystemTime>,
     pub started: SystemTime,
 }
@@ -124,7 +131,7 @@
         }
     }
 
-    /// Whether the fabric sends packets to it.
+    /// Reports whether the fabric may send packets to this balancer.
     pub fn is_ready(&self) -> bool {
         self.life == Life::Running && self.control.is_serving()
     }
--- a/crates/valvestage-policy/tests/fault_matrix/operator.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/operator.rs
@@ -1,4 +1,5 @@
-//! Operators, who read, change and write the configuration under the version read.
+//! Operators, who change the configuration by a read and a write that is conditional on the version
+//! read.
 
 use std::time::Duration;
 
@@ -14,28 +15,32 @@
 
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// Time between reading and writing.
+/// Time from an operator's read to the write.
 const THINKING: Duration = Duration::from_millis(4);
 
-/// Added to the id of a backend server whose address another service gets.
+/// Offset from the id of a backend server to the id of the one that takes over its address.
 const REUSING: BackendId = 900;
 
+/// Change that an operator makes to the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConfigurationChange {
     Weight(BackendId, u16),
     Drain(BackendId),
     StopZone(usize),
+    /// Replaces a backend server by one of service 2 at the same address.
     Reuse(BackendId),
 }
 
+/// Operator who makes one change, and repeats it until its result is known.
 #[derive(Debug, Clone)]
 pub struct Operator {
     pub id: String,
     pub change: ConfigurationChange,
+    /// Version and value of the configuration last read.
     pub base: Option<(ObjectVersion, RawConfiguration)>,
-    /// Whether a write is out whose result is not known.
+    /// Whether the result of an earlier write is unknown.
     pub is_unsettled: bool,
-    /// Whether the change was accepted, once that is known.
+    /// Whether the change was accepted; `None` until that is known.
     pub won: Option<bool>,
 }
 
@@ -108,7 +113,8 @@
         }
     }
 
-    /// A change took effect in the platform, whether or not anybody was told.
+    /// Records that a change took effect in the platform, whether or not the operator's answer is
+    /// lost.
     fn on_accepted(&mut self, id: &str, change: ConfigurationChange, version: ObjectVersion) {
         let now = self.now;
         self.tell(format!("change {id} is accepted as version {version}"));
@@ -129,7 +135,7 @@
         }
     }
 
-    /// The VM serves the other service from now on, whoever knows.
+    /// Reassigns the VM to service 2 at once, even though no balancer knows of it yet.
     fn reuse_vm(&mut self, backend: BackendId) {
         if let Some(vm) = self.vms.values_mut().find(|vm| vm.id() == backend) {
             vm.record.id = REUSING + backend;
--- a/crates/valvestage-policy/tests/fault_matrix/oracle.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/oracle.rs
@@ -1,10 +1,10 @@
-//! The judge: one check for each promise of the brief.
+//! Test oracle: collects the checks of each promise and the violations.
 
 use std::collections::BTreeMap;
 
 use valvestage_core::ids::RequestId;
 
-/// A promise of the brief.
+/// Promise that the system makes to callers and operators, and that the cells check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Promise {
     FlowSurvivesPlannedChange,
@@ -57,25 +57,25 @@
     }
 }
 
-/// A promise that was broken, and how.
+/// Broken promise, with a description of what happened.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
     pub promise: Promise,
     pub what: String,
-    /// The request concerned, if it is one.
+    /// Request concerned, for promises about requests.
     pub request: Option<RequestId>,
 }
 
-/// Collects violations; the first of each promise says it all.
+/// Counts the checks and keeps the first violation of each promise.
 #[derive(Debug, Default)]
 pub struct Oracle {
     first: BTreeMap<Promise, (String, Option<RequestId>)>,
-    /// Promises that the cell could have broken.
+    /// Number of checks of each promise that the cell could have broken.
     pub checked: BTreeMap<Promise, u64>,
 }
 
 impl Oracle {
-    /// Notes that a promise was put to the test, and whether it held.
+    /// Counts a check of a promise and records a violation if the promise does not hold.
     pub fn check(&mut self, promise: Promise, holds: bool, what: impl FnOnce() -> String) {
         *self.checked.entry(promise).or_insert(0) += 1;
 
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Like [`Self::check`], for a request.
+    /// Does the same as [`Self::check`], and names the request concerned in the violation.
     pub fn check_request(
         &mut self,
         promise: Promise,
--- a/crates/valvestage-policy/tests/fault_matrix/platform.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/platform.rs
@@ -1,18 +1,19 @@
-//! A fake of the platform's object API.
+//! Fake of the platform's object API.
 
 use std::collections::BTreeMap;
 
 use valvestage_core::ids::ObjectVersion;
 use valvestage_policy::control::{ObjectKey, ObjectValue, PlatformCall, PlatformReply};
 
-/// Objects with versions; answers can get lost, and watches lag.
+/// Store of versioned objects with conditional writes, whose faults the simulation sets.
 #[derive(Debug, Default)]
 pub struct FakePlatform {
     revision: ObjectVersion,
     objects: BTreeMap<ObjectKey, (ObjectVersion, ObjectValue)>,
-    /// What each object was before its last write, for watches that lag.
+    /// Version and value of each object before its last write, which lagging watches show.
     former: BTreeMap<ObjectKey, (ObjectVersion, ObjectValue)>,
     pub is_down: bool,
+    /// Number of writes still to come that take effect without an answer.
     pub lost_answers: u32,
     pub watch_lags: bool,
 }
@@ -51,7 +52,7 @@
             self.former.insert(key, former);
         }
 
-        // It took effect, and nobody is told.
+        // The write took effect, but its answer is lost.
         if self.lost_answers > 0 {
             self.lost_answers -= 1;
             return PlatformReply::Unknown;
@@ -59,7 +60,7 @@
         PlatformReply::Written { version: self.revision }
     }
 
-    /// What a watch shows; none in an outage.
+    /// Returns the objects that a watch shows, or `None` during an outage.
     pub fn watch(&self) -> Option<Vec<(ObjectKey, ObjectVersion, ObjectValue)>> {
         const WATCHED: [ObjectKey; 3] =
             [ObjectKey::Configuration, ObjectKey::OwnerMap, ObjectKey::TokenKeys];
--- a/crates/valvestage-policy/tests/fault_matrix/report.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/report.rs
@@ -1,4 +1,4 @@
-//! The tables, and the page made of them.
+//! Tables of the results, and the page that contains them.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -10,7 +10,7 @@
 use crate::steps::Step;
 use crate::switches::{Switch, SwitchRow};
 
-/// Everything needed to run a failed cell again.
+/// Describes a failed cell: what is needed to run it again, its violations and its event log.
 pub fn replay(result: &CellResult) -> String {
     let cell = result.cell;
     let mut text = format!(
@@ -26,7 +26,7 @@
     for violation in &result.violations {
         let _ = writeln!(text, "  {}: {}", violation.promise.label(), violation.what);
     }
-    // The same cell once more, with the requests concerned in its story.
+    // Runs the cell again to add the events of the requests concerned to its log.
     let traced = result.violations.iter().filter_map(|violation| violation.request).collect();
     for line in &run_traced(cell, Switch::None, traced).story {
         let _ = writeln!(text, "  {line}");
@@ -34,7 +34,7 @@
     text
 }
 
-/// Cells by promise: in how many each was put to the test, and held.
+/// Renders for each promise how many cells check it and how many of them fail.
 pub fn promise_table(results: &[CellResult]) -> String {
     let mut text =
         String::from("| promise | cells that test it | failed | checks |\n|---|---|---|---|\n");
@@ -59,7 +59,7 @@
     text
 }
 
-/// What fails without each mechanism.
+/// Renders which promises break when each mechanism is disabled.
 pub fn switch_table(rows: &[SwitchRow]) -> String {
     let mut text =
         String::from("| without | red cells | promises broken | a red cell |\n|---|---|---|---|\n");
@@ -100,7 +100,8 @@
     format!("{faults} × {} (seed {})", cell.step.label(), cell.seed)
 }
 
-/// One letter a cell: proved, failed, or not run because the step did not come.
+/// Renders the results of single faults by fault and step: proved, failed, or not run because the
+/// step was not reached.
 fn single_grid(results: &[CellResult]) -> String {
     let mut text = String::from("| fault |");
     for step in Step::ALL {
@@ -135,7 +136,8 @@
     }
 }
 
-/// Flows broken by an unplanned loss, which is a figure and not a promise.
+/// Renders how many flows each fault broke. Flows may break when what holds them fails without
+/// notice, so these are figures and no violations.
 fn broken_table(results: &[CellResult]) -> String {
     let mut text = String::from(
         "| fault (singles) | flows that echo the token | flows that don't |\n|---|---|---|\n",
@@ -172,7 +174,7 @@
     format!("{} cells: {proved} proved, {failed} failed, {not_run} not run", of_part.len())
 }
 
-/// docs/FAULT-MATRIX.md.
+/// Renders the text of docs/FAULT-MATRIX.md.
 pub fn page(results: &[CellResult], switches: &[SwitchRow]) -> String {
     let failed: Vec<_> = results.iter().filter(|result| !result.violations.is_empty()).collect();
     let mut text = format!(
--- a/crates/valvestage-policy/tests/fault_matrix/scenario.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/scenario.rs
@@ -1,4 +1,4 @@
-//! The course of a cell: start, load, planned change, faults, probes.
+//! Timeline of a cell: start, load, planned change, faults, probes.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
@@ -20,12 +20,14 @@
 use crate::switches::Switch;
 use crate::world::{Event, NodeEvent, World};
 
-/// Backend server that is drained, or gets another weight.
+/// Backend server that a planned change drains or gives another weight.
 pub const DRAINED: BackendId = 3;
-/// Zone that is stopped.
+/// Availability zone that a planned change stops.
 pub const STOPPED_ZONE: usize = 2;
 
+/// Number of flows that open before the planned change.
 const FIRST_FLOWS: usize = 24;
+/// Number of flows that open after the planned change.
 const LATER_FLOWS: usize = 16;
 const FLOW_PAUSE: Duration = Duration::from_millis(300);
 const REQUEST_PAUSE: Duration = Duration::from_millis(40);
@@ -34,7 +36,7 @@
 const WATCH_PAUSE: Duration = Duration::from_millis(100);
 const RUN_TIME: Duration = Duration::from_millis(60);
 
-/// When what happens, from the start.
+// Times of the phases, from the start of the simulation.
 const LOAD_FROM: Duration = Duration::from_millis(2_500);
 const STICK_AT: Duration = Duration::from_millis(5_500);
 const ARMED_AT: Duration = Duration::from_millis(5_900);
@@ -43,12 +45,15 @@
 const PROBES_AT: Duration = Duration::from_secs(27);
 const END: Duration = Duration::from_secs(34);
 
+/// Event that the timeline schedules for a later time.
 #[derive(Debug, Clone)]
 pub enum Timer {
     SendFlow(usize),
     NewRequest,
     Resend(RequestId),
+    /// Sends a request to the balancers of one availability zone.
     ZoneRequest(usize),
+    /// Sends a probe, which may be repeated if the flag is set.
     Probe(bool),
     Watch(BalancerId),
     RefreshFabric,
@@ -66,7 +71,7 @@
     LoadEnds,
 }
 
-/// Number and zone of each balancer.
+/// Returns the id and availability zone of each balancer that is there from the start.
 pub fn balancers() -> Vec<(BalancerId, usize)> {
     vec![(1, 0), (2, 1), (3, 2), (4, 0), (5, 1)]
 }
@@ -108,7 +113,7 @@
     run_traced(cell, switch, Vec::new())
 }
 
-/// Runs a cell with everything that happens to some requests in its story.
+/// Runs a cell and records every event of the traced requests in its log.
 pub fn run_traced(cell: Cell, switch: Switch, traced: Vec<RequestId>) -> CellResult {
     let mut world = World::new(cell, switch);
     world.traced = traced;
@@ -295,7 +300,7 @@
         id
     }
 
-    /// Sends a request, and the same one again until its caller knows how it ended.
+    /// Sends a request, and resends it until its caller has a reply or its deadline has passed.
     fn send_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -318,7 +323,7 @@
         self.schedule(RESEND_PAUSE, Event::Timer(Timer::Resend(id)));
     }
 
-    /// Like the watch task of the balancer.
+    /// Does what the watch task of the balancer.
     fn watch(&mut self, id: BalancerId) {
         self.schedule(WATCH_PAUSE, Event::Timer(Timer::Watch(id)));
         let now = self.now;
@@ -365,7 +370,7 @@
         self.reach(Step::StopAnnounced, owner, None);
     }
 
-    /// The first balancer that puts a planned change in force.
+    /// Reports the step of the planned change when a balancer puts a configuration in force.
     pub fn on_in_force(&mut self, id: BalancerId, change_id: &str) {
         if change_id != "planned" {
             return;
--- a/crates/valvestage-policy/tests/fault_matrix/steps.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/steps.rs
@@ -1,33 +1,33 @@
-//! The steps at which a fault strikes, the columns of the matrix.
+//! Steps at which a fault is injected, which are the columns of the matrix.
 
-/// What has just happened when the fault strikes.
+/// Event that triggers the injection of the fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Step {
-    /// The home of a new flow has sent its opening packet on.
+    /// A balancer has forwarded the opening packet of a flow to a backend server.
     FlowOpening,
-    /// A flow is answered by its backend server.
+    /// A packet of a flow has reached its backend server, which answers it.
     FlowEstablished,
     /// A request that must not be repeated has reached its owner.
     RequestAccepted,
-    /// It was sent to a backend server.
+    /// The owner has dispatched such a request to a backend server.
     RequestDispatched,
-    /// A backend server has started it.
+    /// A backend server has started such a request.
     RequestRunning,
-    /// Its answer is on the way to the owner.
+    /// A backend server has finished such a request and sends the answer to the owner.
     RequestAnswered,
-    /// A configuration change was sent to the platform.
+    /// An operator writes a configuration change to the platform.
     ChangeSent,
-    /// It is in force on the first balancer.
+    /// A configuration change is in force on the first balancer.
     ChangeInForce,
     /// A drain is in force on the first balancer.
     DrainInForce,
-    /// An availability zone's stop is in force on the first balancer.
+    /// The stop of an availability zone is in force on the first balancer.
     ZoneStopInForce,
     /// An owner announces its planned stop.
     StopAnnounced,
-    /// It has offered its claims to the next owner.
+    /// The stopping owner has offered its claims to the next owner.
     StopOffered,
-    /// It has written the owner map.
+    /// The stopping owner has the result of its write of the owner map.
     StopWritten,
 }
 
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The planned change that the scenario makes for this step.
+    /// Returns the planned change that the scenario makes to reach this step.
     pub fn change(self) -> Change {
         match self {
             Self::FlowOpening
@@ -83,7 +83,7 @@
     }
 }
 
-/// A planned change.
+/// Planned change in a cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
     None,
--- a/crates/valvestage-policy/tests/fault_matrix/strikes.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/strikes.rs
@@ -1,4 +1,4 @@
-//! Faults: how each begins and ends.
+//! Fault injection: how each fault begins and ends.
 
 use std::time::Duration;
 
@@ -12,14 +12,16 @@
 use crate::steps::Change;
 use crate::world::{Event, NodeEvent, STEP_PAUSE, World};
 
-/// Longer than a lease, and shorter than the deadline of a request sent just before.
+/// Duration of a freeze: longer than a lease, so that it expires, and shorter than the time to the
+/// deadline of a request sent just before.
 const FROZEN: Duration = LEASE.saturating_add(Duration::from_millis(1_750));
+/// Time from the kill of a process to the start of the next one.
 const RESTARTED_AFTER: Duration = Duration::from_secs(3);
 
-/// Number of the first balancer that joins.
+/// Id of the first balancer that joins.
 const JOINING: BalancerId = 20;
 
-/// How long a fault lasts.
+/// Returns how long a fault lasts.
 pub fn length(fault: Fault) -> Duration {
     match fault {
         Fault::BalancerFrozen | Fault::BalancerFrozenSending => FROZEN,
@@ -37,10 +39,10 @@
 }
 
 impl World {
-    /// Lets the first or second fault of the cell strike.
+    /// Injects the first (`count` 0) or second fault of the cell.
     pub fn strike(&mut self, count: usize) {
         let fault = if count == 0 { self.cell.first } else { self.cell.second };
-        let struck = self.struck.expect("a fault strikes after its step");
+        let struck = self.struck.expect("a fault is injected only after its step is reached");
         let is_there = self.nodes.get(&struck.node).is_some_and(|node| node.life == Life::Running);
         let node = if is_there { struck.node } else { self.owner_of_first_service() };
         let zone = self.zone(node).unwrap_or(0);
@@ -112,7 +114,7 @@
 
         let is_cut = matches!(fault, Fault::ZoneCutFromZones | Fault::ZoneCutFromAll);
         if is_cut && self.cell.part == crate::cells::Part::Single {
-            // Callers of both sides, once the cut has been noticed.
+            // Callers on both sides of the cut send requests once the balancers have noticed it.
             for (zone, ms) in (0..12).flat_map(|turn| [(zone, turn), ((zone + 1) % 3, turn)]) {
                 let after = Duration::from_millis(1_600 + 250 * ms);
                 self.schedule(after, Event::Timer(Timer::ZoneRequest(zone)));
@@ -147,10 +149,11 @@
             Fault::PacketsReordered => self.network.reordered = 0.0,
             _ => return,
         }
-        self.tell(format!("over: {}", fault.label()));
+        self.tell(format!("fault ended: {}", fault.label()));
     }
 
-    /// Before a drain: the owner freezes with a packet for a backend server that will leave.
+    /// Prepares the freeze before a drain or a zone stop: the owner is to freeze while it sends a
+    /// packet to a backend server that the change removes.
     pub fn stick_before_change(&mut self) {
         let freezes = self.cell.first == Fault::BalancerFrozenSending;
         let leaves = |vm: &crate::backend::FakeBackend| match self.cell.step.change() {
@@ -180,7 +183,8 @@
         self.schedule(FROZEN, Event::Timer(Timer::Thaw(id)));
     }
 
-    /// What it had decided leaves first, then it handles what waited.
+    /// Resumes a frozen process: the packets that it had decided to send leave first, and then it
+    /// handles the events that waited.
     pub fn thaw(&mut self, id: BalancerId) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(&id).filter(|node| node.life == Life::Frozen) else {
@@ -189,7 +193,7 @@
         node.life = Life::Running;
         node.last_frozen = Some(now);
         let waiting = std::mem::take(&mut node.inbox);
-        self.tell(format!("balancer {id} wakes"));
+        self.tell(format!("balancer {id} resumes"));
 
         let stuck = std::mem::take(&mut self.stuck);
         for (from, event) in stuck {
@@ -210,7 +214,7 @@
         }
     }
 
-    /// A new process on the same VM, which knows nothing.
+    /// Starts a new process without any state on the VM of one that was killed.
     pub fn restart(&mut self, id: BalancerId) {
         let Some(former) = self.nodes.get(&id).filter(|node| node.life == Life::Dead) else {
             return;
@@ -220,14 +224,14 @@
         let mut node = Node::new(id, zone, &balancers(), self.switch, self.now);
         node.highest_in_force = highest;
         self.nodes.insert(id, node);
-        self.tell(format!("balancer {id} starts anew"));
+        self.tell(format!("balancer {id} restarts"));
     }
 
     pub fn start_node(&mut self, id: BalancerId, zone: usize) {
         let node = Node::new(id, zone, &balancers(), self.switch, self.now);
 
         self.nodes.insert(id, node);
-        // Not all at the same moment.
+        // Spreads the steps of the balancers over the interval.
         let offset = STEP_PAUSE.mul_f64(f64::from(id % 7) / 7.0);
         self.schedule(offset, Event::StepNode(id));
         self.schedule(offset, Event::Timer(Timer::Watch(id)));
@@ -239,7 +243,7 @@
         }
     }
 
-    /// Callers that never opened a flow send what they made up, or heard from others.
+    /// Lets callers that never opened a flow send forged tokens and tokens issued to other flows.
     fn forge_tokens(&mut self) {
         let heard: Vec<FlowToken> = self.flows.iter().filter_map(|flow| flow.token).collect();
         let made_up = FlowToken { key_id: 1, service: 1, backend: 1, incarnation: 1, mac: 0 };
--- a/crates/valvestage-policy/tests/fault_matrix/switches.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/switches.rs
@@ -1,26 +1,28 @@
-//! Mechanisms that can be taken away, to see what fails without them.
+//! Ablations: the cells run without one mechanism, to show what fails without it.
 
 use crate::cells::{CellResult, Part, all_cells, run_cells};
 
+/// Mechanism that is disabled in a run. Each variant says what happens without it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Switch {
-    /// Nothing is taken away.
+    /// All mechanisms are in place.
     None,
-    /// Copies of a request are not recognised.
+    /// Copies of a request are not recognized.
     ClaimTable,
-    /// A new owner runs everything at once.
+    /// A new owner dispatches every request at once, even if its claim table does not cover the
+    /// request's window and a former owner may have dispatched it.
     CoveredWindow,
-    /// Dispatches do not carry the lease's end.
+    /// The deadline of a dispatch is not limited to the end of the owner's lease.
     DeadlineFence,
-    /// Whatever object was read last is in force.
+    /// The object that was read last is put in force, also if it is older.
     NewestVersion,
-    /// No flow table, and former homes are not asked: placement by hash alone.
+    /// Flows are placed by hash alone: there is no flow table, and former homes are not asked.
     History,
-    /// Neither side compares services.
+    /// Neither balancers nor backend servers compare services.
     ServiceCheck,
-    /// Operators write without a condition.
+    /// Operators write without a condition on the version that they read.
     ConditionalWrite,
-    /// A process that was paused goes on as if nothing had been.
+    /// A process that was paused goes on without noticing.
     PauseDetection,
 }
 
@@ -51,14 +53,17 @@
     }
 }
 
-/// What fails without one mechanism.
+/// Cells that fail without one mechanism.
 pub struct SwitchRow {
     pub switch: Switch,
+    /// Results of the cells with a violation.
     pub red: Vec<CellResult>,
+    /// Number of cells that ran.
     pub cells: usize,
 }
 
-/// The cells run without each mechanism in turn: singles, and the pairs and repeats made for it.
+/// Runs the singles, the repeated faults and the pair marked for it with each mechanism disabled in
+/// turn.
 pub fn table() -> Vec<SwitchRow> {
     let cells: Vec<_> = all_cells()
         .into_iter()
--- a/crates/valvestage-policy/tests/fault_matrix/verdict.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/verdict.rs
@@ -1,4 +1,4 @@
-//! The judgement of a cell.
+//! Checks of the promises, during a cell and at its end.
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
 use crate::oracle::Promise;
 use crate::world::World;
 
-/// "Within seconds", as the letter has it.
+/// Longest time until a change is in force; the system promises "within seconds".
 pub const IN_FORCE_WITHIN: Duration = Duration::from_secs(4);
 
-/// A flow without an answer for this long has stalled.
+/// Time without an answer after which a flow counts as stalled.
 const STALLED: Duration = Duration::from_secs(2);
 
 impl World {
@@ -28,7 +28,8 @@
         self.faults().into_iter().any(excuses)
     }
 
-    /// What is in force on a VM that takes work never gets older, a new process on it included.
+    /// Checks that the configuration version in force on a ready balancer never decreases, also
+    /// over a restart of its process.
     pub fn check_reverts(&mut self) {
         let mut reverted = None;
 
@@ -64,7 +65,7 @@
         });
     }
 
-    /// At the end of the load: which flows are still there.
+    /// Checks at the end of the load that no flow has broken or stalled.
     pub fn check_flows(&mut self) {
         let now = self.now;
 
@@ -148,7 +149,8 @@
     }
 
     fn judge_leaving(&mut self) {
-        // A balancer that is cut off, or whose platform is, cannot know.
+        // A balancer that is cut off, or cannot reach the platform in time, cannot know of the
+        // change.
         let excused = self.any_fault(|fault| {
             matches!(
                 fault,
--- a/crates/valvestage-policy/tests/fault_matrix/world.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/world.rs
@@ -1,4 +1,4 @@
-//! The event queue, and what each event does.
+//! Simulated world: its state, the event queue, and the handling of each event.
 
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
@@ -29,20 +29,20 @@
 use crate::steps::Step;
 use crate::switches::Switch;
 
-/// Pause between two steps of a balancer.
+/// Interval between two steps of a balancer.
 pub const STEP_PAUSE: Duration = Duration::from_millis(20);
 
-/// Segments of each answer.
+/// Number of segments of each answer.
 const SEGMENTS: u16 = 2;
 
-/// Whose platform call it is.
+/// Part of a balancer that called the platform and takes the reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Who {
     Machine(Machine),
     Stop,
 }
 
-/// What arrives at a balancer.
+/// Event that arrives at a balancer.
 #[derive(Debug, Clone)]
 pub enum NodeEvent {
     Flow { flow: usize, opening: bool, token: Option<FlowToken>, hop: HopMark },
@@ -63,7 +63,7 @@
     CopyExceptions,
 }
 
-/// What arrives anywhere.
+/// Event of the simulation.
 #[derive(Debug, Clone)]
 pub enum Event {
     StepNode(BalancerId),
@@ -117,6 +117,7 @@
     Timer(Timer),
 }
 
+/// State of the simulation of one cell.
 pub struct World {
     pub now: SystemTime,
     pub start: SystemTime,
@@ -124,36 +125,40 @@
     pub switch: Switch,
     pub nodes: BTreeMap<BalancerId, Node>,
     pub platform: FakePlatform,
-    /// By address: a VM keeps its address whatever record it serves.
+    /// VMs of backend servers by address, which a VM keeps when it is reassigned to another
+    /// service.
     pub vms: BTreeMap<SocketAddr, FakeBackend>,
     pub flows: Vec<Flow>,
     pub requests: BTreeMap<RequestId, caller::Request>,
     pub oracle: Oracle,
     pub network: Network,
-    /// Events so far; the same for the same seed.
+    /// Number of events handled so far, which is the same in each run with the same seed.
     pub events: u64,
-    /// The story of the cell: what struck, and when.
+    /// Lines that say what happened in the cell, and when.
     pub story: Vec<String>,
-    /// Requests whose every event goes into the story.
+    /// Requests of which every event is logged.
     pub traced: Vec<RequestId>,
-    /// The step that is waited for, and what it struck.
+    /// Step that triggers the first fault, until it is reached.
     pub awaited: Option<Step>,
+    /// Where the step was reached.
     pub struck: Option<Struck>,
-    /// A balancer that freezes at its next dispatch to one of these (to any, if empty).
+    /// Balancer that is to freeze at its next dispatch to one of these addresses, or to any if
+    /// there are none.
     pub sticks: Option<(BalancerId, Vec<SocketAddr>)>,
+    /// Packets that frozen balancers had decided to send, which leave when they resume.
     pub stuck: Vec<(BalancerId, Event)>,
     pub cell: Cell,
-    /// Balancers that the fabric sprays over.
+    /// Balancers among which the fabric spreads the packets of callers.
     pub fabric: Vec<BalancerId>,
     pub operators: Vec<Operator>,
-    /// Backend servers that leave, and since when that is accepted.
+    /// Backend servers that a change removes from service, and when the change was accepted.
     pub leaving: Option<(Vec<SocketAddr>, SystemTime)>,
     queue: BinaryHeap<Queued>,
     sequence: u64,
     draws: u64,
 }
 
-/// Who was at work when the awaited step came.
+/// Balancer and backend server at which the awaited step was reached.
 #[derive(Debug, Clone, Copy)]
 pub struct Struck {
     pub node: BalancerId,
@@ -181,7 +186,7 @@
 }
 
 impl Ord for Queued {
-    /// The earliest first.
+    /// Orders the earliest event first in the queue, which is a max-heap.
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
@@ -220,13 +225,14 @@
         }
     }
 
+    /// Draws the next pseudo-random number, which depends only on the seed.
     pub fn draw(&mut self) -> u64 {
         self.draws += 1;
 
         mix(self.seed, self.draws)
     }
 
-    /// A draw between 0 and 1.
+    /// Draws a number from 0 up to, but not including, 1.
     pub fn share(&mut self) -> f64 {
         #[allow(clippy::cast_precision_loss)]
         let word = (self.draw() >> 11) as f64;
@@ -246,7 +252,7 @@
         self.story.push(format!("{:>6} ms  {what}", at.as_millis()));
     }
 
-    /// Adds to the story what happens to a request, if it is traced.
+    /// Logs an event of a request, if the request is traced.
     pub fn trace(&mut self, id: RequestId, what: impl FnOnce() -> String) {
         if self.traced.contains(&id) {
             let what = what();
@@ -299,12 +305,12 @@
         }
     }
 
-    /// A step of the matrix has happened: the fault strikes if it was waited for.
+    /// Takes note of a step, and schedules the first fault if the cell waits for this step.
     pub fn reach(&mut self, step: Step, node: BalancerId, vm: Option<SocketAddr>) {
         if self.awaited == Some(step) {
             self.awaited = None;
             self.struck = Some(Struck { node, vm });
-            self.tell(format!("{} at balancer {node}", step.label()));
+            self.tell(format!("step reached: {} at balancer {node}", step.label()));
             self.schedule(Duration::ZERO, Event::Timer(Timer::Strike(0)));
         }
     }
@@ -511,7 +517,7 @@
                 let offer = NodeEvent::Offer { from: id, service, handover, claims };
                 self.send_to_node(id, to, offer);
                 self.reach(Step::StopOffered, id, None);
-                // A lost offer counts as refused.
+                // An offer without an answer after 1 s counts as refused.
                 self.schedule(Duration::from_secs(1), Event::Timer(Timer::OfferTimeout(id)));
             }
             Some(StopStep::Call(call)) => self.call_platform(id, Who::Stop, call),
@@ -532,8 +538,8 @@
         }
     }
 
-    /// Like the stop task of the balancer: the lease goes back, then the process ends once nothing
-    /// is open and everybody had time to notice.
+    /// Does what the stop task of the balancer does: gives the lease back, and ends the process
+    /// once no work is open and the other balancers have had time to notice the stop.
     fn finish_stop(&mut self, id: BalancerId) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(&id) else {
@@ -669,7 +675,9 @@
                         incarnation,
                     };
                     self.trace(request.id, || {
-                        format!("try {attempt} sent by balancer {id} to {backend}")
+                        format!(
+                            "attempt {attempt} sent by balancer {id} to backend server {backend}"
+                        )
                     });
                     self.send_work(id, backend, work, &request);
                 }
@@ -704,7 +712,7 @@
         };
         let event = Event::Work { address, work, meant: request.service };
 
-        // Decided, and paused before the packet reached the socket.
+        // The process freezes after the decision, before the packet reaches the socket.
         let sticks = self.sticks.as_ref().is_some_and(|(node, addresses)| {
             *node == id && (addresses.is_empty() || addresses.contains(&address))
         });
@@ -929,7 +937,7 @@
 
     fn on_caller_ending(&mut self, id: RequestId, caller: SocketAddr, ending: Ending) {
         let now = self.now;
-        self.trace(id, || format!("ended: {ending:?}"));
+        self.trace(id, || format!("reply received by the caller: {ending:?}"));
 
         if let Some(request) = self.requests.get_mut(&id).filter(|r| r.caller == caller) {
             request.endings.push((now, ending));
