--- a/crates/valvestage-policy/tests/fault_matrix/switches.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/ablations.rs
@@ -1,10 +1,10 @@
 //! Ablations: the cells run without one mechanism, to show what fails without it.
 
-use crate::cells::{CellResult, Part, all_cells, run_cells};
+use crate::cells::{CellKind, CellResult, all_cells, run_cells};
 
 /// Mechanism that is disabled in a run. Each variant says what happens without it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Switch {
+pub enum Ablation {
     /// All mechanisms are in place.
     None,
     /// Copies of a request are not recognized.
@@ -26,7 +26,7 @@
     PauseDetection,
 }
 
-impl Switch {
+impl Ablation {
     pub const ALL: [Self; 8] = [
         Self::ClaimTable,
         Self::CoveredWindow,
@@ -54,28 +54,28 @@
 }
 
 /// Cells that fail without one mechanism.
-pub struct SwitchRow {
-    pub switch: Switch,
+pub struct AblationRow {
+    pub switch: Ablation,
     /// Results of the cells with a violation.
-    pub red: Vec<CellResult>,
+    pub failed: Vec<CellResult>,
     /// Number of cells that ran.
-    pub cells: usize,
+    pub cell_count: usize,
 }
 
 /// Runs the singles, the repeated faults and the pair marked for it with each mechanism disabled in
 /// turn.
-pub fn table() -> Vec<SwitchRow> {
+pub fn run_ablations() -> Vec<AblationRow> {
     let cells: Vec<_> = all_cells()
         .into_iter()
-        .filter(|cell| cell.part != Part::Pair || cell.is_made_for_switch)
+        .filter(|cell| cell.kind != CellKind::Pair || cell.is_ablation_case)
         .collect();
 
-    Switch::ALL
+    Ablation::ALL
         .into_iter()
         .map(|switch| {
             let red = run_cells(&cells, switch);
             let red = red.into_iter().filter(|result| !result.violations.is_empty()).collect();
-            SwitchRow { switch, red, cells: cells.len() }
+            AblationRow { switch, failed: red, cell_count: cells.len() }
         })
         .collect()
 }
--- a/crates/valvestage-policy/tests/fault_matrix/backend.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/backend.rs
@@ -10,7 +10,7 @@
 
 /// Request that a balancer dispatches to a backend server.
 #[derive(Debug, Clone, Copy)]
-pub struct Work {
+pub struct DispatchedRequest {
     pub id: RequestId,
     pub attempt: Attempt,
     pub repeatable: bool,
@@ -24,12 +24,12 @@
 
 /// Reaction of a backend server to a dispatched request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Admission {
+pub enum AdmissionResult {
     /// The request was started and finishes at the given time.
-    Runs(SystemTime),
+    Started(SystemTime),
     Refused(RefusalReason),
     /// The VM is down: nothing is sent back.
-    Silent,
+    NoAnswer,
 }
 
 #[derive(Debug)]
@@ -43,7 +43,7 @@
     /// Requests in execution, by id and attempt.
     pub running: BTreeSet<(RequestId, Attempt)>,
     /// Highest number of requests that ran at once.
-    pub peak: usize,
+    pub peak_running: usize,
     /// Addresses of the callers with an open flow.
     pub flows: BTreeSet<SocketAddr>,
     /// When it last accepted a request or a new flow.
@@ -61,7 +61,7 @@
             slow_factor: 1,
             mean_run_time,
             running: BTreeSet::new(),
-            peak: 0,
+            peak_running: 0,
             flows: BTreeSet::new(),
             last_new_work: None,
             draws: 0,
@@ -73,32 +73,32 @@
     }
 
     /// Starts a request, or refuses it as a real backend server would.
-    pub fn admit(&mut self, now: SystemTime, work: &Work) -> Admission {
+    pub fn admit(&mut self, now: SystemTime, work: &DispatchedRequest) -> AdmissionResult {
         if self.is_dead {
-            return Admission::Silent;
+            return AdmissionResult::NoAnswer;
         }
         if work.service != self.record.service || work.incarnation != self.record.incarnation {
-            return Admission::Refused(RefusalReason::BackendMismatch);
+            return AdmissionResult::Refused(RefusalReason::BackendMismatch);
         }
         if work.deadline <= now {
-            return Admission::Refused(RefusalReason::BackendDeadline);
+            return AdmissionResult::Refused(RefusalReason::BackendDeadline);
         }
         if self.is_shedding || self.running.len() >= usize::from(self.record.slots) {
-            return Admission::Refused(RefusalReason::BackendShedding);
+            return AdmissionResult::Refused(RefusalReason::BackendShedding);
         }
 
         self.running.insert((work.id, work.attempt));
-        self.peak = self.peak.max(self.running.len());
+        self.peak_running = self.peak_running.max(self.running.len());
         self.last_new_work = Some(now);
-        Admission::Runs(now + self.run_time())
+        AdmissionResult::Started(now + self.draw_run_time())
     }
 
     /// Draws a run time from an exponential distribution around `mean_run_time`.
-    fn run_time(&mut self) -> Duration {
+    fn draw_run_time(&mut self) -> Duration {
         self.draws += 1;
-        let word = mix(self.record.id.into(), self.draws) >> 11;
+        let random_bits = mix(self.record.id.into(), self.draws) >> 11;
         #[allow(clippy::cast_precision_loss)]
-        let uniform = (word as f64 + 0.5) / 9_007_199_254_740_992.0;
+        let uniform = (random_bits as f64 + 0.5) / 9_007_199_254_740_992.0;
 
         self.mean_run_time.mul_f64(-uniform.ln()) * self.slow_factor
     }
--- a/crates/valvestage-policy/tests/fault_matrix/caller.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/caller.rs
@@ -17,7 +17,7 @@
     pub caller: SocketAddr,
     pub service: ServiceId,
     /// Whether the caller puts the token that it received into its packets.
-    pub echoes: bool,
+    pub echoes_token: bool,
     /// Last token that the caller received.
     pub token: Option<FlowToken>,
     /// Backend server that first answered; an answer of any other breaks the flow.
@@ -25,16 +25,16 @@
     /// When the first answer arrived.
     pub opened: Option<SystemTime>,
     /// When the latest answer arrived.
-    pub last_heard: Option<SystemTime>,
+    pub last_answer: Option<SystemTime>,
     /// When and why the flow broke.
     pub broken: Option<(SystemTime, &'static str)>,
     /// Whether the caller sends a token that was forged or issued to another flow.
-    pub is_intruder: bool,
+    pub is_attacker: bool,
 }
 
 /// Reply that a caller receives for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
+pub enum CallerReply {
     /// A complete set of answer segments.
     Answered,
     /// A refusal that says what is known of the request's execution.
@@ -51,7 +51,7 @@
     pub sent: SystemTime,
     pub deadline: SystemTime,
     /// Replies that the caller received, in order.
-    pub endings: Vec<(SystemTime, Ending)>,
+    pub replies: Vec<(SystemTime, CallerReply)>,
     /// How often the request was started, over all backend servers.
     pub runs: u32,
     /// Whether an answer belonged to another request or caller, or was incomplete.
@@ -63,11 +63,11 @@
 }
 
 impl Request {
-    pub fn first_ending(&self) -> Option<Ending> {
-        self.endings.first().map(|(_, ending)| *ending)
+    pub fn first_reply(&self) -> Option<CallerReply> {
+        self.replies.first().map(|(_, ending)| *ending)
     }
 
-    pub fn was_told(&self, ending: Ending) -> bool {
-        self.endings.iter().any(|(_, told)| *told == ending)
+    pub fn has_received(&self, ending: CallerReply) -> bool {
+        self.replies.iter().any(|(_, told)| *told == ending)
     }
 }
--- a/crates/valvestage-policy/tests/fault_matrix/cells.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/cells.rs
@@ -4,18 +4,18 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 
+use crate::ablations::Ablation;
 use crate::faults::Fault;
 use crate::oracle::{Promise, Violation};
 use crate::scenario::run_cell;
 use crate::steps::Step;
-use crate::switches::Switch;
 
 /// Number of seeds with which each cell of one fault runs.
-const SEEDS: u64 = 2;
+const SINGLE_FAULT_SEEDS: u64 = 2;
 
 /// How many faults a cell injects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Part {
+pub enum CellKind {
     /// One fault.
     Single,
     /// Two different faults, the second 300 to 900 ms after the first.
@@ -27,13 +27,13 @@
 /// One simulation run of the matrix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Cell {
-    pub part: Part,
+    pub kind: CellKind,
     pub step: Step,
     pub first: Fault,
     pub second: Fault,
     pub seed: u64,
     /// Whether the cell is a pair that is also run with each mechanism disabled in turn.
-    pub is_made_for_switch: bool,
+    pub is_ablation_case: bool,
 }
 
 /// What a run of a cell showed.
@@ -48,11 +48,11 @@
     /// Number of simulation events.
     pub events: u64,
     /// Lines with the time and the text of each event worth reporting.
-    pub story: Vec<String>,
+    pub event_log: Vec<String>,
     /// Flows that echo the token: opened, broken.
     pub echoing: (u64, u64),
     /// Flows that don't echo the token: opened, broken.
-    pub silent: (u64, u64),
+    pub not_echoing: (u64, u64),
 }
 
 /// Steps at which pairs and repeated faults are injected: a running request, a drain and the
@@ -64,48 +64,48 @@
 
     for first in Fault::ALL {
         for step in Step::ALL {
-            for seed in 0..SEEDS {
-                let second = Fault::Nothing;
+            for seed in 0..SINGLE_FAULT_SEEDS {
+                let second = Fault::NoFault;
                 cells.push(Cell {
-                    part: Part::Single,
+                    kind: CellKind::Single,
                     step,
                     first,
                     second,
                     seed,
-                    is_made_for_switch: false,
+                    is_ablation_case: false,
                 });
             }
         }
     }
 
-    let real = &Fault::ALL[1..];
-    for (index, first) in real.iter().enumerate() {
-        for second in &real[index + 1..] {
+    let real_faults = &Fault::ALL[1..];
+    for (index, first) in real_faults.iter().enumerate() {
+        for second in &real_faults[index + 1..] {
             for step in PAIR_STEPS {
                 let is_made_for_switch =
                     (*first, *second) == (Fault::BalancerKilled, Fault::WatchLags);
                 let cell = Cell {
-                    part: Part::Pair,
+                    kind: CellKind::Pair,
                     step,
                     first: *first,
                     second: *second,
                     seed: 7,
-                    is_made_for_switch,
+                    is_ablation_case: is_made_for_switch,
                 };
                 cells.push(cell);
             }
         }
     }
 
-    for first in real {
+    for first in real_faults {
         for step in PAIR_STEPS {
             let cell = Cell {
-                part: Part::Twice,
+                kind: CellKind::Twice,
                 step,
                 first: *first,
                 second: *first,
                 seed: 11,
-                is_made_for_switch: false,
+                is_ablation_case: false,
             };
             cells.push(cell);
         }
@@ -114,7 +114,7 @@
 }
 
 /// Runs cells on all processors and returns the results in the order of the cells.
-pub fn run_cells(cells: &[Cell], switch: Switch) -> Vec<CellResult> {
+pub fn run_cells(cells: &[Cell], switch: Ablation) -> Vec<CellResult> {
     let next = AtomicUsize::new(0);
     let results: Vec<Mutex<Option<CellResult>>> = cells.iter().map(|_| Mutex::new(None)).collect();
     let threads = thread::available_parallelism().map_or(4, usize::from);
--- a/crates/valvestage-policy/tests/fault_matrix/verdict.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/checks.rs
@@ -6,26 +6,26 @@
 use valvestage_core::ids::ObjectVersion;
 use valvestage_policy::control::ObjectKey;
 
-use crate::caller::Ending;
+use crate::caller::CallerReply;
 use crate::cells::CellResult;
 use crate::faults::Fault;
-use crate::node::Life;
+use crate::node::ProcessState;
 use crate::oracle::Promise;
 use crate::world::World;
 
 /// Longest time until a change is in force; the system promises "within seconds".
-pub const IN_FORCE_WITHIN: Duration = Duration::from_secs(4);
+pub const IN_FORCE_LIMIT: Duration = Duration::from_secs(4);
 
 /// Time without an answer after which a flow counts as stalled.
-const STALLED: Duration = Duration::from_secs(2);
+const STALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl World {
     fn faults(&self) -> [Fault; 2] {
         [self.cell.first, self.cell.second]
     }
 
-    fn any_fault(&self, excuses: impl Fn(Fault) -> bool) -> bool {
-        self.faults().into_iter().any(excuses)
+    fn any_fault(&self, allows: impl Fn(Fault) -> bool) -> bool {
+        self.faults().into_iter().any(allows)
     }
 
     /// Checks that the configuration version in force on a ready balancer never decreases, also
@@ -35,10 +35,10 @@
 
         for node in self.nodes.values_mut().filter(|node| node.is_ready()) {
             let version = node.policy.director().latest_version();
-            if version < node.highest_in_force {
-                reverted = Some((node.id, version, node.highest_in_force));
+            if version < node.highest_version_in_force {
+                reverted = Some((node.id, version, node.highest_version_in_force));
             }
-            node.highest_in_force = node.highest_in_force.max(version);
+            node.highest_version_in_force = node.highest_version_in_force.max(version);
         }
         let promise = Promise::ConfigurationInForceAndNeverReverts;
         self.oracle.check(promise, reverted.is_none(), || {
@@ -48,12 +48,12 @@
     }
 
     pub fn check_in_force(&mut self, version: ObjectVersion) {
-        if self.any_fault(Fault::excuses_late_configuration) {
+        if self.any_fault(Fault::allows_late_configuration) {
             return;
         }
-        let limit = self.now - IN_FORCE_WITHIN;
+        let limit = self.now - IN_FORCE_LIMIT;
         let late = self.nodes.values().find(|node| {
-            node.life == Life::Running
+            node.process_state == ProcessState::Running
                 && node.started <= limit
                 && node.policy.director().latest_version() < version
         });
@@ -70,43 +70,43 @@
         let now = self.now;
 
         for flow in self.flows.iter_mut().filter(|flow| flow.opened.is_some()) {
-            let silent = flow.last_heard.is_some_and(|heard| now > heard + STALLED);
+            let silent = flow.last_answer.is_some_and(|heard| now > heard + STALL_TIMEOUT);
             if silent && flow.broken.is_none() {
                 flow.broken = Some((now, "stalled"));
             }
         }
-        let excused = self.any_fault(Fault::excuses_broken_flows);
+        let is_exempt = self.any_fault(Fault::allows_broken_flows);
         for index in 0..self.flows.len() {
             let flow = self.flows[index].clone();
-            if flow.opened.is_none() || flow.is_intruder || excused {
+            if flow.opened.is_none() || flow.is_attacker || is_exempt {
                 continue;
             }
             let at = flow.broken.map_or(0, |(at, _)| self.elapsed(at));
             let promise = Promise::FlowSurvivesPlannedChange;
             self.oracle.check(promise, flow.broken.is_none(), || {
                 let why = flow.broken.map_or("", |(_, why)| why);
-                format!("flow {index} (echoes: {}) {why} at {at} ms", flow.echoes)
+                format!("flow {index} (echoes: {}) {why} at {at} ms", flow.echoes_token)
             });
         }
     }
 
-    pub fn judge(&mut self) {
-        self.judge_requests();
-        self.judge_leaving();
-        self.judge_operators();
+    pub fn check_at_end(&mut self) {
+        self.check_requests();
+        self.check_leaving_backends();
+        self.check_operators();
     }
 
-    fn judge_requests(&mut self) {
-        let excused = self.any_fault(Fault::excuses_unanswered);
+    fn check_requests(&mut self) {
+        let is_exempt = self.any_fault(Fault::allows_unanswered_requests);
         let is_cut = self
             .any_fault(|fault| matches!(fault, Fault::ZoneCutFromZones | Fault::ZoneCutFromAll));
 
         for request in self.requests.values() {
             let name =
                 format!("request {:x} (sent at {} ms)", request.id, self.elapsed(request.sent));
-            let not_run = request.was_told(Ending::Told(Outcome::NotRun));
-            let answered = request.was_told(Ending::Answered);
-            let first = request.first_ending();
+            let not_run = request.has_received(CallerReply::Told(Outcome::NotRun));
+            let answered = request.has_received(CallerReply::Answered);
+            let first = request.first_reply();
             let oracle = &mut self.oracle;
 
             if !request.repeatable {
@@ -125,21 +125,26 @@
             );
             let is_contradicted = answered && not_run;
             let is_right = !request.got_wrong_answer && !is_contradicted;
-            oracle.check_request(Promise::WholeOwnAnswer, request.id, is_right, || {
-                format!("{name} was told {:?}", request.endings)
+            oracle.check_request(Promise::CompleteOwnAnswer, request.id, is_right, || {
+                format!("{name} was told {:?}", request.replies)
             });
 
-            let is_answered = first == Some(Ending::Answered);
+            let is_answered = first == Some(CallerReply::Answered);
             let told = || format!("{name} (repeatable: {}) was told {first:?}", request.repeatable);
             if request.is_probe {
-                oracle.check_request(Promise::ServesAgainAfterwards, request.id, is_answered, told);
+                oracle.check_request(Promise::ServesAgainAfterFault, request.id, is_answered, told);
             } else if request.from_zone.is_some() {
                 if is_cut {
-                    oracle.check_request(Promise::ZoneGoesOnServing, request.id, is_answered, told);
+                    oracle.check_request(
+                        Promise::CutOffZoneKeepsServing,
+                        request.id,
+                        is_answered,
+                        told,
+                    );
                 }
-            } else if !excused {
+            } else if !is_exempt {
                 oracle.check_request(
-                    Promise::PlannedStopCutsNothing,
+                    Promise::PlannedStopKeepsRequests,
                     request.id,
                     is_answered,
                     told,
@@ -148,10 +153,10 @@
         }
     }
 
-    fn judge_leaving(&mut self) {
+    fn check_leaving_backends(&mut self) {
         // A balancer that is cut off, or cannot reach the platform in time, cannot know of the
         // change.
-        let excused = self.any_fault(|fault| {
+        let is_exempt = self.any_fault(|fault| {
             matches!(
                 fault,
                 Fault::PlatformDown
@@ -162,7 +167,7 @@
                     | Fault::ZoneCutFromAll
             )
         });
-        let Some((addresses, since)) = self.leaving.clone().filter(|_| !excused) else {
+        let Some((addresses, since)) = self.leaving_backends.clone().filter(|_| !is_exempt) else {
             return;
         };
 
@@ -171,11 +176,11 @@
                 continue;
             };
             let last = vm.last_new_work;
-            let is_quiet = last.is_none_or(|at| at <= since + IN_FORCE_WITHIN);
+            let is_quiet = last.is_none_or(|at| at <= since + IN_FORCE_LIMIT);
             let id = vm.id();
             let late = last.map_or(0, |at| self.elapsed(at));
             let accepted = self.elapsed(since);
-            self.oracle.check(Promise::LeavingGetsNoNewWork, is_quiet, || {
+            self.oracle.check(Promise::LeavingBackendGetsNoNewWork, is_quiet, || {
                 format!(
                     "backend server {id} got new work at {late} ms; it leaves since {accepted} ms"
                 )
@@ -183,12 +188,12 @@
         }
     }
 
-    fn judge_operators(&mut self) {
+    fn check_operators(&mut self) {
         let winners = |base: ObjectVersion| {
             let same = self.operators.iter().filter(|operator| {
                 operator.base.as_ref().is_some_and(|(version, _)| *version == base)
             });
-            same.filter(|operator| operator.won == Some(true)).count()
+            same.filter(|operator| operator.is_accepted == Some(true)).count()
         };
         let bases: Vec<ObjectVersion> = self
             .operators
@@ -196,7 +201,7 @@
             .filter_map(|o| o.base.as_ref().map(|(version, _)| *version))
             .collect();
         let doubled = bases.iter().copied().find(|base| winners(*base) > 1);
-        let open = self.operators.iter().find(|operator| operator.won.is_none());
+        let open = self.operators.iter().find(|operator| operator.is_accepted.is_none());
         let open = open.map(|operator| operator.id.clone());
         let known = self.platform.get(ObjectKey::Configuration).is_some();
 
@@ -215,14 +220,14 @@
             let opened = self
                 .flows
                 .iter()
-                .filter(|f| f.opened.is_some() && f.echoes == echoes && !f.is_intruder);
+                .filter(|f| f.opened.is_some() && f.echoes_token == echoes && !f.is_attacker);
             let broken = opened.clone().filter(|flow| flow.broken.is_some()).count() as u64;
             (opened.count() as u64, broken)
         };
 
         CellResult {
             cell: self.cell,
-            is_reached: self.struck.is_some(),
+            is_reached: self.fault_site.is_some(),
             violations: self.oracle.violations(),
             checked: self
                 .oracle
@@ -232,8 +237,8 @@
                 .collect(),
             events: self.events,
             echoing: count(true),
-            silent: count(false),
-            story: self.story,
+            not_echoing: count(false),
+            event_log: self.event_log,
         }
     }
 }
--- a/crates/valvestage-policy/tests/fault_matrix/faults.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/faults.rs
@@ -3,7 +3,7 @@
 /// Fault that a cell injects; "at work" means at the step that triggers the fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Fault {
-    Nothing,
+    NoFault,
     /// The balancer at work is killed; a new process starts on its VM 3 s later.
     BalancerKilled,
     /// The balancer at work is paused until its lease has expired, and then resumes.
@@ -33,7 +33,7 @@
     /// The availability zone of the balancer at work is cut from everything but callers.
     ZoneCutFromAll,
     PacketsLost,
-    PacketsDoubled,
+    PacketsDuplicated,
     PacketsReordered,
     /// Two operators change the configuration at the same time.
     OperatorsRace,
@@ -45,7 +45,7 @@
 
 impl Fault {
     pub const ALL: [Self; 21] = [
-        Self::Nothing,
+        Self::NoFault,
         Self::BalancerKilled,
         Self::BalancerFrozen,
         Self::BalancerFrozenSending,
@@ -61,7 +61,7 @@
         Self::ZoneCutFromPlatform,
         Self::ZoneCutFromAll,
         Self::PacketsLost,
-        Self::PacketsDoubled,
+        Self::PacketsDuplicated,
         Self::PacketsReordered,
         Self::OperatorsRace,
         Self::AddressReused,
@@ -70,7 +70,7 @@
 
     pub fn label(self) -> &'static str {
         match self {
-            Self::Nothing => "no fault",
+            Self::NoFault => "no fault",
             Self::BalancerKilled => "balancer killed",
             Self::BalancerFrozen => "balancer frozen past its lease",
             Self::BalancerFrozenSending => "balancer frozen while sending",
@@ -86,7 +86,7 @@
             Self::ZoneCutFromPlatform => "zone cut from platform",
             Self::ZoneCutFromAll => "zone cut from zones and platform",
             Self::PacketsLost => "packets lost",
-            Self::PacketsDoubled => "packets doubled",
+            Self::PacketsDuplicated => "packets doubled",
             Self::PacketsReordered => "packets reordered",
             Self::OperatorsRace => "operators race",
             Self::AddressReused => "address given to another service",
@@ -96,7 +96,7 @@
 
     /// Reports whether flows may break under this fault, because a balancer or backend server that
     /// holds them fails without notice or becomes unreachable, or because packets are lost.
-    pub fn excuses_broken_flows(self) -> bool {
+    pub fn allows_broken_flows(self) -> bool {
         matches!(
             self,
             Self::BalancerKilled
@@ -111,14 +111,14 @@
     }
 
     /// Reports whether requests may end without an answer under this fault.
-    pub fn excuses_unanswered(self) -> bool {
+    pub fn allows_unanswered_requests(self) -> bool {
         !matches!(
             self,
-            Self::Nothing
+            Self::NoFault
                 | Self::BalancerJoins
                 | Self::AnswersLost
                 | Self::WatchLags
-                | Self::PacketsDoubled
+                | Self::PacketsDuplicated
                 | Self::PacketsReordered
                 | Self::OperatorsRace
                 | Self::TokensForged
@@ -126,7 +126,7 @@
     }
 
     /// Reports whether a configuration may come into force later than the limit under this fault.
-    pub fn excuses_late_configuration(self) -> bool {
+    pub fn allows_late_configuration(self) -> bool {
         matches!(
             self,
             Self::PlatformDown
--- a/crates/valvestage-policy/tests/fault_matrix/main.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/main.rs
@@ -6,9 +6,12 @@
 //! `cargo test -p valvestage-policy --test fault_matrix -- --nocapture` prints the tables; with
 //! `UPDATE_DOCS=1` in the environment it also writes docs/FAULT-MATRIX.md.
 
+mod ablations;
 mod backend;
 mod caller;
 mod cells;
+mod checks;
+mod fault_injection;
 mod faults;
 mod network;
 mod node;
@@ -18,36 +21,33 @@
 mod report;
 mod scenario;
 mod steps;
-mod strikes;
-mod switches;
-mod verdict;
 mod world;
 
 use std::sync::OnceLock;
 
-use cells::{CellResult, Part, all_cells, run_cells};
-use switches::{Switch, SwitchRow};
+use ablations::{Ablation, AblationRow};
+use cells::{CellKind, CellResult, all_cells, run_cells};
 
 /// Returns the results of all cells under the production policy, which run once for all tests.
 fn results() -> &'static [CellResult] {
     static RESULTS: OnceLock<Vec<CellResult>> = OnceLock::new();
 
-    RESULTS.get_or_init(|| run_cells(&all_cells(), Switch::None))
+    RESULTS.get_or_init(|| run_cells(&all_cells(), Ablation::None))
 }
 
 /// Returns the results with each mechanism disabled in turn, which are run once for all tests.
-fn switch_rows() -> &'static [SwitchRow] {
-    static ROWS: OnceLock<Vec<SwitchRow>> = OnceLock::new();
+fn ablation_rows() -> &'static [AblationRow] {
+    static ROWS: OnceLock<Vec<AblationRow>> = OnceLock::new();
 
-    ROWS.get_or_init(switches::table)
+    ROWS.get_or_init(ablations::run_ablations)
 }
 
-fn assert_no_violation(part: Part) {
-    let of_part: Vec<_> = results().iter().filter(|result| result.cell.part == part).collect();
+fn assert_no_violation(part: CellKind) {
+    let of_part: Vec<_> = results().iter().filter(|result| result.cell.kind == part).collect();
     let failed: Vec<_> = of_part.iter().filter(|result| !result.violations.is_empty()).collect();
 
     for result in &failed {
-        println!("{}", report::replay(result));
+        println!("{}", report::describe_failure(result));
     }
     assert!(!of_part.is_empty());
     assert!(failed.is_empty(), "{} of {} cells failed", failed.len(), of_part.len());
@@ -55,31 +55,35 @@
 
 #[test]
 fn every_fault_at_every_step_keeps_every_promise() {
-    assert_no_violation(Part::Single);
+    assert_no_violation(CellKind::Single);
 }
 
 #[test]
 fn every_pair_of_faults_keeps_every_promise() {
-    assert_no_violation(Part::Pair);
+    assert_no_violation(CellKind::Pair);
 }
 
 #[test]
 fn every_fault_twice_keeps_every_promise() {
-    assert_no_violation(Part::Twice);
+    assert_no_violation(CellKind::Twice);
 }
 
 #[test]
 fn each_mechanism_is_needed() {
-    println!("{}", report::switch_table(switch_rows()));
-
-    for row in switch_rows() {
-        assert!(!row.red.is_empty(), "no cell fails without the mechanism: {}", row.switch.label());
+    println!("{}", report::ablation_table(ablation_rows()));
+
+    for row in ablation_rows() {
+        assert!(
+            !row.failed.is_empty(),
+            "no cell fails without the mechanism: {}",
+            row.switch.label()
+        );
     }
 }
 
 #[test]
 fn the_page_is_current() {
-    let page = report::page(results(), switch_rows());
+    let page = report::page(results(), ablation_rows());
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/FAULT-MATRIX.md");
 
     println!("{}", report::promise_table(results()));
@@ -94,8 +98,8 @@
 fn a_cell_gives_the_same_verdict_each_time() {
     let cells: Vec<_> = all_cells().into_iter().step_by(40).collect();
 
-    let first = run_cells(&cells, Switch::None);
-    let second = run_cells(&cells, Switch::None);
+    let first = run_cells(&cells, Ablation::None);
+    let second = run_cells(&cells, Ablation::None);
     assert!(
         first
             .iter()
--- a/crates/valvestage-policy/tests/fault_matrix/network.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/network.rs
@@ -8,42 +8,44 @@
 use valvestage_core::ids::BalancerId;
 use valvestage_policy::control::PlatformCall;
 
-use crate::world::{Event, NodeEvent, Who, World};
+use crate::world::{Event, NodeEvent, PlatformCallSource, World};
 
-const NEAR: Duration = Duration::from_micros(200);
-const FAR: Duration = Duration::from_millis(1);
-const TO_CALLER: Duration = Duration::from_millis(3);
-const TO_PLATFORM: Duration = Duration::from_millis(2);
-const SLOW_PLATFORM: Duration = Duration::from_millis(1_500);
-const LATEST: Duration = Duration::from_millis(30);
+const SAME_ZONE_DELAY: Duration = Duration::from_micros(200);
+const CROSS_ZONE_DELAY: Duration = Duration::from_millis(1);
+const CALLER_DELAY: Duration = Duration::from_millis(3);
+const PLATFORM_DELAY: Duration = Duration::from_millis(2);
+const SLOW_PLATFORM_DELAY: Duration = Duration::from_millis(1_500);
+const MAX_REORDER_DELAY: Duration = Duration::from_millis(30);
 
 /// Present condition of the simulated network.
 #[derive(Debug, Default)]
 pub struct Network {
     /// Availability zones cut from the other zones.
-    pub cut_zones: BTreeSet<usize>,
+    pub zones_cut_from_zones: BTreeSet<usize>,
     /// Availability zones cut from the platform.
-    pub cut_from_platform: BTreeSet<usize>,
+    pub zones_cut_from_platform: BTreeSet<usize>,
     /// Fraction of the packets that are lost, 0 to 1.
-    pub lost: f64,
+    pub loss_fraction: f64,
     /// Fraction of the packets that are duplicated, 0 to 1.
-    pub doubled: f64,
+    pub duplicate_fraction: f64,
     /// Fraction of the packets that are delayed, so that others overtake them, 0 to 1.
-    pub reordered: f64,
+    pub reorder_fraction: f64,
     pub platform_is_slow: bool,
 }
 
 impl Network {
     pub fn is_cut(&self, left: usize, right: usize) -> bool {
-        left != right && (self.cut_zones.contains(&left) || self.cut_zones.contains(&right))
+        left != right
+            && (self.zones_cut_from_zones.contains(&left)
+                || self.zones_cut_from_zones.contains(&right))
     }
 
     pub fn is_cut_from_platform(&self, zone: usize) -> bool {
-        self.cut_from_platform.contains(&zone)
+        self.zones_cut_from_platform.contains(&zone)
     }
 
     pub fn platform_delay(&self) -> Duration {
-        if self.platform_is_slow { SLOW_PLATFORM } else { TO_PLATFORM }
+        if self.platform_is_slow { SLOW_PLATFORM_DELAY } else { PLATFORM_DELAY }
     }
 }
 
@@ -55,23 +57,28 @@
 impl World {
     /// Sends a datagram, which may be lost, duplicated or delayed.
     ///
-    /// `may_double` is false on the last hop to a backend server, since no balancer could do
+    /// `may_duplicate` is false on the last hop to a backend server, since no balancer could do
     /// anything about a copy made there, and for copies that were already made by the sender.
-    fn send_packet(&mut self, delay: Duration, event: Event, may_double: bool) {
-        if self.share() < self.network.lost {
+    fn send_packet(&mut self, delay: Duration, event: Event, may_duplicate: bool) {
+        if self.draw_fraction() < self.network.loss_fraction {
             return;
         }
 
-        let copies = if may_double && self.share() < self.network.doubled { 2 } else { 1 };
+        let copies = if may_duplicate && self.draw_fraction() < self.network.duplicate_fraction {
+            2
+        } else {
+            1
+        };
         for _ in 0..copies {
-            let late = self.share() < self.network.reordered;
-            let extra = if late { LATEST.mul_f64(self.share()) } else { Duration::ZERO };
+            let late = self.draw_fraction() < self.network.reorder_fraction;
+            let extra =
+                if late { MAX_REORDER_DELAY.mul_f64(self.draw_fraction()) } else { Duration::ZERO };
             self.schedule(delay + extra, event.clone());
         }
     }
 
-    fn delay(left: usize, right: usize) -> Duration {
-        if left == right { NEAR } else { FAR }
+    fn zone_delay(left: usize, right: usize) -> Duration {
+        if left == right { SAME_ZONE_DELAY } else { CROSS_ZONE_DELAY }
     }
 
     pub fn send_to_node(&mut self, from: BalancerId, to: BalancerId, event: NodeEvent) {
@@ -86,7 +93,7 @@
             event,
             NodeEvent::Flow { .. } | NodeEvent::Request { .. } | NodeEvent::Binding(_)
         );
-        let delay = Self::delay(left, right);
+        let delay = Self::zone_delay(left, right);
         if is_datagram {
             self.send_packet(delay, Event::Node(to, event), true);
         } else {
@@ -100,7 +107,7 @@
         };
 
         if !self.network.is_cut(left, right) {
-            self.send_packet(Self::delay(left, right), event, false);
+            self.send_packet(Self::zone_delay(left, right), event, false);
         }
     }
 
@@ -123,37 +130,42 @@
         };
 
         if !self.network.is_cut(left, right) {
-            self.send_packet(Self::delay(left, right), Event::Node(to, event), true);
+            self.send_packet(Self::zone_delay(left, right), Event::Node(to, event), true);
         }
     }
 
     pub fn send_to_caller(&mut self, event: Event) {
-        self.send_packet(TO_CALLER, event, true);
+        self.send_packet(CALLER_DELAY, event, true);
     }
 
     /// Sends a caller's packet to a random balancer among those in the fabric's routes, or among
     /// those of one availability zone.
-    pub fn spray(&mut self, zone: Option<usize>, event: NodeEvent) {
-        let among: Vec<_> = self
+    pub fn send_by_fabric(&mut self, zone: Option<usize>, event: NodeEvent) {
+        let candidates: Vec<_> = self
             .fabric
             .iter()
             .copied()
             .filter(|id| zone.is_none() || self.zone(*id) == zone)
             .collect();
-        if among.is_empty() {
+        if candidates.is_empty() {
             return;
         }
 
         // The copies of a duplicated packet may reach two different balancers.
-        let copies = if self.share() < self.network.doubled { 2 } else { 1 };
+        let copies = if self.draw_fraction() < self.network.duplicate_fraction { 2 } else { 1 };
         for _ in 0..copies {
-            let place = usize::try_from(self.draw() % among.len() as u64).unwrap_or(0);
-            self.send_packet(TO_CALLER, Event::Node(among[place], event.clone()), false);
+            let index = usize::try_from(self.draw() % candidates.len() as u64).unwrap_or(0);
+            self.send_packet(CALLER_DELAY, Event::Node(candidates[index], event.clone()), false);
         }
     }
 
-    pub fn call_platform(&mut self, from: BalancerId, who: Who, call: PlatformCall) {
-        self.schedule(self.network.platform_delay(), Event::Platform { from, who, call });
+    pub fn call_platform(
+        &mut self,
+        from: BalancerId,
+        source: PlatformCallSource,
+        call: PlatformCall,
+    ) {
+        self.schedule(self.network.platform_delay(), Event::Platform { from, source, call });
     }
 
     pub fn zone(&self, id: BalancerId) -> Option<usize> {
--- a/crates/valvestage-policy/tests/fault_matrix/node.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/node.rs
@@ -10,11 +10,11 @@
 use valvestage_policy::control::{ControlOptions, ControlPolicy, LeaseOptions, PlannedStop};
 use valvestage_policy::membership::{HeartbeatOptions, PeerRecord, PeerState};
 
-use crate::switches::Switch;
+use crate::ablations::Ablation;
 use crate::world::NodeEvent;
 
 /// Duration of the balancers' leases.
-pub const LEASE: Duration = Duration::from_secs(3);
+pub const LEASE_DURATION: Duration = Duration::from_secs(3);
 /// Longest time to the deadline of a request.
 pub const MAX_DEADLINE: Duration = Duration::from_secs(5);
 /// Time without a heartbeat after which a balancer is considered dead.
@@ -29,7 +29,7 @@
 
 /// State of a balancer's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Life {
+pub enum ProcessState {
     Running,
     /// The process is paused; what arrives waits until it resumes.
     Frozen,
@@ -41,7 +41,7 @@
 pub struct Node {
     pub id: BalancerId,
     pub zone: usize,
-    pub life: Life,
+    pub process_state: ProcessState,
     pub control: ControlPolicy,
     pub policy: BalancerPolicy<Payload>,
     /// Planned stop in progress.
@@ -51,7 +51,7 @@
     pub inbox: Vec<NodeEvent>,
     /// Highest configuration version that was ever in force on this VM while the balancer was
     /// ready, over all processes that ran on the VM.
-    pub highest_in_force: ObjectVersion,
+    pub highest_version_in_force: ObjectVersion,
     /// When the process last froze or resumed.
     pub last_frozen: Option<SystemTime>,
     pub started: SystemTime,
@@ -65,7 +65,7 @@
     SocketAddr::from(([192, 0, 2, u8::try_from(id).unwrap()], 9_000))
 }
 
-pub fn record(id: BalancerId, zone: usize, now: SystemTime) -> PeerRecord {
+pub fn initial_peer_record(id: BalancerId, zone: usize, now: SystemTime) -> PeerRecord {
     PeerRecord {
         id,
         zone: zone_name(zone),
@@ -87,45 +87,47 @@
         id: BalancerId,
         zone: usize,
         seeds: &[(BalancerId, usize)],
-        switch: Switch,
+        switch: Ablation,
         now: SystemTime,
     ) -> Self {
-        let seeds =
-            seeds.iter().map(|(id, zone)| PeerRecord { started_ms: 0, ..record(*id, *zone, now) });
+        let seeds = seeds
+            .iter()
+            .map(|(id, zone)| PeerRecord { started_ms: 0, ..initial_peer_record(*id, *zone, now) });
         let control_options = ControlOptions {
             heartbeat: HeartbeatOptions { dead_after: DEAD_AFTER, ..HeartbeatOptions::default() },
             heartbeat_interval: Duration::from_millis(150),
-            lease: LeaseOptions { length: LEASE, clock_bound: Duration::from_millis(100) },
+            lease: LeaseOptions { length: LEASE_DURATION, clock_bound: Duration::from_millis(100) },
             stale_after: Duration::from_secs(2),
             join_without_platform_after: Duration::from_secs(4),
-            newest_only: switch != Switch::NewestVersion,
+            newest_only: switch != Ablation::NewestVersion,
             ..ControlOptions::default()
         };
-        let control = ControlPolicy::new(control_options, record(id, zone, now), seeds, now);
+        let control =
+            ControlPolicy::new(control_options, initial_peer_record(id, zone, now), seeds, now);
 
         let mut options = BalancerOptions::new(id, zone_name(zone));
         options.requests.max_deadline = MAX_DEADLINE;
-        options.requests.claims = switch != Switch::ClaimTable;
-        options.requests.window = switch != Switch::CoveredWindow;
-        options.requests.fence = switch != Switch::DeadlineFence;
-        options.flows.layers.former_home = switch != Switch::History;
-        options.flows.layers.table = switch != Switch::History;
-        options.flows.layers.newest_only = switch != Switch::NewestVersion;
-        options.flows.layers.service_check = switch != Switch::ServiceCheck;
-        if switch == Switch::PauseDetection {
+        options.requests.claims = switch != Ablation::ClaimTable;
+        options.requests.window = switch != Ablation::CoveredWindow;
+        options.requests.fence = switch != Ablation::DeadlineFence;
+        options.flows.layers.former_home = switch != Ablation::History;
+        options.flows.layers.table = switch != Ablation::History;
+        options.flows.layers.newest_only = switch != Ablation::NewestVersion;
+        options.flows.layers.service_check = switch != Ablation::ServiceCheck;
+        if switch == Ablation::PauseDetection {
             options.pause_limit = Duration::from_secs(3_600);
         }
 
         Self {
             id,
             zone,
-            life: Life::Running,
+            process_state: ProcessState::Running,
             control,
             policy: BalancerPolicy::new(options),
             stop: None,
             stop_began: None,
             inbox: Vec::new(),
-            highest_in_force: 0,
+            highest_version_in_force: 0,
             last_frozen: None,
             started: now,
         }
@@ -133,6 +135,6 @@
 
     /// Reports whether the fabric may send packets to this balancer.
     pub fn is_ready(&self) -> bool {
-        self.life == Life::Running && self.control.is_serving()
+        self.process_state == ProcessState::Running && self.control.is_serving()
     }
 }
--- a/crates/valvestage-policy/tests/fault_matrix/operator.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/operator.rs
@@ -7,19 +7,19 @@
 use valvestage_core::{BackendState, RawConfiguration};
 use valvestage_policy::control::{ObjectKey, ObjectValue, PlatformCall, PlatformReply};
 
+use crate::ablations::Ablation;
 use crate::node::zone_name;
 use crate::scenario::Timer;
 use crate::steps::Step;
-use crate::switches::Switch;
 use crate::world::{Event, World};
 
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
+const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Time from an operator's read to the write.
-const THINKING: Duration = Duration::from_millis(4);
+const READ_TO_WRITE_DELAY: Duration = Duration::from_millis(4);
 
 /// Offset from the id of a backend server to the id of the one that takes over its address.
-const REUSING: BackendId = 900;
+const REPLACEMENT_ID_OFFSET: BackendId = 900;
 
 /// Change that an operator makes to the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -28,7 +28,7 @@
     Drain(BackendId),
     StopZone(usize),
     /// Replaces a backend server by one of service 2 at the same address.
-    Reuse(BackendId),
+    ReuseAddress(BackendId),
 }
 
 /// Operator who makes one change, and repeats it until its result is known.
@@ -39,9 +39,9 @@
     /// Version and value of the configuration last read.
     pub base: Option<(ObjectVersion, RawConfiguration)>,
     /// Whether the result of an earlier write is unknown.
-    pub is_unsettled: bool,
+    pub has_unknown_write: bool,
     /// Whether the change was accepted; `None` until that is known.
-    pub won: Option<bool>,
+    pub is_accepted: Option<bool>,
 }
 
 impl World {
@@ -50,8 +50,8 @@
             id: id.to_owned(),
             change,
             base: None,
-            is_unsettled: false,
-            won: None,
+            has_unknown_write: false,
+            is_accepted: None,
         });
 
         let index = self.operators.len() - 1;
@@ -61,22 +61,22 @@
     pub fn operator_reads(&mut self, index: usize) {
         let reply = self.platform.call(&PlatformCall::Read { key: ObjectKey::Configuration });
         let PlatformReply::Found { version, value: ObjectValue::Configuration(raw) } = reply else {
-            self.schedule(RETRY_PAUSE, Event::Timer(Timer::OperatorReads(index)));
+            self.schedule(RETRY_INTERVAL, Event::Timer(Timer::OperatorReads(index)));
             return;
         };
 
         let operator = &mut self.operators[index];
         let base = operator.base.as_ref().map(|(version, _)| *version);
-        if operator.is_unsettled && raw.change_id == operator.id {
-            operator.won = Some(true);
+        if operator.has_unknown_write && raw.change_id == operator.id {
+            operator.is_accepted = Some(true);
             return;
         }
-        if operator.is_unsettled && base != Some(version) {
-            operator.won = Some(false);
+        if operator.has_unknown_write && base != Some(version) {
+            operator.is_accepted = Some(false);
             return;
         }
         operator.base = Some((version, raw));
-        self.schedule(THINKING, Event::Timer(Timer::OperatorWrites(index)));
+        self.schedule(READ_TO_WRITE_DELAY, Event::Timer(Timer::OperatorWrites(index)));
     }
 
     pub fn operator_writes(&mut self, index: usize) {
@@ -85,60 +85,67 @@
             return;
         };
         let before = self.platform.get(ObjectKey::Configuration).map(|(version, _)| *version);
-        let unconditional = self.switch == Switch::ConditionalWrite;
+        let unconditional = self.switch == Ablation::ConditionalWrite;
         let call = PlatformCall::Write {
             key: ObjectKey::Configuration,
             expected: if unconditional { before } else { Some(base) },
-            value: ObjectValue::Configuration(changed(&raw, operator.change, &operator.id)),
+            value: ObjectValue::Configuration(apply_change(&raw, operator.change, &operator.id)),
         };
         if operator.id == "planned" {
             let owner = self.owner_of_first_service();
-            self.reach(Step::ChangeSent, owner, None);
+            self.on_step_reached(Step::ChangeSent, owner, None);
         }
 
         let reply = self.platform.call(&call);
         let after = self.platform.get(ObjectKey::Configuration).map(|(version, _)| *version);
         if before != after {
-            self.on_accepted(&operator.id, operator.change, after.unwrap_or(0));
+            self.on_change_accepted(&operator.id, operator.change, after.unwrap_or(0));
         }
 
         let operator = &mut self.operators[index];
         match reply {
-            PlatformReply::Written { .. } => operator.won = Some(true),
-            PlatformReply::Conflict if !operator.is_unsettled => operator.won = Some(false),
+            PlatformReply::Written { .. } => operator.is_accepted = Some(true),
+            PlatformReply::Conflict if !operator.has_unknown_write => {
+                operator.is_accepted = Some(false)
+            }
             _ => {
-                operator.is_unsettled = true;
-                self.schedule(RETRY_PAUSE, Event::Timer(Timer::OperatorReads(index)));
+                operator.has_unknown_write = true;
+                self.schedule(RETRY_INTERVAL, Event::Timer(Timer::OperatorReads(index)));
             }
         }
     }
 
     /// Records that a change took effect in the platform, whether or not the operator's answer is
     /// lost.
-    fn on_accepted(&mut self, id: &str, change: ConfigurationChange, version: ObjectVersion) {
+    fn on_change_accepted(
+        &mut self,
+        id: &str,
+        change: ConfigurationChange,
+        version: ObjectVersion,
+    ) {
         let now = self.now;
-        self.tell(format!("change {id} is accepted as version {version}"));
-        self.schedule(crate::verdict::IN_FORCE_WITHIN, Event::Timer(Timer::CheckInForce(version)));
+        self.log_event(format!("change {id} is accepted as version {version}"));
+        self.schedule(crate::checks::IN_FORCE_LIMIT, Event::Timer(Timer::CheckInForce(version)));
 
         let zone = |zone: usize| zone_name(zone);
         match change {
             ConfigurationChange::Drain(backend) => {
                 let vms = self.vms.iter().filter(|(_, vm)| vm.id() == backend);
-                self.leaving = Some((vms.map(|(address, _)| *address).collect(), now));
+                self.leaving_backends = Some((vms.map(|(address, _)| *address).collect(), now));
             }
             ConfigurationChange::StopZone(stopped) => {
                 let vms = self.vms.iter().filter(|(_, vm)| vm.record.zone == zone(stopped));
-                self.leaving = Some((vms.map(|(address, _)| *address).collect(), now));
+                self.leaving_backends = Some((vms.map(|(address, _)| *address).collect(), now));
             }
-            ConfigurationChange::Reuse(backend) => self.reuse_vm(backend),
+            ConfigurationChange::ReuseAddress(backend) => self.reassign_vm(backend),
             ConfigurationChange::Weight(..) => {}
         }
     }
 
     /// Reassigns the VM to service 2 at once, even though no balancer knows of it yet.
-    fn reuse_vm(&mut self, backend: BackendId) {
+    fn reassign_vm(&mut self, backend: BackendId) {
         if let Some(vm) = self.vms.values_mut().find(|vm| vm.id() == backend) {
-            vm.record.id = REUSING + backend;
+            vm.record.id = REPLACEMENT_ID_OFFSET + backend;
             vm.record.service = 2;
             vm.record.incarnation = 1;
             vm.running.clear();
@@ -147,7 +154,7 @@
     }
 }
 
-fn changed(raw: &RawConfiguration, change: ConfigurationChange, id: &str) -> RawConfiguration {
+fn apply_change(raw: &RawConfiguration, change: ConfigurationChange, id: &str) -> RawConfiguration {
     let mut next = raw.clone();
     next.change_id = id.to_owned();
 
@@ -168,10 +175,10 @@
         ConfigurationChange::StopZone(zone) => {
             next.stopped_zones.insert(zone_name(zone));
         }
-        ConfigurationChange::Reuse(backend) => {
+        ConfigurationChange::ReuseAddress(backend) => {
             if let Some(place) = find(&mut next.backends, backend) {
                 let record = &mut next.backends[place];
-                record.id = REUSING + backend;
+                record.id = REPLACEMENT_ID_OFFSET + backend;
                 record.name = format!("reusing-{backend}");
                 record.service = 2;
                 record.incarnation = 1;
--- a/crates/valvestage-policy/tests/fault_matrix/oracle.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/oracle.rs
@@ -8,50 +8,52 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Promise {
     FlowSurvivesPlannedChange,
-    NeverTheWrongService,
-    WholeOwnAnswer,
+    NeverWrongService,
+    CompleteOwnAnswer,
     NotRunIsTrue,
     RunsAtMostOnce,
-    LeavingGetsNoNewWork,
-    PlannedStopCutsNothing,
+    LeavingBackendGetsNoNewWork,
+    PlannedStopKeepsRequests,
     ConfigurationInForceAndNeverReverts,
     SlotsAreNeverExceeded,
-    ZoneGoesOnServing,
-    ServesAgainAfterwards,
+    CutOffZoneKeepsServing,
+    ServesAgainAfterFault,
     OneOperatorWins,
 }
 
 impl Promise {
     pub const ALL: [Self; 12] = [
         Self::FlowSurvivesPlannedChange,
-        Self::NeverTheWrongService,
-        Self::WholeOwnAnswer,
+        Self::NeverWrongService,
+        Self::CompleteOwnAnswer,
         Self::NotRunIsTrue,
         Self::RunsAtMostOnce,
-        Self::LeavingGetsNoNewWork,
-        Self::PlannedStopCutsNothing,
+        Self::LeavingBackendGetsNoNewWork,
+        Self::PlannedStopKeepsRequests,
         Self::ConfigurationInForceAndNeverReverts,
         Self::SlotsAreNeverExceeded,
-        Self::ZoneGoesOnServing,
-        Self::ServesAgainAfterwards,
+        Self::CutOffZoneKeepsServing,
+        Self::ServesAgainAfterFault,
         Self::OneOperatorWins,
     ];
 
     pub fn label(self) -> &'static str {
         match self {
             Self::FlowSurvivesPlannedChange => "an established flow survives any planned change",
-            Self::NeverTheWrongService => "a packet never reaches the wrong service",
-            Self::WholeOwnAnswer => "everyone gets the whole answer to their own request",
+            Self::NeverWrongService => "a packet never reaches the wrong service",
+            Self::CompleteOwnAnswer => "everyone gets the whole answer to their own request",
             Self::NotRunIsTrue => "\"not run\" is true",
             Self::RunsAtMostOnce => "what may not be repeated runs at most once",
-            Self::LeavingGetsNoNewWork => "a leaving backend server gets no new work after 4 s",
-            Self::PlannedStopCutsNothing => "a planned stop cuts no request in progress",
+            Self::LeavingBackendGetsNoNewWork => {
+                "a leaving backend server gets no new work after 4 s"
+            }
+            Self::PlannedStopKeepsRequests => "a planned stop cuts no request in progress",
             Self::ConfigurationInForceAndNeverReverts => {
                 "a configuration is in force within 4 s and never reverts"
             }
             Self::SlotsAreNeverExceeded => "no backend server runs more than its slots",
-            Self::ZoneGoesOnServing => "a zone that is cut off goes on serving what it can",
-            Self::ServesAgainAfterwards => "everything is served again after the fault",
+            Self::CutOffZoneKeepsServing => "a zone that is cut off goes on serving what it can",
+            Self::ServesAgainAfterFault => "everything is served again after the fault",
             Self::OneOperatorWins => "of two operators one wins, and the other is told",
         }
     }
@@ -61,7 +63,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
     pub promise: Promise,
-    pub what: String,
+    pub description: String,
     /// Request concerned, for promises about requests.
     pub request: Option<RequestId>,
 }
@@ -69,7 +71,7 @@
 /// Counts the checks and keeps the first violation of each promise.
 #[derive(Debug, Default)]
 pub struct Oracle {
-    first: BTreeMap<Promise, (String, Option<RequestId>)>,
+    first_violations: BTreeMap<Promise, (String, Option<RequestId>)>,
     /// Number of checks of each promise that the cell could have broken.
     pub checked: BTreeMap<Promise, u64>,
 }
@@ -80,7 +82,7 @@
         *self.checked.entry(promise).or_insert(0) += 1;
 
         if !holds {
-            self.first.entry(promise).or_insert_with(|| (what(), None));
+            self.first_violations.entry(promise).or_insert_with(|| (what(), None));
         }
     }
 
@@ -94,18 +96,19 @@
     ) {
         self.check(promise, holds, what);
 
-        if !holds && let Some((_, request)) = self.first.get_mut(&promise) {
+        if !holds && let Some((_, request)) = self.first_violations.get_mut(&promise) {
             request.get_or_insert(id);
         }
     }
 
     pub fn violations(&self) -> Vec<Violation> {
-        let of = |(promise, (what, request)): (&Promise, &(String, Option<RequestId>))| Violation {
-            promise: *promise,
-            what: what.clone(),
-            request: *request,
-        };
+        let to_violation =
+            |(promise, (what, request)): (&Promise, &(String, Option<RequestId>))| Violation {
+                promise: *promise,
+                description: what.clone(),
+                request: *request,
+            };
 
-        self.first.iter().map(of).collect()
+        self.first_violations.iter().map(to_violation).collect()
     }
 }
--- a/crates/valvestage-policy/tests/fault_matrix/platform.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/platform.rs
@@ -11,7 +11,7 @@
     revision: ObjectVersion,
     objects: BTreeMap<ObjectKey, (ObjectVersion, ObjectValue)>,
     /// Version and value of each object before its last write, which lagging watches show.
-    former: BTreeMap<ObjectKey, (ObjectVersion, ObjectValue)>,
+    previous: BTreeMap<ObjectKey, (ObjectVersion, ObjectValue)>,
     pub is_down: bool,
     /// Number of writes still to come that take effect without an answer.
     pub lost_answers: u32,
@@ -49,7 +49,7 @@
 
         self.revision += 1;
         if let Some(former) = self.objects.insert(key, (self.revision, value)) {
-            self.former.insert(key, former);
+            self.previous.insert(key, former);
         }
 
         // The write took effect, but its answer is lost.
@@ -69,7 +69,7 @@
             return None;
         }
         let shown = WATCHED.iter().filter_map(|key| {
-            let former = self.former.get(key).filter(|_| self.watch_lags);
+            let former = self.previous.get(key).filter(|_| self.watch_lags);
             let (version, value) = former.or_else(|| self.objects.get(key))?;
             Some((*key, *version, value.clone()))
         });
--- a/crates/valvestage-policy/tests/fault_matrix/report.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/report.rs
@@ -3,19 +3,19 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use crate::cells::{CellResult, Part};
+use crate::ablations::{Ablation, AblationRow};
+use crate::cells::{CellKind, CellResult};
 use crate::faults::Fault;
 use crate::oracle::Promise;
 use crate::scenario::run_traced;
 use crate::steps::Step;
-use crate::switches::{Switch, SwitchRow};
 
 /// Describes a failed cell: what is needed to run it again, its violations and its event log.
-pub fn replay(result: &CellResult) -> String {
+pub fn describe_failure(result: &CellResult) -> String {
     let cell = result.cell;
     let mut text = format!(
         "FAILED {:?}: {} / {} at {}, seed {}, {} events\n",
-        cell.part,
+        cell.kind,
         cell.first.label(),
         cell.second.label(),
         cell.step.label(),
@@ -24,11 +24,11 @@
     );
 
     for violation in &result.violations {
-        let _ = writeln!(text, "  {}: {}", violation.promise.label(), violation.what);
+        let _ = writeln!(text, "  {}: {}", violation.promise.label(), violation.description);
     }
     // Runs the cell again to add the events of the requests concerned to its log.
     let traced = result.violations.iter().filter_map(|violation| violation.request).collect();
-    for line in &run_traced(cell, Switch::None, traced).story {
+    for line in &run_traced(cell, Ablation::None, traced).event_log {
         let _ = writeln!(text, "  {line}");
     }
     text
@@ -60,41 +60,42 @@
 }
 
 /// Renders which promises break when each mechanism is disabled.
-pub fn switch_table(rows: &[SwitchRow]) -> String {
+pub fn ablation_table(rows: &[AblationRow]) -> String {
     let mut text =
         String::from("| without | red cells | promises broken | a red cell |\n|---|---|---|---|\n");
 
     for row in rows {
         let mut promises: BTreeMap<Promise, usize> = BTreeMap::new();
-        for violation in row.red.iter().flat_map(|result| &result.violations) {
+        for violation in row.failed.iter().flat_map(|result| &result.violations) {
             *promises.entry(violation.promise).or_insert(0) += 1;
         }
         let broken: Vec<_> = promises
             .iter()
             .map(|(promise, count)| format!("{} ({count})", promise.label()))
             .collect();
-        let example = row.red.first().map_or_else(String::new, |result| {
-            let what = result.violations.first().map_or("", |violation| violation.what.as_str());
-            format!("{}: {what}", name(result))
+        let example = row.failed.first().map_or_else(String::new, |result| {
+            let what =
+                result.violations.first().map_or("", |violation| violation.description.as_str());
+            format!("{}: {what}", cell_name(result))
         });
         let _ = writeln!(
             text,
             "| {} | {} of {} | {} | {example} |",
             row.switch.label(),
-            row.red.len(),
-            row.cells,
+            row.failed.len(),
+            row.cell_count,
             broken.join("; ")
         );
     }
     text
 }
 
-fn name(result: &CellResult) -> String {
+fn cell_name(result: &CellResult) -> String {
     let cell = result.cell;
-    let faults = match cell.part {
-        Part::Single => cell.first.label().to_owned(),
-        Part::Pair => format!("{} + {}", cell.first.label(), cell.second.label()),
-        Part::Twice => format!("{} twice", cell.first.label()),
+    let faults = match cell.kind {
+        CellKind::Single => cell.first.label().to_owned(),
+        CellKind::Pair => format!("{} + {}", cell.first.label(), cell.second.label()),
+        CellKind::Twice => format!("{} twice", cell.first.label()),
     };
 
     format!("{faults} × {} (seed {})", cell.step.label(), cell.seed)
@@ -115,16 +116,16 @@
         let _ = write!(text, "| {} |", fault.label());
         for step in Step::ALL {
             let of_cell = results.iter().filter(|r| {
-                r.cell.part == Part::Single && r.cell.first == fault && r.cell.step == step
+                r.cell.kind == CellKind::Single && r.cell.first == fault && r.cell.step == step
             });
-            let _ = write!(text, " {} |", mark(of_cell));
+            let _ = write!(text, " {} |", grid_mark(of_cell));
         }
         text.push('\n');
     }
     text
 }
 
-fn mark<'a>(results: impl Iterator<Item = &'a CellResult>) -> &'static str {
+fn grid_mark<'a>(results: impl Iterator<Item = &'a CellResult>) -> &'static str {
     let results: Vec<_> = results.collect();
 
     if results.iter().any(|result| !result.violations.is_empty()) {
@@ -138,16 +139,16 @@
 
 /// Renders how many flows each fault broke. Flows may break when what holds them fails without
 /// notice, so these are figures and no violations.
-fn broken_table(results: &[CellResult]) -> String {
+fn broken_flows_table(results: &[CellResult]) -> String {
     let mut text = String::from(
         "| fault (singles) | flows that echo the token | flows that don't |\n|---|---|---|\n",
     );
 
     for fault in Fault::ALL {
         let of_fault =
-            results.iter().filter(|r| r.cell.part == Part::Single && r.cell.first == fault);
+            results.iter().filter(|r| r.cell.kind == CellKind::Single && r.cell.first == fault);
         let sum = of_fault.fold([0; 4], |sum, result| {
-            let (echoing, silent) = (result.echoing, result.silent);
+            let (echoing, silent) = (result.echoing, result.not_echoing);
             [sum[0] + echoing.0, sum[1] + echoing.1, sum[2] + silent.0, sum[3] + silent.1]
         });
         if sum[1] + sum[3] > 0 {
@@ -165,8 +166,8 @@
     text
 }
 
-fn counts(results: &[CellResult], part: Part) -> String {
-    let of_part: Vec<_> = results.iter().filter(|result| result.cell.part == part).collect();
+fn cell_counts(results: &[CellResult], part: CellKind) -> String {
+    let of_part: Vec<_> = results.iter().filter(|result| result.cell.kind == part).collect();
     let failed = of_part.iter().filter(|result| !result.violations.is_empty()).count();
     let not_run = of_part.iter().filter(|result| !result.is_reached).count();
     let proved = of_part.len() - failed - not_run;
@@ -175,7 +176,7 @@
 }
 
 /// Renders the text of docs/FAULT-MATRIX.md.
-pub fn page(results: &[CellResult], switches: &[SwitchRow]) -> String {
+pub fn page(results: &[CellResult], switches: &[AblationRow]) -> String {
     let failed: Vec<_> = results.iter().filter(|result| !result.violations.is_empty()).collect();
     let mut text = format!(
         "# Fault matrix
@@ -209,19 +210,20 @@
 
 {}
 ",
-        counts(results, Part::Single),
-        counts(results, Part::Pair),
-        counts(results, Part::Twice),
+        cell_counts(results, CellKind::Single),
+        cell_counts(results, CellKind::Pair),
+        cell_counts(results, CellKind::Twice),
         promise_table(results),
         single_grid(results),
-        switch_table(switches),
-        broken_table(results),
+        ablation_table(switches),
+        broken_flows_table(results),
     );
 
     if !failed.is_empty() {
         text.push_str("## Failed\n\n");
         for result in failed {
-            let _ = writeln!(text, "- {}: {:?}", name(result), result.violations[0].what);
+            let _ =
+                writeln!(text, "- {}: {:?}", cell_name(result), result.violations[0].description);
         }
     }
     text
--- a/crates/valvestage-policy/tests/fault_matrix/scenario.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/scenario.rs
@@ -9,41 +9,41 @@
 use valvestage_policy::flows::{HopMark, RawTokenKeys};
 use valvestage_policy::requests::Request;
 
+use crate::ablations::Ablation;
 use crate::backend::FakeBackend;
 use crate::caller::{self, Flow, caller_address};
-use crate::cells::{Cell, CellResult, Part};
+use crate::cells::{Cell, CellKind, CellResult};
+use crate::fault_injection::fault_duration;
 use crate::faults::Fault;
-use crate::node::{Life, MAX_DEADLINE, Payload, zone_name};
+use crate::node::{MAX_DEADLINE, Payload, ProcessState, zone_name};
 use crate::operator::ConfigurationChange;
-use crate::steps::{Change, Step};
-use crate::strikes::length;
-use crate::switches::Switch;
+use crate::steps::{PlannedChange, Step};
 use crate::world::{Event, NodeEvent, World};
 
 /// Backend server that a planned change drains or gives another weight.
-pub const DRAINED: BackendId = 3;
+pub const CHANGED_BACKEND: BackendId = 3;
 /// Availability zone that a planned change stops.
 pub const STOPPED_ZONE: usize = 2;
 
 /// Number of flows that open before the planned change.
-const FIRST_FLOWS: usize = 24;
+const FLOWS_BEFORE_CHANGE: usize = 24;
 /// Number of flows that open after the planned change.
-const LATER_FLOWS: usize = 16;
-const FLOW_PAUSE: Duration = Duration::from_millis(300);
-const REQUEST_PAUSE: Duration = Duration::from_millis(40);
-const RESEND_PAUSE: Duration = Duration::from_millis(400);
-const FABRIC_PAUSE: Duration = Duration::from_millis(200);
-const WATCH_PAUSE: Duration = Duration::from_millis(100);
-const RUN_TIME: Duration = Duration::from_millis(60);
+const FLOWS_AFTER_CHANGE: usize = 16;
+const FLOW_PACKET_INTERVAL: Duration = Duration::from_millis(300);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(40);
+const RESEND_INTERVAL: Duration = Duration::from_millis(400);
+const FABRIC_REFRESH_INTERVAL: Duration = Duration::from_millis(200);
+const WATCH_INTERVAL: Duration = Duration::from_millis(100);
+const MEAN_RUN_TIME: Duration = Duration::from_millis(60);
 
 // Times of the phases, from the start of the simulation.
-const LOAD_FROM: Duration = Duration::from_millis(2_500);
-const STICK_AT: Duration = Duration::from_millis(5_500);
-const ARMED_AT: Duration = Duration::from_millis(5_900);
+const LOAD_STARTS_AT: Duration = Duration::from_millis(2_500);
+const PREPARE_FREEZE_AT: Duration = Duration::from_millis(5_500);
+const AWAIT_STEP_AT: Duration = Duration::from_millis(5_900);
 const CHANGE_AT: Duration = Duration::from_millis(6_000);
-pub const LOAD_UNTIL: Duration = Duration::from_secs(20);
-const PROBES_AT: Duration = Duration::from_secs(27);
-const END: Duration = Duration::from_secs(34);
+pub const LOAD_ENDS_AT: Duration = Duration::from_secs(20);
+const PROBES_START_AT: Duration = Duration::from_secs(27);
+const SIMULATION_ENDS_AT: Duration = Duration::from_secs(34);
 
 /// Event that the timeline schedules for a later time.
 #[derive(Debug, Clone)]
@@ -57,15 +57,15 @@
     Probe(bool),
     Watch(BalancerId),
     RefreshFabric,
-    Stick,
-    Arm,
+    PrepareFreeze,
+    AwaitStep,
     Change,
     OperatorReads(usize),
     OperatorWrites(usize),
     OfferTimeout(BalancerId),
-    Strike(usize),
-    Recover(Fault, usize),
-    Thaw(BalancerId),
+    InjectFault(usize),
+    EndFault(Fault, usize),
+    Unfreeze(BalancerId),
     Restart(BalancerId),
     CheckInForce(ObjectVersion),
     LoadEnds,
@@ -109,19 +109,19 @@
     }
 }
 
-pub fn run_cell(cell: Cell, switch: Switch) -> CellResult {
+pub fn run_cell(cell: Cell, switch: Ablation) -> CellResult {
     run_traced(cell, switch, Vec::new())
 }
 
 /// Runs a cell and records every event of the traced requests in its log.
-pub fn run_traced(cell: Cell, switch: Switch, traced: Vec<RequestId>) -> CellResult {
+pub fn run_traced(cell: Cell, switch: Ablation, traced: Vec<RequestId>) -> CellResult {
     let mut world = World::new(cell, switch);
-    world.traced = traced;
+    world.traced_requests = traced;
 
     world.prepare();
-    let end = world.start + END;
+    let end = world.start + SIMULATION_ENDS_AT;
     world.run_until(end);
-    world.judge();
+    world.check_at_end();
     world.result()
 }
 
@@ -129,7 +129,7 @@
     fn prepare(&mut self) {
         let raw = configuration();
         for record in &raw.backends {
-            self.vms.insert(record.address, FakeBackend::new(record.clone(), RUN_TIME));
+            self.vms.insert(record.address, FakeBackend::new(record.clone(), MEAN_RUN_TIME));
         }
         let keys = RawTokenKeys { flow_hash: (1, 2), current: 1, keys: vec![(1, 3, 4)] };
         for (key, value) in [
@@ -142,28 +142,28 @@
             self.start_node(id, zone);
         }
 
-        for number in 0..FIRST_FLOWS + LATER_FLOWS {
+        for number in 0..FLOWS_BEFORE_CHANGE + FLOWS_AFTER_CHANGE {
             let service = if number % 4 == 3 { 2 } else { 1 };
             let flow = self.add_flow(u32::try_from(number).unwrap(), service, number % 2 == 0);
-            let after = if number < FIRST_FLOWS {
-                LOAD_FROM + Duration::from_millis(40 * number as u64)
+            let after = if number < FLOWS_BEFORE_CHANGE {
+                LOAD_STARTS_AT + Duration::from_millis(40 * number as u64)
             } else {
-                CHANGE_AT + Duration::from_millis(150 * (number - FIRST_FLOWS) as u64)
+                CHANGE_AT + Duration::from_millis(150 * (number - FLOWS_BEFORE_CHANGE) as u64)
             };
             self.schedule(after, Event::Timer(Timer::SendFlow(flow)));
         }
         for (after, timer) in [
             (Duration::ZERO, Timer::RefreshFabric),
-            (LOAD_FROM, Timer::NewRequest),
-            (STICK_AT, Timer::Stick),
-            (ARMED_AT, Timer::Arm),
+            (LOAD_STARTS_AT, Timer::NewRequest),
+            (PREPARE_FREEZE_AT, Timer::PrepareFreeze),
+            (AWAIT_STEP_AT, Timer::AwaitStep),
             (CHANGE_AT, Timer::Change),
-            (LOAD_UNTIL, Timer::LoadEnds),
+            (LOAD_ENDS_AT, Timer::LoadEnds),
         ] {
             self.schedule(after, Event::Timer(timer));
         }
         for number in 0..12u64 {
-            let after = PROBES_AT + Duration::from_millis(100 * number);
+            let after = PROBES_START_AT + Duration::from_millis(100 * number);
             self.schedule(after, Event::Timer(Timer::Probe(number % 2 == 0)));
         }
     }
@@ -188,11 +188,11 @@
             Timer::RefreshFabric => {
                 let ready = self.nodes.values().filter(|node| node.is_ready());
                 self.fabric = ready.map(|node| node.id).collect();
-                self.schedule(FABRIC_PAUSE, Event::Timer(Timer::RefreshFabric));
+                self.schedule(FABRIC_REFRESH_INTERVAL, Event::Timer(Timer::RefreshFabric));
                 self.check_reverts();
             }
-            Timer::Stick => self.stick_before_change(),
-            Timer::Arm => self.awaited = Some(self.cell.step),
+            Timer::PrepareFreeze => self.prepare_freeze(),
+            Timer::AwaitStep => self.awaited_step = Some(self.cell.step),
             Timer::Change => self.make_change(),
             Timer::OperatorReads(index) => self.operator_reads(index),
             Timer::OperatorWrites(index) => self.operator_writes(index),
@@ -201,67 +201,70 @@
                     stop.on_offered(false);
                 }
             }
-            Timer::Strike(count) => {
-                self.strike(count);
-                self.schedule_second(count);
+            Timer::InjectFault(count) => {
+                self.inject_fault(count);
+                self.schedule_second_fault(count);
             }
-            Timer::Recover(fault, zone) => self.recover(fault, zone),
-            Timer::Thaw(id) => self.thaw(id),
+            Timer::EndFault(fault, zone) => self.end_fault(fault, zone),
+            Timer::Unfreeze(id) => self.unfreeze(id),
             Timer::Restart(id) => self.restart(id),
             Timer::CheckInForce(version) => self.check_in_force(version),
             Timer::LoadEnds => self.check_flows(),
         }
     }
 
-    fn schedule_second(&mut self, count: usize) {
+    fn schedule_second_fault(&mut self, count: usize) {
         if count > 0 {
             return;
         }
 
-        let after = match self.cell.part {
-            Part::Single => return,
-            Part::Pair => Duration::from_millis(300 + self.draw() % 600),
-            Part::Twice => length(self.cell.first) + Duration::from_millis(500),
+        let after = match self.cell.kind {
+            CellKind::Single => return,
+            CellKind::Pair => Duration::from_millis(300 + self.draw() % 600),
+            CellKind::Twice => fault_duration(self.cell.first) + Duration::from_millis(500),
         };
-        self.schedule(after, Event::Timer(Timer::Strike(1)));
+        self.schedule(after, Event::Timer(Timer::InjectFault(1)));
     }
 
-    pub fn is_load_time(&self) -> bool {
-        self.now < self.start + LOAD_UNTIL
+    pub fn is_under_load(&self) -> bool {
+        self.now < self.start + LOAD_ENDS_AT
     }
 
     pub fn add_flow(&mut self, caller: u32, service: ServiceId, echoes: bool) -> usize {
         self.flows.push(Flow {
             caller: caller_address(caller),
             service,
-            echoes,
+            echoes_token: echoes,
             token: None,
             backend: None,
             opened: None,
-            last_heard: None,
+            last_answer: None,
             broken: None,
-            is_intruder: false,
+            is_attacker: false,
         });
 
         self.flows.len() - 1
     }
 
     fn send_flow(&mut self, flow: usize) {
-        if !self.is_load_time() {
+        if !self.is_under_load() {
             return;
         }
 
         let state = &self.flows[flow];
         let opening = state.backend.is_none();
-        let token = state.token.filter(|_| state.echoes);
+        let token = state.token.filter(|_| state.echoes_token);
         if state.broken.is_none() {
-            self.spray(None, NodeEvent::Flow { flow, opening, token, hop: HopMark::FIRST });
+            self.send_by_fabric(
+                None,
+                NodeEvent::Flow { flow, opening, token, hop: HopMark::FIRST },
+            );
         }
-        self.schedule(FLOW_PAUSE, Event::Timer(Timer::SendFlow(flow)));
+        self.schedule(FLOW_PACKET_INTERVAL, Event::Timer(Timer::SendFlow(flow)));
     }
 
     fn new_load_request(&mut self) {
-        if !self.is_load_time() {
+        if !self.is_under_load() {
             return;
         }
 
@@ -269,7 +272,7 @@
         let repeatable = self.draw().is_multiple_of(2);
         let id = self.add_request(service, repeatable, None);
         self.send_request(id);
-        self.schedule(REQUEST_PAUSE, Event::Timer(Timer::NewRequest));
+        self.schedule(REQUEST_INTERVAL, Event::Timer(Timer::NewRequest));
     }
 
     fn add_request(
@@ -290,7 +293,7 @@
                 repeatable,
                 sent: self.now,
                 deadline: self.now + MAX_DEADLINE,
-                endings: Vec::new(),
+                replies: Vec::new(),
                 runs: 0,
                 got_wrong_answer: false,
                 is_probe: false,
@@ -305,7 +308,7 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        if !request.endings.is_empty() || request.deadline <= self.now {
+        if !request.replies.is_empty() || request.deadline <= self.now {
             return;
         }
 
@@ -319,15 +322,17 @@
             class: if request.repeatable { RequestClass::Bulk } else { RequestClass::Urgent },
             payload: Payload { id, segment: 0 },
         };
-        self.spray(zone, NodeEvent::Request { request: packet, hop: HopMark::FIRST });
-        self.schedule(RESEND_PAUSE, Event::Timer(Timer::Resend(id)));
+        self.send_by_fabric(zone, NodeEvent::Request { request: packet, hop: HopMark::FIRST });
+        self.schedule(RESEND_INTERVAL, Event::Timer(Timer::Resend(id)));
     }
 
     /// Does what the watch task of the balancer.
     fn watch(&mut self, id: BalancerId) {
-        self.schedule(WATCH_PAUSE, Event::Timer(Timer::Watch(id)));
+        self.schedule(WATCH_INTERVAL, Event::Timer(Timer::Watch(id)));
         let now = self.now;
-        let Some(node) = self.nodes.get_mut(&id).filter(|node| node.life == Life::Running) else {
+        let Some(node) =
+            self.nodes.get_mut(&id).filter(|node| node.process_state == ProcessState::Running)
+        else {
             return;
         };
         if !node.control.should_watch(now) || self.network.is_cut_from_platform(node.zone) {
@@ -346,12 +351,12 @@
     }
 
     fn make_change(&mut self) {
-        let change = match self.cell.step.change() {
-            Change::None => return,
-            Change::Weight => ConfigurationChange::Weight(DRAINED, 30),
-            Change::Drain => ConfigurationChange::Drain(DRAINED),
-            Change::StopZone => ConfigurationChange::StopZone(STOPPED_ZONE),
-            Change::StopBalancer => return self.stop_balancer(),
+        let change = match self.cell.step.planned_change() {
+            PlannedChange::None => return,
+            PlannedChange::Weight => ConfigurationChange::Weight(CHANGED_BACKEND, 30),
+            PlannedChange::Drain => ConfigurationChange::Drain(CHANGED_BACKEND),
+            PlannedChange::StopZone => ConfigurationChange::StopZone(STOPPED_ZONE),
+            PlannedChange::StopBalancer => return self.stop_balancer(),
         };
 
         self.add_operator("planned", change);
@@ -367,22 +372,22 @@
         node.control.leave();
         node.stop = Some(node.control.planned_stop(now));
         node.stop_began = Some(now);
-        self.reach(Step::StopAnnounced, owner, None);
+        self.on_step_reached(Step::StopAnnounced, owner, None);
     }
 
     /// Reports the step of the planned change when a balancer puts a configuration in force.
-    pub fn on_in_force(&mut self, id: BalancerId, change_id: &str) {
+    pub fn on_configuration_in_force(&mut self, id: BalancerId, change_id: &str) {
         if change_id != "planned" {
             return;
         }
 
-        let step = match self.cell.step.change() {
-            Change::Weight => Step::ChangeInForce,
-            Change::Drain => Step::DrainInForce,
-            Change::StopZone => Step::ZoneStopInForce,
-            Change::None | Change::StopBalancer => return,
+        let step = match self.cell.step.planned_change() {
+            PlannedChange::Weight => Step::ChangeInForce,
+            PlannedChange::Drain => Step::DrainInForce,
+            PlannedChange::StopZone => Step::ZoneStopInForce,
+            PlannedChange::None | PlannedChange::StopBalancer => return,
         };
-        self.reach(step, id, None);
+        self.on_step_reached(step, id, None);
     }
 
     pub fn owner_of_first_service(&mut self) -> BalancerId {
--- a/crates/valvestage-policy/tests/fault_matrix/steps.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/steps.rs
@@ -67,25 +67,27 @@
     }
 
     /// Returns the planned change that the scenario makes to reach this step.
-    pub fn change(self) -> Change {
+    pub fn planned_change(self) -> PlannedChange {
         match self {
             Self::FlowOpening
             | Self::FlowEstablished
             | Self::RequestAccepted
             | Self::RequestDispatched
             | Self::RequestRunning
-            | Self::RequestAnswered => Change::None,
-            Self::ChangeSent | Self::ChangeInForce => Change::Weight,
-            Self::DrainInForce => Change::Drain,
-            Self::ZoneStopInForce => Change::StopZone,
-            Self::StopAnnounced | Self::StopOffered | Self::StopWritten => Change::StopBalancer,
+            | Self::RequestAnswered => PlannedChange::None,
+            Self::ChangeSent | Self::ChangeInForce => PlannedChange::Weight,
+            Self::DrainInForce => PlannedChange::Drain,
+            Self::ZoneStopInForce => PlannedChange::StopZone,
+            Self::StopAnnounced | Self::StopOffered | Self::StopWritten => {
+                PlannedChange::StopBalancer
+            }
         }
     }
 }
 
 /// Planned change in a cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Change {
+pub enum PlannedChange {
     None,
     Weight,
     Drain,
--- a/crates/valvestage-policy/tests/fault_matrix/world.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/world.rs
@@ -17,27 +17,27 @@
 use valvestage_policy::rendezvous::mix;
 use valvestage_policy::requests::{BackendReply, HandedClaim, Refusal, Request, RequestAction};
 
-use crate::backend::{Admission, FakeBackend, Work};
-use crate::caller::{self, Ending, Flow};
+use crate::ablations::Ablation;
+use crate::backend::{AdmissionResult, DispatchedRequest, FakeBackend};
+use crate::caller::{self, CallerReply, Flow};
 use crate::cells::Cell;
 use crate::network::Network;
-use crate::node::{Life, Node, Payload};
+use crate::node::{Node, Payload, ProcessState};
 use crate::operator::Operator;
 use crate::oracle::{Oracle, Promise};
 use crate::platform::FakePlatform;
 use crate::scenario::Timer;
 use crate::steps::Step;
-use crate::switches::Switch;
 
 /// Interval between two steps of a balancer.
-pub const STEP_PAUSE: Duration = Duration::from_millis(20);
+pub const STEP_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Number of segments of each answer.
-const SEGMENTS: u16 = 2;
+const ANSWER_SEGMENTS: u16 = 2;
 
 /// Part of a balancer that called the platform and takes the reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Who {
+pub enum PlatformCallSource {
     Machine(Machine),
     Stop,
 }
@@ -52,13 +52,13 @@
     Refused { service: ServiceId, reply: BackendReply, reason: RefusalReason },
     BackendFlow { flow: usize, backend: Backend, opening: bool },
     FlowRefused { flow: usize, backend: BackendId, reason: RefusalReason },
-    PlatformReply { who: Who, reply: PlatformReply },
+    PlatformReply { source: PlatformCallSource, reply: PlatformReply },
     Heartbeat { from: BalancerId, message: HeartbeatMessage },
     HeartbeatAnswer(HeartbeatMessage),
     Fetch { from: BalancerId, key: ObjectKey },
     Object { key: ObjectKey, version: ObjectVersion, value: ObjectValue },
     Offer { from: BalancerId, service: ServiceId, handover: u64, claims: Vec<HandedClaim<Payload>> },
-    Offered(bool),
+    OfferReply(bool),
     Bindings(Vec<Binding>),
     CopyExceptions,
 }
@@ -70,8 +70,8 @@
     Node(BalancerId, NodeEvent),
     Work {
         address: SocketAddr,
-        work: Work,
-        meant: ServiceId,
+        work: DispatchedRequest,
+        intended_service: ServiceId,
     },
     Cancel {
         address: SocketAddr,
@@ -79,7 +79,7 @@
         attempt: Attempt,
         from: BalancerId,
     },
-    Done {
+    RunFinished {
         address: SocketAddr,
         id: RequestId,
         attempt: Attempt,
@@ -95,7 +95,7 @@
     },
     Platform {
         from: BalancerId,
-        who: Who,
+        source: PlatformCallSource,
         call: PlatformCall,
     },
     CallerFlow {
@@ -122,7 +122,7 @@
     pub now: SystemTime,
     pub start: SystemTime,
     pub seed: u64,
-    pub switch: Switch,
+    pub switch: Ablation,
     pub nodes: BTreeMap<BalancerId, Node>,
     pub platform: FakePlatform,
     /// VMs of backend servers by address, which a VM keeps when it is reassigned to another
@@ -135,24 +135,24 @@
     /// Number of events handled so far, which is the same in each run with the same seed.
     pub events: u64,
     /// Lines that say what happened in the cell, and when.
-    pub story: Vec<String>,
+    pub event_log: Vec<String>,
     /// Requests of which every event is logged.
-    pub traced: Vec<RequestId>,
+    pub traced_requests: Vec<RequestId>,
     /// Step that triggers the first fault, until it is reached.
-    pub awaited: Option<Step>,
+    pub awaited_step: Option<Step>,
     /// Where the step was reached.
-    pub struck: Option<Struck>,
+    pub fault_site: Option<FaultSite>,
     /// Balancer that is to freeze at its next dispatch to one of these addresses, or to any if
     /// there are none.
-    pub sticks: Option<(BalancerId, Vec<SocketAddr>)>,
+    pub pending_freeze: Option<(BalancerId, Vec<SocketAddr>)>,
     /// Packets that frozen balancers had decided to send, which leave when they resume.
-    pub stuck: Vec<(BalancerId, Event)>,
+    pub held_packets: Vec<(BalancerId, Event)>,
     pub cell: Cell,
     /// Balancers among which the fabric spreads the packets of callers.
     pub fabric: Vec<BalancerId>,
     pub operators: Vec<Operator>,
     /// Backend servers that a change removes from service, and when the change was accepted.
-    pub leaving: Option<(Vec<SocketAddr>, SystemTime)>,
+    pub leaving_backends: Option<(Vec<SocketAddr>, SystemTime)>,
     queue: BinaryHeap<Queued>,
     sequence: u64,
     draws: u64,
@@ -160,7 +160,7 @@
 
 /// Balancer and backend server at which the awaited step was reached.
 #[derive(Debug, Clone, Copy)]
-pub struct Struck {
+pub struct FaultSite {
     pub node: BalancerId,
     pub vm: Option<SocketAddr>,
 }
@@ -193,7 +193,7 @@
 }
 
 impl World {
-    pub fn new(cell: Cell, switch: Switch) -> Self {
+    pub fn new(cell: Cell, switch: Ablation) -> Self {
         let start = UNIX_EPOCH + Duration::from_secs(1_800_000_000);
 
         Self {
@@ -209,16 +209,16 @@
             oracle: Oracle::default(),
             network: Network::default(),
             events: 0,
-            story: Vec::new(),
-            traced: Vec::new(),
-            awaited: None,
-            struck: None,
-            sticks: None,
-            stuck: Vec::new(),
+            event_log: Vec::new(),
+            traced_requests: Vec::new(),
+            awaited_step: None,
+            fault_site: None,
+            pending_freeze: None,
+            held_packets: Vec::new(),
             cell,
             fabric: Vec::new(),
             operators: Vec::new(),
-            leaving: None,
+            leaving_backends: None,
             queue: BinaryHeap::new(),
             sequence: 0,
             draws: 0,
@@ -233,7 +233,7 @@
     }
 
     /// Draws a number from 0 up to, but not including, 1.
-    pub fn share(&mut self) -> f64 {
+    pub fn draw_fraction(&mut self) -> f64 {
         #[allow(clippy::cast_precision_loss)]
         let word = (self.draw() >> 11) as f64;
 
@@ -246,17 +246,17 @@
         self.queue.push(Queued { at: self.now + after, sequence: self.sequence, event });
     }
 
-    pub fn tell(&mut self, what: String) {
+    pub fn log_event(&mut self, what: String) {
         let at = self.now.duration_since(self.start).unwrap_or_default();
 
-        self.story.push(format!("{:>6} ms  {what}", at.as_millis()));
+        self.event_log.push(format!("{:>6} ms  {what}", at.as_millis()));
     }
 
     /// Logs an event of a request, if the request is traced.
-    pub fn trace(&mut self, id: RequestId, what: impl FnOnce() -> String) {
-        if self.traced.contains(&id) {
+    pub fn log_request_event(&mut self, id: RequestId, what: impl FnOnce() -> String) {
+        if self.traced_requests.contains(&id) {
             let what = what();
-            self.tell(format!("request {id:x} {what}"));
+            self.log_event(format!("request {id:x} {what}"));
         }
     }
 
@@ -275,20 +275,20 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::StepNode(id) => self.step_node(id),
-            Event::Node(id, event) => self.arrive(id, event),
-            Event::Work { address, work, meant } => {
-                self.on_work(address, work, meant);
+            Event::Node(id, event) => self.deliver_to_node(id, event),
+            Event::Work { address, work, intended_service } => {
+                self.on_dispatch(address, work, intended_service);
             }
             Event::Cancel { address, id, attempt, from } => {
                 self.on_cancel(address, id, attempt, from);
             }
-            Event::Done { address, id, attempt, to, backend } => {
+            Event::RunFinished { address, id, attempt, to, backend } => {
                 self.on_done(address, id, attempt, to, &backend);
             }
             Event::BackendFlow { address, flow, opening, from, backend } => {
                 self.on_backend_flow(address, flow, opening, from, &backend);
             }
-            Event::Platform { from, who, call } => self.on_platform_call(from, who, &call),
+            Event::Platform { from, source, call } => self.on_platform_call(from, source, &call),
             Event::CallerFlow { flow, backend, token, refused } => {
                 self.on_caller_flow(flow, backend, token, refused);
             }
@@ -296,29 +296,31 @@
                 self.on_caller_answer(id, caller, &segments);
             }
             Event::CallerRefusal { id, caller, refusal } => {
-                self.trace(id, || {
+                self.log_request_event(id, || {
                     format!("was told {:?} ({})", refusal.outcome, refusal.reason.label())
                 });
-                self.on_caller_ending(id, caller, Ending::Told(refusal.outcome));
+                self.on_caller_reply(id, caller, CallerReply::Told(refusal.outcome));
             }
             Event::Timer(timer) => self.on_timer(timer),
         }
     }
 
     /// Takes note of a step, and schedules the first fault if the cell waits for this step.
-    pub fn reach(&mut self, step: Step, node: BalancerId, vm: Option<SocketAddr>) {
-        if self.awaited == Some(step) {
-            self.awaited = None;
-            self.struck = Some(Struck { node, vm });
-            self.tell(format!("step reached: {} at balancer {node}", step.label()));
-            self.schedule(Duration::ZERO, Event::Timer(Timer::Strike(0)));
+    pub fn on_step_reached(&mut self, step: Step, node: BalancerId, vm: Option<SocketAddr>) {
+        if self.awaited_step == Some(step) {
+            self.awaited_step = None;
+            self.fault_site = Some(FaultSite { node, vm });
+            self.log_event(format!("step reached: {} at balancer {node}", step.label()));
+            self.schedule(Duration::ZERO, Event::Timer(Timer::InjectFault(0)));
         }
     }
 
     fn step_node(&mut self, id: BalancerId) {
-        self.schedule(STEP_PAUSE, Event::StepNode(id));
+        self.schedule(STEP_INTERVAL, Event::StepNode(id));
         let now = self.now;
-        let Some(node) = self.nodes.get_mut(&id).filter(|node| node.life == Life::Running) else {
+        let Some(node) =
+            self.nodes.get_mut(&id).filter(|node| node.process_state == ProcessState::Running)
+        else {
             return;
         };
 
@@ -331,15 +333,15 @@
         self.step_stop(id);
     }
 
-    fn arrive(&mut self, id: BalancerId, event: NodeEvent) {
+    fn deliver_to_node(&mut self, id: BalancerId, event: NodeEvent) {
         let Some(node) = self.nodes.get_mut(&id) else {
             return;
         };
 
-        match node.life {
-            Life::Running => self.on_node_event(id, event),
-            Life::Frozen => node.inbox.push(event),
-            Life::Dead => {}
+        match node.process_state {
+            ProcessState::Running => self.on_node_event(id, event),
+            ProcessState::Frozen => node.inbox.push(event),
+            ProcessState::Dead => {}
         }
     }
 
@@ -362,14 +364,14 @@
                 node.policy.on_request(now, request, hop, &mut requests);
                 let is_owner = node.policy.authority(service, now).is_some();
                 let owner = node.policy.owner_map().owner(service).map(|entry| entry.owner);
-                self.trace(traced, || {
+                self.log_request_event(traced, || {
                     format!(
                         "reached balancer {id} ({} relays, owner {owner:?}, authority {is_owner})",
                         hop.count
                     )
                 });
                 if once_only && is_owner && service == 1 {
-                    self.reach(Step::RequestAccepted, id, None);
+                    self.on_step_reached(Step::RequestAccepted, id, None);
                 }
             }
             NodeEvent::Answer { service, reply, place, payload } => {
@@ -384,10 +386,10 @@
             NodeEvent::FlowRefused { flow, backend, reason } => {
                 self.on_flow_refused(id, flow, backend, reason);
             }
-            NodeEvent::PlatformReply { who: Who::Machine(machine), reply } => {
+            NodeEvent::PlatformReply { source: PlatformCallSource::Machine(machine), reply } => {
                 let _ = node.control.on_reply(now, machine, reply, &mut controls);
             }
-            NodeEvent::PlatformReply { who: Who::Stop, reply } => {
+            NodeEvent::PlatformReply { source: PlatformCallSource::Stop, reply } => {
                 if let Some(stop) = &mut node.stop {
                     stop.on_reply(now, reply);
                 }
@@ -410,9 +412,9 @@
                 if takes {
                     node.policy.offer_handover(now, service, handover, claims);
                 }
-                self.send_to_node(id, from, NodeEvent::Offered(takes));
+                self.send_to_node(id, from, NodeEvent::OfferReply(takes));
             }
-            NodeEvent::Offered(taken) => {
+            NodeEvent::OfferReply(taken) => {
                 if let Some(stop) = &mut node.stop {
                     stop.on_offered(taken);
                 }
@@ -433,7 +435,7 @@
         for action in actions {
             match action {
                 ControlAction::Call { machine, call } => {
-                    self.call_platform(id, Who::Machine(machine), call);
+                    self.call_platform(id, PlatformCallSource::Machine(machine), call);
                 }
                 ControlAction::Heartbeat { to, message } => {
                     self.send_to_node(id, to.id, NodeEvent::Heartbeat { from: id, message });
@@ -461,7 +463,7 @@
                     Event::Node(id, NodeEvent::CopyExceptions),
                 );
                 self.check_reverts();
-                self.on_in_force(id, &change);
+                self.on_configuration_in_force(id, &change);
             }
             Installation::OwnerMap(map) => {
                 let mut requests = Vec::new();
@@ -483,7 +485,7 @@
     }
 
     fn copy_exceptions(&mut self, id: BalancerId) {
-        if self.switch == Switch::History {
+        if self.switch == Ablation::History {
             return;
         }
         let Some(node) = self.nodes.get(&id) else {
@@ -516,11 +518,11 @@
                 let claims = node.policy.start_handover(service);
                 let offer = NodeEvent::Offer { from: id, service, handover, claims };
                 self.send_to_node(id, to, offer);
-                self.reach(Step::StopOffered, id, None);
+                self.on_step_reached(Step::StopOffered, id, None);
                 // An offer without an answer after 1 s counts as refused.
                 self.schedule(Duration::from_secs(1), Event::Timer(Timer::OfferTimeout(id)));
             }
-            Some(StopStep::Call(call)) => self.call_platform(id, Who::Stop, call),
+            Some(StopStep::Call(call)) => self.call_platform(id, PlatformCallSource::Stop, call),
             Some(StopStep::Settle { service, moved, map }) => {
                 let mut controls = Vec::new();
                 let mut requests = Vec::new();
@@ -532,7 +534,7 @@
                     node.policy.settle_handover(now, service, moved, &mut requests);
                 }
                 self.perform_requests(id, requests);
-                self.reach(Step::StopWritten, id, None);
+                self.on_step_reached(Step::StopWritten, id, None);
             }
             None => self.finish_stop(id),
         }
@@ -552,8 +554,8 @@
         node.control.give_lease_back();
         let noticed = node.stop_began.is_some_and(|began| now >= began + crate::node::DEAD_AFTER);
         if noticed && node.policy.open_work() == 0 && node.control.is_lease_given_back() {
-            node.life = Life::Dead;
-            self.tell(format!("balancer {id} has stopped as planned"));
+            node.process_state = ProcessState::Dead;
+            self.log_event(format!("balancer {id} has stopped as planned"));
         }
     }
 
@@ -578,7 +580,7 @@
         let packet = FlowPacket { key, service, opening, closing: false, token, hop };
         match node.policy.on_flow(now, &packet) {
             FlowVerdict::Forward { backend, tell_binding, .. } => {
-                let unchecked = self.switch == Switch::ServiceCheck;
+                let unchecked = self.switch == Ablation::ServiceCheck;
                 let history = node.policy.director().history();
                 let found = if unchecked {
                     history.current().and_then(|configuration| configuration.backend(backend))
@@ -590,7 +592,7 @@
                 };
                 let home = node.policy.director().view().home(key);
                 if opening {
-                    self.reach(Step::FlowOpening, id, Some(record.address));
+                    self.on_step_reached(Step::FlowOpening, id, Some(record.address));
                 }
                 self.send_flow_to_vm(id, flow, opening, record);
                 if let Some(home) = home.filter(|home| tell_binding && *home != id) {
@@ -665,7 +667,7 @@
                     request,
                     ..
                 } => {
-                    let work = Work {
+                    let work = DispatchedRequest {
                         id: request.id,
                         attempt,
                         repeatable: request.repeatable,
@@ -674,12 +676,12 @@
                         service: request.service,
                         incarnation,
                     };
-                    self.trace(request.id, || {
+                    self.log_request_event(request.id, || {
                         format!(
                             "attempt {attempt} sent by balancer {id} to backend server {backend}"
                         )
                     });
-                    self.send_work(id, backend, work, &request);
+                    self.send_dispatch(id, backend, work, &request);
                 }
                 RequestAction::Cancel { backend, id: request, attempt, service, .. } => {
                     if let Some(address) = self.vm_address(id, service, backend) {
@@ -700,31 +702,31 @@
         }
     }
 
-    fn send_work(
+    fn send_dispatch(
         &mut self,
         id: BalancerId,
         backend: BackendId,
-        work: Work,
+        work: DispatchedRequest,
         request: &Request<Payload>,
     ) {
         let Some(address) = self.vm_address(id, request.service, backend) else {
             return;
         };
-        let event = Event::Work { address, work, meant: request.service };
+        let event = Event::Work { address, work, intended_service: request.service };
 
         // The process freezes after the decision, before the packet reaches the socket.
-        let sticks = self.sticks.as_ref().is_some_and(|(node, addresses)| {
+        let sticks = self.pending_freeze.as_ref().is_some_and(|(node, addresses)| {
             *node == id && (addresses.is_empty() || addresses.contains(&address))
         });
         if sticks && !request.repeatable {
-            self.sticks = None;
-            self.stuck.push((id, event));
+            self.pending_freeze = None;
+            self.held_packets.push((id, event));
             self.freeze(id);
             return;
         }
 
         if !request.repeatable && request.service == 1 {
-            self.reach(Step::RequestDispatched, id, Some(address));
+            self.on_step_reached(Step::RequestDispatched, id, Some(address));
         }
         self.send_to_vm(id, address, event);
     }
@@ -740,14 +742,23 @@
         history.find(service, backend).map(|record| record.address)
     }
 
-    fn on_work(&mut self, address: SocketAddr, work: Work, meant: ServiceId) {
-        let unchecked = self.switch == Switch::ServiceCheck;
+    fn on_dispatch(
+        &mut self,
+        address: SocketAddr,
+        work: DispatchedRequest,
+        intended_service: ServiceId,
+    ) {
+        let unchecked = self.switch == Ablation::ServiceCheck;
         let now = self.now;
         let Some(vm) = self.vms.get_mut(&address) else {
             return;
         };
         let checked = if unchecked {
-            Work { service: vm.record.service, incarnation: vm.record.incarnation, ..work }
+            DispatchedRequest {
+                service: vm.record.service,
+                incarnation: vm.record.incarnation,
+                ..work
+            }
         } else {
             work
         };
@@ -756,17 +767,20 @@
 
         let admission = vm.admit(now, &checked);
         let at = vm.id();
-        self.trace(work.id, || format!("at backend server {at}: {admission:?}"));
+        self.log_request_event(work.id, || format!("at backend server {at}: {admission:?}"));
         let Some(vm) = self.vms.get_mut(&address) else {
             return;
         };
         match admission {
-            Admission::Runs(end) => {
+            AdmissionResult::Started(end) => {
                 let service = vm.record.service;
                 let slots = usize::from(vm.record.slots);
                 let running = vm.running.len();
-                self.oracle.check(Promise::NeverTheWrongService, service == meant, || {
-                    format!("request {:x} for service {meant} ran at service {service}", work.id)
+                self.oracle.check(Promise::NeverWrongService, service == intended_service, || {
+                    format!(
+                        "request {:x} for service {intended_service} ran at service {service}",
+                        work.id
+                    )
                 });
                 self.oracle.check(Promise::SlotsAreNeverExceeded, running <= slots, || {
                     format!("backend server {} ran {running} of {slots}", backend.id)
@@ -775,7 +789,7 @@
                     request.runs += 1;
                 }
                 let after = end.duration_since(now).unwrap_or_default();
-                let done = Event::Done {
+                let done = Event::RunFinished {
                     address,
                     id: work.id,
                     attempt: work.attempt,
@@ -784,19 +798,22 @@
                 };
                 self.schedule(after, done);
                 if !work.repeatable && service == 1 {
-                    self.reach(Step::RequestRunning, work.from, Some(address));
+                    self.on_step_reached(Step::RequestRunning, work.from, Some(address));
                 }
             }
-            Admission::Refused(reason) => {
-                let service =
-                    if reason == RefusalReason::BackendMismatch { meant } else { backend.service };
+            AdmissionResult::Refused(reason) => {
+                let service = if reason == RefusalReason::BackendMismatch {
+                    intended_service
+                } else {
+                    backend.service
+                };
                 self.send_from_vm(
                     address,
                     work.from,
                     NodeEvent::Refused { service, reply, reason },
                 );
             }
-            Admission::Silent => {}
+            AdmissionResult::NoAnswer => {}
         }
     }
 
@@ -835,11 +852,11 @@
 
         if self.requests.get(&id).is_some_and(|request| !request.repeatable && request.service == 1)
         {
-            self.reach(Step::RequestAnswered, to, Some(address));
+            self.on_step_reached(Step::RequestAnswered, to, Some(address));
         }
         let reply = BackendReply { backend: backend.id, id, attempt };
-        for index in 0..SEGMENTS {
-            let place = Segment { index, count: SEGMENTS };
+        for index in 0..ANSWER_SEGMENTS {
+            let place = Segment { index, count: ANSWER_SEGMENTS };
             let payload = Payload { id, segment: index };
             let event = NodeEvent::Answer { service: backend.service, reply, place, payload };
             self.send_from_vm(address, to, event);
@@ -855,15 +872,15 @@
         backend: &Backend,
     ) {
         let now = self.now;
-        let unchecked = self.switch == Switch::ServiceCheck;
-        let (caller, meant) = (self.flows[flow].caller, self.flows[flow].service);
+        let unchecked = self.switch == Ablation::ServiceCheck;
+        let (caller, intended_service) = (self.flows[flow].caller, self.flows[flow].service);
         let Some(vm) = self.vms.get_mut(&address).filter(|vm| !vm.is_dead) else {
             return;
         };
         let record = vm.record.clone();
         let matches = record.id == backend.id
             && record.incarnation == backend.incarnation
-            && record.service == meant;
+            && record.service == intended_service;
 
         if !matches && !unchecked {
             let reason = RefusalReason::BackendMismatch;
@@ -888,10 +905,10 @@
         if opening && vm.flows.insert(caller) {
             vm.last_new_work = Some(now);
         }
-        self.oracle.check(Promise::NeverTheWrongService, record.service == meant, || {
-            format!("a flow of service {meant} reached service {}", record.service)
+        self.oracle.check(Promise::NeverWrongService, record.service == intended_service, || {
+            format!("a flow of service {intended_service} reached service {}", record.service)
         });
-        self.reach(Step::FlowEstablished, from, Some(address));
+        self.on_step_reached(Step::FlowEstablished, from, Some(address));
         self.send_from_vm(address, from, NodeEvent::BackendFlow { flow, backend: record, opening });
     }
 
@@ -922,29 +939,34 @@
             }
         }
         flow.token = token.or(flow.token);
-        flow.last_heard = Some(now);
+        flow.last_answer = Some(now);
     }
 
     fn on_caller_answer(&mut self, id: RequestId, caller: SocketAddr, segments: &[Payload]) {
-        let whole = (0..SEGMENTS).map(|segment| Payload { id, segment });
+        let whole = (0..ANSWER_SEGMENTS).map(|segment| Payload { id, segment });
         let is_whole = segments.iter().copied().eq(whole);
 
         if let Some(request) = self.requests.get_mut(&id) {
             request.got_wrong_answer |= !is_whole || request.caller != caller;
         }
-        self.on_caller_ending(id, caller, Ending::Answered);
+        self.on_caller_reply(id, caller, CallerReply::Answered);
     }
 
-    fn on_caller_ending(&mut self, id: RequestId, caller: SocketAddr, ending: Ending) {
+    fn on_caller_reply(&mut self, id: RequestId, caller: SocketAddr, ending: CallerReply) {
         let now = self.now;
-        self.trace(id, || format!("reply received by the caller: {ending:?}"));
+        self.log_request_event(id, || format!("reply received by the caller: {ending:?}"));
 
         if let Some(request) = self.requests.get_mut(&id).filter(|r| r.caller == caller) {
-            request.endings.push((now, ending));
+            request.replies.push((now, ending));
         }
     }
 
-    fn on_platform_call(&mut self, from: BalancerId, who: Who, call: &PlatformCall) {
+    fn on_platform_call(
+        &mut self,
+        from: BalancerId,
+        source: PlatformCallSource,
+        call: &PlatformCall,
+    ) {
         let Some(zone) = self.nodes.get(&from).map(|node| node.zone) else {
             return;
         };
@@ -955,6 +977,6 @@
         };
 
         let delay = self.network.platform_delay();
-        self.schedule(delay, Event::Node(from, NodeEvent::PlatformReply { who, reply }));
+        self.schedule(delay, Event::Node(from, NodeEvent::PlatformReply { source, reply }));
     }
 }
