--- a/crates/valvestage-policy/tests/fault_matrix/caller.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/caller.rs
@@ -35,7 +35,7 @@
 /// Reply that a caller receives for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallerReply {
-    /// A complete set of answer segments.
+    /// An answer; `got_wrong_answer` says whether any was incomplete or not its own.
     Answered,
     /// A refusal that says what is known of the request's execution.
     Told(Outcome),
--- a/crates/valvestage-policy/tests/fault_matrix/checks.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/checks.rs
@@ -154,8 +154,8 @@
     }
 
     fn check_leaving_backends(&mut self) {
-        // A balancer that is cut off, or cannot reach the platform in time, cannot know of the
-        // change.
+        // A balancer that is cut off, or that hears from the platform late or not at all, cannot
+        // know of the change.
         let is_exempt = self.any_fault(|fault| {
             matches!(
                 fault,
--- a/crates/valvestage-policy/tests/fault_matrix/faults.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/faults.rs
@@ -8,8 +8,8 @@
     BalancerKilled,
     /// The balancer at work is paused until its lease has expired, and then resumes.
     BalancerFrozen,
-    /// The owner is paused in the same way between the decision to dispatch a request to a backend
-    /// server and the sending of the packet, which leaves after the pause.
+    /// The owner of service 1 is paused in the same way between the decision to dispatch a request
+    /// to a backend server and the sending of the packet, which leaves after the pause.
     BalancerFrozenSending,
     /// A new balancer joins.
     BalancerJoins,
--- a/crates/valvestage-policy/tests/fault_matrix/operator.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/operator.rs
@@ -38,7 +38,7 @@
     pub change: ConfigurationChange,
     /// Version and value of the configuration last read.
     pub base: Option<(ObjectVersion, RawConfiguration)>,
-    /// Whether the result of an earlier write is unknown.
+    /// Whether an earlier write is in doubt: it got no answer, and may have taken effect.
     pub has_unknown_write: bool,
     /// Whether the change was accepted; `None` until that is known.
     pub is_accepted: Option<bool>,
--- a/crates/valvestage-policy/tests/fault_matrix/scenario.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/scenario.rs
@@ -326,7 +326,8 @@
         self.schedule(RESEND_INTERVAL, Event::Timer(Timer::Resend(id)));
     }
 
-    /// Does what the watch task of the balancer.
+    /// Does what the balancer's watch task does: hands the objects that a watch shows to the
+    /// control policy.
     fn watch(&mut self, id: BalancerId) {
         self.schedule(WATCH_INTERVAL, Event::Timer(Timer::Watch(id)));
         let now = self.now;
--- a/crates/valvestage-policy/tests/fault_matrix/steps.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/steps.rs
@@ -5,7 +5,7 @@
 pub enum Step {
     /// A balancer has forwarded the opening packet of a flow to a backend server.
     FlowOpening,
-    /// A packet of a flow has reached its backend server, which answers it.
+    /// A backend server has accepted a packet of a flow and answers it.
     FlowEstablished,
     /// A request that must not be repeated has reached its owner.
     RequestAccepted,
--- a/crates/valvestage-policy/tests/fault_matrix/world.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/world.rs
@@ -145,7 +145,7 @@
     /// Balancer that is to freeze at its next dispatch to one of these addresses, or to any if
     /// there are none.
     pub pending_freeze: Option<(BalancerId, Vec<SocketAddr>)>,
-    /// Packets that frozen balancers had decided to send, which leave when they resume.
+    /// Packets that frozen balancers had decided to send. They leave when a balancer resumes.
     pub held_packets: Vec<(BalancerId, Event)>,
     pub cell: Cell,
     /// Balancers among which the fabric spreads the packets of callers.
