--- a/crates/valvestage-policy/tests/fault_matrix/ablations.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/ablations.rs
@@ -55,7 +55,7 @@
 
 /// Cells that fail without one mechanism.
 pub struct AblationRow {
-    pub switch: Ablation,
+    pub ablation: Ablation,
     /// Results of the cells with a violation.
     pub failed: Vec<CellResult>,
     /// Number of cells that ran.
@@ -72,10 +72,11 @@
 
     Ablation::ALL
         .into_iter()
-        .map(|switch| {
-            let red = run_cells(&cells, switch);
-            let red = red.into_iter().filter(|result| !result.violations.is_empty()).collect();
-            AblationRow { switch, failed: red, cell_count: cells.len() }
+        .map(|ablation| {
+            let failed = run_cells(&cells, ablation);
+            let failed =
+                failed.into_iter().filter(|result| !result.violations.is_empty()).collect();
+            AblationRow { ablation, failed, cell_count: cells.len() }
         })
         .collect()
 }
--- a/crates/valvestage-policy/tests/fault_matrix/backend.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/backend.rs
@@ -73,21 +73,23 @@
     }
 
     /// Starts a request, or refuses it as a real backend server would.
-    pub fn admit(&mut self, now: SystemTime, work: &DispatchedRequest) -> AdmissionResult {
+    pub fn admit(&mut self, now: SystemTime, dispatched: &DispatchedRequest) -> AdmissionResult {
         if self.is_dead {
             return AdmissionResult::NoAnswer;
         }
-        if work.service != self.record.service || work.incarnation != self.record.incarnation {
+        if dispatched.service != self.record.service
+            || dispatched.incarnation != self.record.incarnation
+        {
             return AdmissionResult::Refused(RefusalReason::BackendMismatch);
         }
-        if work.deadline <= now {
+        if dispatched.deadline <= now {
             return AdmissionResult::Refused(RefusalReason::BackendDeadline);
         }
         if self.is_shedding || self.running.len() >= usize::from(self.record.slots) {
             return AdmissionResult::Refused(RefusalReason::BackendShedding);
         }
 
-        self.running.insert((work.id, work.attempt));
+        self.running.insert((dispatched.id, dispatched.attempt));
         self.peak_running = self.peak_running.max(self.running.len());
         self.last_new_work = Some(now);
         AdmissionResult::Started(now + self.draw_run_time())
--- a/crates/valvestage-policy/tests/fault_matrix/caller.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/caller.rs
@@ -64,10 +64,10 @@
 
 impl Request {
     pub fn first_reply(&self) -> Option<CallerReply> {
-        self.replies.first().map(|(_, ending)| *ending)
+        self.replies.first().map(|(_, reply)| *reply)
     }
 
-    pub fn has_received(&self, ending: CallerReply) -> bool {
-        self.replies.iter().any(|(_, told)| *told == ending)
+    pub fn has_received(&self, reply: CallerReply) -> bool {
+        self.replies.iter().any(|(_, received)| *received == reply)
     }
 }
--- a/crates/valvestage-policy/tests/fault_matrix/cells.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/cells.rs
@@ -65,7 +65,7 @@
     for first in Fault::ALL {
         for step in Step::ALL {
             for seed in 0..SINGLE_FAULT_SEEDS {
-                let second = Fault::NoFault;
+                let second = Fault::None;
                 cells.push(Cell {
                     kind: CellKind::Single,
                     step,
@@ -82,7 +82,7 @@
     for (index, first) in real_faults.iter().enumerate() {
         for second in &real_faults[index + 1..] {
             for step in PAIR_STEPS {
-                let is_made_for_switch =
+                let is_ablation_case =
                     (*first, *second) == (Fault::BalancerKilled, Fault::WatchLags);
                 let cell = Cell {
                     kind: CellKind::Pair,
@@ -90,7 +90,7 @@
                     first: *first,
                     second: *second,
                     seed: 7,
-                    is_ablation_case: is_made_for_switch,
+                    is_ablation_case,
                 };
                 cells.push(cell);
             }
@@ -114,7 +114,7 @@
 }
 
 /// Runs cells on all processors and returns the results in the order of the cells.
-pub fn run_cells(cells: &[Cell], switch: Ablation) -> Vec<CellResult> {
+pub fn run_cells(cells: &[Cell], ablation: Ablation) -> Vec<CellResult> {
     let next = AtomicUsize::new(0);
     let results: Vec<Mutex<Option<CellResult>>> = cells.iter().map(|_| Mutex::new(None)).collect();
     let threads = thread::available_parallelism().map_or(4, usize::from);
@@ -127,7 +127,7 @@
                     let Some(cell) = cells.get(index) else {
                         return;
                     };
-                    *results[index].lock().unwrap() = Some(run_cell(*cell, switch));
+                    *results[index].lock().unwrap() = Some(run_cell(*cell, ablation));
                 }
             });
         }
--- a/crates/valvestage-policy/tests/fault_matrix/checks.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/checks.rs
@@ -70,8 +70,9 @@
         let now = self.now;
 
         for flow in self.flows.iter_mut().filter(|flow| flow.opened.is_some()) {
-            let silent = flow.last_answer.is_some_and(|heard| now > heard + STALL_TIMEOUT);
-            if silent && flow.broken.is_none() {
+            let is_stalled =
+                flow.last_answer.is_some_and(|answered_at| now > answered_at + STALL_TIMEOUT);
+            if is_stalled && flow.broken.is_none() {
                 flow.broken = Some((now, "stalled"));
             }
         }
@@ -130,16 +131,22 @@
             });
 
             let is_answered = first == Some(CallerReply::Answered);
-            let told = || format!("{name} (repeatable: {}) was told {first:?}", request.repeatable);
+            let describe =
+                || format!("{name} (repeatable: {}) was told {first:?}", request.repeatable);
             if request.is_probe {
-                oracle.check_request(Promise::ServesAgainAfterFault, request.id, is_answered, told);
+                oracle.check_request(
+                    Promise::ServesAgainAfterFault,
+                    request.id,
+                    is_answered,
+                    describe,
+                );
             } else if request.from_zone.is_some() {
                 if is_cut {
                     oracle.check_request(
                         Promise::CutOffZoneKeepsServing,
                         request.id,
                         is_answered,
-                        told,
+                        describe,
                     );
                 }
             } else if !is_exempt {
@@ -147,7 +154,7 @@
                     Promise::PlannedStopKeepsRequests,
                     request.id,
                     is_answered,
-                    told,
+                    describe,
                 );
             }
         }
--- a/crates/valvestage-policy/tests/fault_matrix/fault_injection.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/fault_injection.rs
@@ -28,7 +28,7 @@
         Fault::BalancerKilled => RESTART_DELAY,
         Fault::BackendKilled | Fault::BackendsSlow => Duration::from_secs(4),
         Fault::BackendsShedding => Duration::from_millis(1_500),
-        Fault::NoFault
+        Fault::None
         | Fault::BalancerJoins
         | Fault::AnswersLost
         | Fault::OperatorsRace
@@ -42,18 +42,18 @@
     /// Injects the first (`count` 0) or second fault of the cell.
     pub fn inject_fault(&mut self, count: usize) {
         let fault = if count == 0 { self.cell.first } else { self.cell.second };
-        let struck = self.fault_site.expect("a fault is injected only after its step is reached");
-        let is_there = self
+        let site = self.fault_site.expect("a fault is injected only after its step is reached");
+        let is_running = self
             .nodes
-            .get(&struck.node)
+            .get(&site.node)
             .is_some_and(|node| node.process_state == ProcessState::Running);
-        let node = if is_there { struck.node } else { self.owner_of_first_service() };
+        let node = if is_running { site.node } else { self.owner_of_first_service() };
         let zone = self.zone(node).unwrap_or(0);
         self.log_event(format!("{} (balancer {node}, zone {zone})", fault.label()));
         self.schedule(fault_duration(fault), Event::Timer(Timer::EndFault(fault, zone)));
 
         match fault {
-            Fault::NoFault => {}
+            Fault::None => {}
             Fault::BalancerKilled => self.kill(node),
             Fault::BalancerFrozen => self.freeze(node),
             Fault::BalancerFrozenSending => {
@@ -67,7 +67,7 @@
                 self.start_node(id, 0);
             }
             Fault::BackendKilled => {
-                if let Some(vm) = struck.vm.and_then(|vm| self.vms.get_mut(&vm)) {
+                if let Some(vm) = site.vm.and_then(|vm| self.vms.get_mut(&vm)) {
                     vm.is_dead = true;
                     vm.running.clear();
                     vm.flows.clear();
@@ -106,7 +106,7 @@
                 self.add_operator(&name("b"), ConfigurationChange::Weight(5, 200));
             }
             Fault::AddressReused => {
-                let vm = struck.vm.and_then(|vm| self.vms.get(&vm));
+                let vm = site.vm.and_then(|vm| self.vms.get(&vm));
                 let in_service = |vm: &&crate::backend::FakeBackend| vm.record.service == 1;
                 let backend = vm.filter(in_service).or_else(|| self.vms.values().find(in_service));
                 let backend = backend.map_or(1, |vm| vm.id());
@@ -121,8 +121,8 @@
         let is_cut = matches!(fault, Fault::ZoneCutFromZones | Fault::ZoneCutFromAll);
         if is_cut && self.cell.kind == crate::cells::CellKind::Single {
             // Callers on both sides of the cut send requests once the balancers have noticed it.
-            for (zone, ms) in (0..12).flat_map(|turn| [(zone, turn), ((zone + 1) % 3, turn)]) {
-                let after = Duration::from_millis(1_600 + 250 * ms);
+            for (zone, round) in (0..12).flat_map(|turn| [(zone, turn), ((zone + 1) % 3, turn)]) {
+                let after = Duration::from_millis(1_600 + 250 * round);
                 self.schedule(after, Event::Timer(Timer::ZoneRequest(zone)));
             }
         }
@@ -205,9 +205,9 @@
         let waiting = std::mem::take(&mut node.inbox);
         self.log_event(format!("balancer {id} resumes"));
 
-        let stuck = std::mem::take(&mut self.held_packets);
-        for (from, event) in stuck {
-            if let Event::Work { address, .. } = event {
+        let held = std::mem::take(&mut self.held_packets);
+        for (from, event) in held {
+            if let Event::Dispatch { address, .. } = event {
                 self.send_to_vm(from, address, event);
             }
         }
@@ -233,14 +233,14 @@
         };
         let (zone, highest) = (former.zone, former.highest_version_in_force);
 
-        let mut node = Node::new(id, zone, &balancers(), self.switch, self.now);
+        let mut node = Node::new(id, zone, &balancers(), self.ablation, self.now);
         node.highest_version_in_force = highest;
         self.nodes.insert(id, node);
         self.log_event(format!("balancer {id} restarts"));
     }
 
     pub fn start_node(&mut self, id: BalancerId, zone: usize) {
-        let node = Node::new(id, zone, &balancers(), self.switch, self.now);
+        let node = Node::new(id, zone, &balancers(), self.ablation, self.now);
 
         self.nodes.insert(id, node);
         // Spreads the steps of the balancers over the interval.
--- a/crates/valvestage-policy/tests/fault_matrix/faults.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/faults.rs
@@ -3,7 +3,7 @@
 /// Fault that a cell injects; "at work" means at the step that triggers the fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Fault {
-    NoFault,
+    None,
     /// The balancer at work is killed; a new process starts on its VM 3 s later.
     BalancerKilled,
     /// The balancer at work is paused until its lease has expired, and then resumes.
@@ -45,7 +45,7 @@
 
 impl Fault {
     pub const ALL: [Self; 21] = [
-        Self::NoFault,
+        Self::None,
         Self::BalancerKilled,
         Self::BalancerFrozen,
         Self::BalancerFrozenSending,
@@ -70,7 +70,7 @@
 
     pub fn label(self) -> &'static str {
         match self {
-            Self::NoFault => "no fault",
+            Self::None => "no fault",
             Self::BalancerKilled => "balancer killed",
             Self::BalancerFrozen => "balancer frozen past its lease",
             Self::BalancerFrozenSending => "balancer frozen while sending",
@@ -114,7 +114,7 @@
     pub fn allows_unanswered_requests(self) -> bool {
         !matches!(
             self,
-            Self::NoFault
+            Self::None
                 | Self::BalancerJoins
                 | Self::AnswersLost
                 | Self::WatchLags
--- a/crates/valvestage-policy/tests/fault_matrix/main.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/main.rs
@@ -42,15 +42,15 @@
     ROWS.get_or_init(ablations::run_ablations)
 }
 
-fn assert_no_violation(part: CellKind) {
-    let of_part: Vec<_> = results().iter().filter(|result| result.cell.kind == part).collect();
-    let failed: Vec<_> = of_part.iter().filter(|result| !result.violations.is_empty()).collect();
+fn assert_no_violation(kind: CellKind) {
+    let of_kind: Vec<_> = results().iter().filter(|result| result.cell.kind == kind).collect();
+    let failed: Vec<_> = of_kind.iter().filter(|result| !result.violations.is_empty()).collect();
 
     for result in &failed {
         println!("{}", report::describe_failure(result));
     }
-    assert!(!of_part.is_empty());
-    assert!(failed.is_empty(), "{} of {} cells failed", failed.len(), of_part.len());
+    assert!(!of_kind.is_empty());
+    assert!(failed.is_empty(), "{} of {} cells failed", failed.len(), of_kind.len());
 }
 
 #[test]
@@ -76,7 +76,7 @@
         assert!(
             !row.failed.is_empty(),
             "no cell fails without the mechanism: {}",
-            row.switch.label()
+            row.ablation.label()
         );
     }
 }
--- a/crates/valvestage-policy/tests/fault_matrix/node.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/node.rs
@@ -87,7 +87,7 @@
         id: BalancerId,
         zone: usize,
         seeds: &[(BalancerId, usize)],
-        switch: Ablation,
+        ablation: Ablation,
         now: SystemTime,
     ) -> Self {
         let seeds = seeds
@@ -99,7 +99,7 @@
             lease: LeaseOptions { length: LEASE_DURATION, clock_bound: Duration::from_millis(100) },
             stale_after: Duration::from_secs(2),
             join_without_platform_after: Duration::from_secs(4),
-            newest_only: switch != Ablation::NewestVersion,
+            newest_only: ablation != Ablation::NewestVersion,
             ..ControlOptions::default()
         };
         let control =
@@ -107,14 +107,14 @@
 
         let mut options = BalancerOptions::new(id, zone_name(zone));
         options.requests.max_deadline = MAX_DEADLINE;
-        options.requests.claims = switch != Ablation::ClaimTable;
-        options.requests.window = switch != Ablation::CoveredWindow;
-        options.requests.fence = switch != Ablation::DeadlineFence;
-        options.flows.layers.former_home = switch != Ablation::History;
-        options.flows.layers.table = switch != Ablation::History;
-        options.flows.layers.newest_only = switch != Ablation::NewestVersion;
-        options.flows.layers.service_check = switch != Ablation::ServiceCheck;
-        if switch == Ablation::PauseDetection {
+        options.requests.claims = ablation != Ablation::ClaimTable;
+        options.requests.window = ablation != Ablation::CoveredWindow;
+        options.requests.fence = ablation != Ablation::DeadlineFence;
+        options.flows.layers.former_home = ablation != Ablation::History;
+        options.flows.layers.table = ablation != Ablation::History;
+        options.flows.layers.newest_only = ablation != Ablation::NewestVersion;
+        options.flows.layers.service_check = ablation != Ablation::ServiceCheck;
+        if ablation == Ablation::PauseDetection {
             options.pause_limit = Duration::from_secs(3_600);
         }
 
--- a/crates/valvestage-policy/tests/fault_matrix/operator.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/operator.rs
@@ -39,7 +39,7 @@
     /// Version and value of the configuration last read.
     pub base: Option<(ObjectVersion, RawConfiguration)>,
     /// Whether an earlier write is in doubt: it got no answer, and may have taken effect.
-    pub has_unknown_write: bool,
+    pub is_in_doubt: bool,
     /// Whether the change was accepted; `None` until that is known.
     pub is_accepted: Option<bool>,
 }
@@ -50,7 +50,7 @@
             id: id.to_owned(),
             change,
             base: None,
-            has_unknown_write: false,
+            is_in_doubt: false,
             is_accepted: None,
         });
 
@@ -67,11 +67,11 @@
 
         let operator = &mut self.operators[index];
         let base = operator.base.as_ref().map(|(version, _)| *version);
-        if operator.has_unknown_write && raw.change_id == operator.id {
+        if operator.is_in_doubt && raw.change_id == operator.id {
             operator.is_accepted = Some(true);
             return;
         }
-        if operator.has_unknown_write && base != Some(version) {
+        if operator.is_in_doubt && base != Some(version) {
             operator.is_accepted = Some(false);
             return;
         }
@@ -85,7 +85,7 @@
             return;
         };
         let before = self.platform.get(ObjectKey::Configuration).map(|(version, _)| *version);
-        let unconditional = self.switch == Ablation::ConditionalWrite;
+        let unconditional = self.ablation == Ablation::ConditionalWrite;
         let call = PlatformCall::Write {
             key: ObjectKey::Configuration,
             expected: if unconditional { before } else { Some(base) },
@@ -105,11 +105,9 @@
         let operator = &mut self.operators[index];
         match reply {
             PlatformReply::Written { .. } => operator.is_accepted = Some(true),
-            PlatformReply::Conflict if !operator.has_unknown_write => {
-                operator.is_accepted = Some(false)
-            }
+            PlatformReply::Conflict if !operator.is_in_doubt => operator.is_accepted = Some(false),
             _ => {
-                operator.has_unknown_write = true;
+                operator.is_in_doubt = true;
                 self.schedule(RETRY_INTERVAL, Event::Timer(Timer::OperatorReads(index)));
             }
         }
@@ -163,21 +161,21 @@
     };
     match change {
         ConfigurationChange::Weight(backend, weight) => {
-            if let Some(place) = find(&mut next.backends, backend) {
-                next.backends[place].weight = weight;
+            if let Some(index) = find(&mut next.backends, backend) {
+                next.backends[index].weight = weight;
             }
         }
         ConfigurationChange::Drain(backend) => {
-            if let Some(place) = find(&mut next.backends, backend) {
-                next.backends[place].state = BackendState::Draining;
+            if let Some(index) = find(&mut next.backends, backend) {
+                next.backends[index].state = BackendState::Draining;
             }
         }
         ConfigurationChange::StopZone(zone) => {
             next.stopped_zones.insert(zone_name(zone));
         }
         ConfigurationChange::ReuseAddress(backend) => {
-            if let Some(place) = find(&mut next.backends, backend) {
-                let record = &mut next.backends[place];
+            if let Some(index) = find(&mut next.backends, backend) {
+                let record = &mut next.backends[index];
                 record.id = REPLACEMENT_ID_OFFSET + backend;
                 record.name = format!("reusing-{backend}");
                 record.service = 2;
--- a/crates/valvestage-policy/tests/fault_matrix/oracle.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/oracle.rs
@@ -78,11 +78,11 @@
 
 impl Oracle {
     /// Counts a check of a promise and records a violation if the promise does not hold.
-    pub fn check(&mut self, promise: Promise, holds: bool, what: impl FnOnce() -> String) {
+    pub fn check(&mut self, promise: Promise, holds: bool, description: impl FnOnce() -> String) {
         *self.checked.entry(promise).or_insert(0) += 1;
 
         if !holds {
-            self.first_violations.entry(promise).or_insert_with(|| (what(), None));
+            self.first_violations.entry(promise).or_insert_with(|| (description(), None));
         }
     }
 
@@ -92,9 +92,9 @@
         promise: Promise,
         id: RequestId,
         holds: bool,
-        what: impl FnOnce() -> String,
+        description: impl FnOnce() -> String,
     ) {
-        self.check(promise, holds, what);
+        self.check(promise, holds, description);
 
         if !holds && let Some((_, request)) = self.first_violations.get_mut(&promise) {
             request.get_or_insert(id);
@@ -103,9 +103,9 @@
 
     pub fn violations(&self) -> Vec<Violation> {
         let to_violation =
-            |(promise, (what, request)): (&Promise, &(String, Option<RequestId>))| Violation {
+            |(promise, (text, request)): (&Promise, &(String, Option<RequestId>))| Violation {
                 promise: *promise,
-                description: what.clone(),
+                description: text.clone(),
                 request: *request,
             };
 
--- a/crates/valvestage-policy/tests/fault_matrix/report.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/report.rs
@@ -74,14 +74,14 @@
             .map(|(promise, count)| format!("{} ({count})", promise.label()))
             .collect();
         let example = row.failed.first().map_or_else(String::new, |result| {
-            let what =
+            let description =
                 result.violations.first().map_or("", |violation| violation.description.as_str());
-            format!("{}: {what}", cell_name(result))
+            format!("{}: {description}", cell_name(result))
         });
         let _ = writeln!(
             text,
             "| {} | {} of {} | {} | {example} |",
-            row.switch.label(),
+            row.ablation.label(),
             row.failed.len(),
             row.cell_count,
             broken.join("; ")
@@ -148,8 +148,8 @@
         let of_fault =
             results.iter().filter(|r| r.cell.kind == CellKind::Single && r.cell.first == fault);
         let sum = of_fault.fold([0; 4], |sum, result| {
-            let (echoing, silent) = (result.echoing, result.not_echoing);
-            [sum[0] + echoing.0, sum[1] + echoing.1, sum[2] + silent.0, sum[3] + silent.1]
+            let (echoing, not_echoing) = (result.echoing, result.not_echoing);
+            [sum[0] + echoing.0, sum[1] + echoing.1, sum[2] + not_echoing.0, sum[3] + not_echoing.1]
         });
         if sum[1] + sum[3] > 0 {
             let _ = writeln!(
@@ -166,17 +166,17 @@
     text
 }
 
-fn cell_counts(results: &[CellResult], part: CellKind) -> String {
-    let of_part: Vec<_> = results.iter().filter(|result| result.cell.kind == part).collect();
-    let failed = of_part.iter().filter(|result| !result.violations.is_empty()).count();
-    let not_run = of_part.iter().filter(|result| !result.is_reached).count();
-    let proved = of_part.len() - failed - not_run;
+fn cell_counts(results: &[CellResult], kind: CellKind) -> String {
+    let of_kind: Vec<_> = results.iter().filter(|result| result.cell.kind == kind).collect();
+    let failed = of_kind.iter().filter(|result| !result.violations.is_empty()).count();
+    let not_run = of_kind.iter().filter(|result| !result.is_reached).count();
+    let proved = of_kind.len() - failed - not_run;
 
-    format!("{} cells: {proved} proved, {failed} failed, {not_run} not run", of_part.len())
+    format!("{} cells: {proved} proved, {failed} failed, {not_run} not run", of_kind.len())
 }
 
 /// Renders the text of docs/FAULT-MATRIX.md.
-pub fn page(results: &[CellResult], switches: &[AblationRow]) -> String {
+pub fn page(results: &[CellResult], ablations: &[AblationRow]) -> String {
     let failed: Vec<_> = results.iter().filter(|result| !result.violations.is_empty()).collect();
     let mut text = format!(
         "# Fault matrix
@@ -215,7 +215,7 @@
         cell_counts(results, CellKind::Twice),
         promise_table(results),
         single_grid(results),
-        ablation_table(switches),
+        ablation_table(ablations),
         broken_flows_table(results),
     );
 
--- a/crates/valvestage-policy/tests/fault_matrix/scenario.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/scenario.rs
@@ -59,7 +59,7 @@
     RefreshFabric,
     PrepareFreeze,
     AwaitStep,
-    Change,
+    MakeChange,
     OperatorReads(usize),
     OperatorWrites(usize),
     OfferTimeout(BalancerId),
@@ -109,13 +109,13 @@
     }
 }
 
-pub fn run_cell(cell: Cell, switch: Ablation) -> CellResult {
-    run_traced(cell, switch, Vec::new())
+pub fn run_cell(cell: Cell, ablation: Ablation) -> CellResult {
+    run_traced(cell, ablation, Vec::new())
 }
 
 /// Runs a cell and records every event of the traced requests in its log.
-pub fn run_traced(cell: Cell, switch: Ablation, traced: Vec<RequestId>) -> CellResult {
-    let mut world = World::new(cell, switch);
+pub fn run_traced(cell: Cell, ablation: Ablation, traced: Vec<RequestId>) -> CellResult {
+    let mut world = World::new(cell, ablation);
     world.traced_requests = traced;
 
     world.prepare();
@@ -157,7 +157,7 @@
             (LOAD_STARTS_AT, Timer::NewRequest),
             (PREPARE_FREEZE_AT, Timer::PrepareFreeze),
             (AWAIT_STEP_AT, Timer::AwaitStep),
-            (CHANGE_AT, Timer::Change),
+            (CHANGE_AT, Timer::MakeChange),
             (LOAD_ENDS_AT, Timer::LoadEnds),
         ] {
             self.schedule(after, Event::Timer(timer));
@@ -193,7 +193,7 @@
             }
             Timer::PrepareFreeze => self.prepare_freeze(),
             Timer::AwaitStep => self.awaited_step = Some(self.cell.step),
-            Timer::Change => self.make_change(),
+            Timer::MakeChange => self.make_change(),
             Timer::OperatorReads(index) => self.operator_reads(index),
             Timer::OperatorWrites(index) => self.operator_writes(index),
             Timer::OfferTimeout(id) => {
@@ -230,11 +230,11 @@
         self.now < self.start + LOAD_ENDS_AT
     }
 
-    pub fn add_flow(&mut self, caller: u32, service: ServiceId, echoes: bool) -> usize {
+    pub fn add_flow(&mut self, caller: u32, service: ServiceId, echoes_token: bool) -> usize {
         self.flows.push(Flow {
             caller: caller_address(caller),
             service,
-            echoes_token: echoes,
+            echoes_token,
             token: None,
             backend: None,
             opened: None,
--- a/crates/valvestage-policy/tests/fault_matrix/world.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/world.rs
@@ -68,9 +68,9 @@
 pub enum Event {
     StepNode(BalancerId),
     Node(BalancerId, NodeEvent),
-    Work {
+    Dispatch {
         address: SocketAddr,
-        work: DispatchedRequest,
+        dispatched: DispatchedRequest,
         intended_service: ServiceId,
     },
     Cancel {
@@ -122,7 +122,7 @@
     pub now: SystemTime,
     pub start: SystemTime,
     pub seed: u64,
-    pub switch: Ablation,
+    pub ablation: Ablation,
     pub nodes: BTreeMap<BalancerId, Node>,
     pub platform: FakePlatform,
     /// VMs of backend servers by address, which a VM keeps when it is reassigned to another
@@ -193,14 +193,14 @@
 }
 
 impl World {
-    pub fn new(cell: Cell, switch: Ablation) -> Self {
+    pub fn new(cell: Cell, ablation: Ablation) -> Self {
         let start = UNIX_EPOCH + Duration::from_secs(1_800_000_000);
 
         Self {
             now: start,
             start,
             seed: cell.seed,
-            switch,
+            ablation,
             nodes: BTreeMap::new(),
             platform: FakePlatform::default(),
             vms: BTreeMap::new(),
@@ -235,9 +235,9 @@
     /// Draws a number from 0 up to, but not including, 1.
     pub fn draw_fraction(&mut self) -> f64 {
         #[allow(clippy::cast_precision_loss)]
-        let word = (self.draw() >> 11) as f64;
+        let random_bits = (self.draw() >> 11) as f64;
 
-        word / 9_007_199_254_740_992.0
+        random_bits / 9_007_199_254_740_992.0
     }
 
     pub fn schedule(&mut self, after: Duration, event: Event) {
@@ -246,17 +246,17 @@
         self.queue.push(Queued { at: self.now + after, sequence: self.sequence, event });
     }
 
-    pub fn log_event(&mut self, what: String) {
+    pub fn log_event(&mut self, text: String) {
         let at = self.now.duration_since(self.start).unwrap_or_default();
 
-        self.event_log.push(format!("{:>6} ms  {what}", at.as_millis()));
+        self.event_log.push(format!("{:>6} ms  {text}", at.as_millis()));
     }
 
     /// Logs an event of a request, if the request is traced.
-    pub fn log_request_event(&mut self, id: RequestId, what: impl FnOnce() -> String) {
+    pub fn log_request_event(&mut self, id: RequestId, text: impl FnOnce() -> String) {
         if self.traced_requests.contains(&id) {
-            let what = what();
-            self.log_event(format!("request {id:x} {what}"));
+            let text = text();
+            self.log_event(format!("request {id:x} {text}"));
         }
     }
 
@@ -276,8 +276,8 @@
         match event {
             Event::StepNode(id) => self.step_node(id),
             Event::Node(id, event) => self.deliver_to_node(id, event),
-            Event::Work { address, work, intended_service } => {
-                self.on_dispatch(address, work, intended_service);
+            Event::Dispatch { address, dispatched, intended_service } => {
+                self.on_dispatch(address, dispatched, intended_service);
             }
             Event::Cancel { address, id, attempt, from } => {
                 self.on_cancel(address, id, attempt, from);
@@ -408,15 +408,15 @@
                 let _ = node.control.on_object(key, version, value, &mut controls);
             }
             NodeEvent::Offer { from, service, handover, claims } => {
-                let takes = node.control.is_serving() && node.control.grant().is_some();
-                if takes {
+                let accepts = node.control.is_serving() && node.control.grant().is_some();
+                if accepts {
                     node.policy.offer_handover(now, service, handover, claims);
                 }
-                self.send_to_node(id, from, NodeEvent::OfferReply(takes));
+                self.send_to_node(id, from, NodeEvent::OfferReply(accepts));
             }
-            NodeEvent::OfferReply(taken) => {
+            NodeEvent::OfferReply(accepted) => {
                 if let Some(stop) = &mut node.stop {
-                    stop.on_offered(taken);
+                    stop.on_offered(accepted);
                 }
             }
             NodeEvent::Bindings(bindings) => {
@@ -485,7 +485,7 @@
     }
 
     fn copy_exceptions(&mut self, id: BalancerId) {
-        if self.switch == Ablation::History {
+        if self.ablation == Ablation::History {
             return;
         }
         let Some(node) = self.nodes.get(&id) else {
@@ -580,7 +580,7 @@
         let packet = FlowPacket { key, service, opening, closing: false, token, hop };
         match node.policy.on_flow(now, &packet) {
             FlowVerdict::Forward { backend, tell_binding, .. } => {
-                let unchecked = self.switch == Ablation::ServiceCheck;
+                let unchecked = self.ablation == Ablation::ServiceCheck;
                 let history = node.policy.director().history();
                 let found = if unchecked {
                     history.current().and_then(|configuration| configuration.backend(backend))
@@ -667,7 +667,7 @@
                     request,
                     ..
                 } => {
-                    let work = DispatchedRequest {
+                    let dispatched = DispatchedRequest {
                         id: request.id,
                         attempt,
                         repeatable: request.repeatable,
@@ -681,7 +681,7 @@
                             "attempt {attempt} sent by balancer {id} to backend server {backend}"
                         )
                     });
-                    self.send_dispatch(id, backend, work, &request);
+                    self.send_dispatch(id, backend, dispatched, &request);
                 }
                 RequestAction::Cancel { backend, id: request, attempt, service, .. } => {
                     if let Some(address) = self.vm_address(id, service, backend) {
@@ -706,19 +706,19 @@
         &mut self,
         id: BalancerId,
         backend: BackendId,
-        work: DispatchedRequest,
+        dispatched: DispatchedRequest,
         request: &Request<Payload>,
     ) {
         let Some(address) = self.vm_address(id, request.service, backend) else {
             return;
         };
-        let event = Event::Work { address, work, intended_service: request.service };
+        let event = Event::Dispatch { address, dispatched, intended_service: request.service };
 
         // The process freezes after the decision, before the packet reaches the socket.
-        let sticks = self.pending_freeze.as_ref().is_some_and(|(node, addresses)| {
+        let freezes_now = self.pending_freeze.as_ref().is_some_and(|(node, addresses)| {
             *node == id && (addresses.is_empty() || addresses.contains(&address))
         });
-        if sticks && !request.repeatable {
+        if freezes_now && !request.repeatable {
             self.pending_freeze = None;
             self.held_packets.push((id, event));
             self.freeze(id);
@@ -745,10 +745,10 @@
     fn on_dispatch(
         &mut self,
         address: SocketAddr,
-        work: DispatchedRequest,
+        dispatched: DispatchedRequest,
         intended_service: ServiceId,
     ) {
-        let unchecked = self.switch == Ablation::ServiceCheck;
+        let unchecked = self.ablation == Ablation::ServiceCheck;
         let now = self.now;
         let Some(vm) = self.vms.get_mut(&address) else {
             return;
@@ -757,17 +757,18 @@
             DispatchedRequest {
                 service: vm.record.service,
                 incarnation: vm.record.incarnation,
-                ..work
+                ..dispatched
             }
         } else {
-            work
+            dispatched
         };
         let backend = vm.record.clone();
-        let reply = BackendReply { backend: backend.id, id: work.id, attempt: work.attempt };
+        let reply =
+            BackendReply { backend: backend.id, id: dispatched.id, attempt: dispatched.attempt };
 
         let admission = vm.admit(now, &checked);
         let at = vm.id();
-        self.log_request_event(work.id, || format!("at backend server {at}: {admission:?}"));
+        self.log_request_event(dispatched.id, || format!("at backend server {at}: {admission:?}"));
         let Some(vm) = self.vms.get_mut(&address) else {
             return;
         };
@@ -779,26 +780,26 @@
                 self.oracle.check(Promise::NeverWrongService, service == intended_service, || {
                     format!(
                         "request {:x} for service {intended_service} ran at service {service}",
-                        work.id
+                        dispatched.id
                     )
                 });
                 self.oracle.check(Promise::SlotsAreNeverExceeded, running <= slots, || {
                     format!("backend server {} ran {running} of {slots}", backend.id)
                 });
-                if let Some(request) = self.requests.get_mut(&work.id) {
+                if let Some(request) = self.requests.get_mut(&dispatched.id) {
                     request.runs += 1;
                 }
                 let after = end.duration_since(now).unwrap_or_default();
                 let done = Event::RunFinished {
                     address,
-                    id: work.id,
-                    attempt: work.attempt,
-                    to: work.from,
+                    id: dispatched.id,
+                    attempt: dispatched.attempt,
+                    to: dispatched.from,
                     backend,
                 };
                 self.schedule(after, done);
-                if !work.repeatable && service == 1 {
-                    self.on_step_reached(Step::RequestRunning, work.from, Some(address));
+                if !dispatched.repeatable && service == 1 {
+                    self.on_step_reached(Step::RequestRunning, dispatched.from, Some(address));
                 }
             }
             AdmissionResult::Refused(reason) => {
@@ -809,7 +810,7 @@
                 };
                 self.send_from_vm(
                     address,
-                    work.from,
+                    dispatched.from,
                     NodeEvent::Refused { service, reply, reason },
                 );
             }
@@ -872,7 +873,7 @@
         backend: &Backend,
     ) {
         let now = self.now;
-        let unchecked = self.switch == Ablation::ServiceCheck;
+        let unchecked = self.ablation == Ablation::ServiceCheck;
         let (caller, intended_service) = (self.flows[flow].caller, self.flows[flow].service);
         let Some(vm) = self.vms.get_mut(&address).filter(|vm| !vm.is_dead) else {
             return;
@@ -943,21 +944,21 @@
     }
 
     fn on_caller_answer(&mut self, id: RequestId, caller: SocketAddr, segments: &[Payload]) {
-        let whole = (0..ANSWER_SEGMENTS).map(|segment| Payload { id, segment });
-        let is_whole = segments.iter().copied().eq(whole);
+        let expected = (0..ANSWER_SEGMENTS).map(|segment| Payload { id, segment });
+        let is_complete = segments.iter().copied().eq(expected);
 
         if let Some(request) = self.requests.get_mut(&id) {
-            request.got_wrong_answer |= !is_whole || request.caller != caller;
+            request.got_wrong_answer |= !is_complete || request.caller != caller;
         }
         self.on_caller_reply(id, caller, CallerReply::Answered);
     }
 
-    fn on_caller_reply(&mut self, id: RequestId, caller: SocketAddr, ending: CallerReply) {
+    fn on_caller_reply(&mut self, id: RequestId, caller: SocketAddr, reply: CallerReply) {
         let now = self.now;
-        self.log_request_event(id, || format!("reply received by the caller: {ending:?}"));
+        self.log_request_event(id, || format!("reply received by the caller: {reply:?}"));
 
         if let Some(request) = self.requests.get_mut(&id).filter(|r| r.caller == caller) {
-            request.replies.push((now, ending));
+            request.replies.push((now, reply));
         }
     }
 
