--- a/crates/valvestage-policy/tests/fault_matrix/backend.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/backend.rs
@@ -1,4 +1,4 @@
-//! A fake backend server, which counts its slots and records each run.
+//! Fake backend server: enforces its slot limit and keeps track of the requests that run.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -8,27 +8,28 @@
 use valvestage_core::{Backend, RefusalReason};
 use valvestage_policy::rendezvous::mix;
 
-/// A request as it reaches a backend server.
+/// Request that a balancer dispatches to a backend server.
 #[derive(Debug, Clone, Copy)]
-pub struct Work {
+pub struct DispatchedRequest {
     pub id: RequestId,
     pub attempt: Attempt,
     pub repeatable: bool,
     pub deadline: SystemTime,
     pub from: BalancerId,
-    /// What the balancer believes it is talking to.
+    /// Service that the balancer expects the backend server to serve.
     pub service: ServiceId,
+    /// Incarnation that the balancer expects the backend server to have.
     pub incarnation: u32,
 }
 
-/// Why a request was not started.
+/// Reaction of a backend server to a dispatched request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Admission {
-    /// It runs and ends at that time.
-    Runs(SystemTime),
+pub enum AdmissionResult {
+    /// The request was started and finishes at the given time.
+    Started(SystemTime),
     Refused(RefusalReason),
-    /// The VM is gone: no word.
-    Silent,
+    /// The VM is down: nothing is sent back.
+    NoAnswer,
 }
 
 #[derive(Debug)]
@@ -36,14 +37,18 @@
     pub record: Backend,
     pub is_dead: bool,
     pub is_shedding: bool,
+    /// Factor on each run time; 1 when the backend server is not slowed down.
     pub slow_factor: u32,
     pub mean_run_time: Duration,
-    /// Requests that run, by id and try.
+    /// Requests in execution, by id and attempt.
     pub running: BTreeSet<(RequestId, Attempt)>,
-    pub peak: usize,
-    /// Callers with an open flow.
+    /// Highest number of requests that ran at once.
+    pub peak_running: usize,
+    /// Addresses of the callers with an open flow.
     pub flows: BTreeSet<SocketAddr>,
+    /// When it last accepted a request or a new flow.
     pub last_new_work: Option<SystemTime>,
+    /// Random numbers drawn so far.
     draws: u64,
 }
 
@@ -56,7 +61,7 @@
             slow_factor: 1,
             mean_run_time,
             running: BTreeSet::new(),
-            peak: 0,
+            peak_running: 0,
             flows: BTreeSet::new(),
             last_new_work: None,
             draws: 0,
@@ -67,31 +72,35 @@
         self.record.id
     }
 
-    pub fn admit(&mut self, now: SystemTime, work: &Work) -> Admission {
+    /// Starts a request, or refuses it as a real backend server would.
+    pub fn admit(&mut self, now: SystemTime, dispatched: &DispatchedRequest) -> AdmissionResult {
         if self.is_dead {
-            return Admission::Silent;
+            return AdmissionResult::NoAnswer;
         }
-        if work.service != self.record.service || work.incarnation != self.record.incarnation {
-            return Admission::Refused(RefusalReason::BackendMismatch);
+        if dispatched.service != self.record.service
+            || dispatched.incarnation != self.record.incarnation
+        {
+            return AdmissionResult::Refused(RefusalReason::BackendMismatch);
         }
-        if work.deadline <= now {
-            return Admission::Refused(RefusalReason::BackendDeadline);
+        if dispatched.deadline <= now {
+            return AdmissionResult::Refused(RefusalReason::BackendDeadline);
         }
         if self.is_shedding || self.running.len() >= usize::from(self.record.slots) {
-            return Admission::Refused(RefusalReason::BackendShedding);
+            return AdmissionResult::Refused(RefusalReason::BackendShedding);
         }
 
-        self.running.insert((work.id, work.attempt));
-        self.peak = self.peak.max(self.running.len());
+        self.running.insert((dispatched.id, dispatched.attempt));
+        self.peak_running = self.peak_running.max(self.running.len());
         self.last_new_work = Some(now);
-        Admission::Runs(now + self.run_time())
+        AdmissionResult::Started(now + self.draw_run_time())
     }
 
-    fn run_time(&mut self) -> Duration {
+    /// Draws a run time from an exponential distribution around `mean_run_time`.
+    fn draw_run_time(&mut self) -> Duration {
         self.draws += 1;
-        let word = mix(self.record.id.into(), self.draws) >> 11;
+        let random_bits = mix(self.record.id.into(), self.draws) >> 11;
         #[allow(clippy::cast_precision_loss)]
-        let uniform = (word as f64 + 0.5) / 9_007_199_254_740_992.0;
+        let uniform = (random_bits as f64 + 0.5) / 9_007_199_254_740_992.0;
 
         self.mean_run_time.mul_f64(-uniform.ln()) * self.slow_factor
     }
--- a/crates/valvestage-policy/tests/fault_matrix/cells.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/cells.rs
@@ -1,55 +1,62 @@
-//! The cells: which faults strike at which step, and with which seed.
+//! Cells of the matrix: each combines faults, the step at which they are injected, and a seed.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 
+use crate::ablations::Ablation;
 use crate::faults::Fault;
 use crate::oracle::{Promise, Violation};
 use crate::scenario::run_cell;
 use crate::steps::Step;
-use crate::switches::Switch;
 
-/// Seeds of each single.
-const SEEDS: u64 = 2;
+/// Number of seeds with which each cell of one fault runs.
+const SINGLE_FAULT_SEEDS: u64 = 2;
 
+/// How many faults a cell injects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Part {
+pub enum CellKind {
     /// One fault.
     Single,
-    /// Two faults, the second shortly after the first.
+    /// Two different faults, the second 300 to 900 ms after the first.
     Pair,
-    /// The same fault again, shortly after the first has ended.
+    /// The same fault twice, the second time 500 ms after the first has ended.
     Twice,
 }
 
+/// One simulation run of the matrix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Cell {
-    pub part: Part,
+    pub kind: CellKind,
     pub step: Step,
     pub first: Fault,
     pub second: Fault,
     pub seed: u64,
-    /// A pair that shows what one mechanism is for.
-    pub is_made_for_switch: bool,
+    /// Whether the cell is a pair that is also run with each mechanism disabled in turn.
+    pub is_ablation_case: bool,
 }
 
+/// What a run of a cell showed.
 #[derive(Debug, Clone)]
 pub struct CellResult {
     pub cell: Cell,
-    /// Whether the step came and the fault struck.
+    /// Whether the step was reached, so that the fault was injected.
     pub is_reached: bool,
     pub violations: Vec<Violation>,
-    /// Promises put to the test, with the number of checks.
+    /// Promises that the run checked, with the number of checks.
     pub checked: Vec<(Promise, u64)>,
+    /// Number of simulation events.
     pub events: u64,
-    pub story: Vec<String>,
-    /// Flows that echo the token and flows that don't: opened, broken.
+    /// Lines with the time and the text of each event worth reporting.
+    pub event_log: Vec<String>,
+    /// Flows that echo the token: opened, broken.
     pub echoing: (u64, u64),
-    pub silent: (u64, u64),
+    /// Flows that don't echo the token: opened, broken.
+    pub not_echoing: (u64, u64),
 }
 
-/// Steps at which pairs and repeats strike: the ones with the most at stake.
+/// Steps at which pairs and repeated faults are injected: a running request, a drain and the
+/// handover of a planned stop are where a fault can do the most harm.
 const PAIR_STEPS: [Step; 3] = [Step::RequestRunning, Step::DrainInForce, Step::StopOffered];
 
 pub fn all_cells() -> Vec<Cell> {
@@ -57,48 +64,48 @@
 
     for first in Fault::ALL {
         for step in Step::ALL {
-            for seed in 0..SEEDS {
-                let second = Fault::Nothing;
+            for seed in 0..SINGLE_FAULT_SEEDS {
+                let second = Fault::None;
                 cells.push(Cell {
-                    part: Part::Single,
+                    kind: CellKind::Single,
                     step,
                     first,
                     second,
                     seed,
-                    is_made_for_switch: false,
+                    is_ablation_case: false,
                 });
             }
         }
     }
 
-    let real = &Fault::ALL[1..];
-    for (index, first) in real.iter().enumerate() {
-        for second in &real[index + 1..] {
+    let real_faults = &Fault::ALL[1..];
+    for (index, first) in real_faults.iter().enumerate() {
+        for second in &real_faults[index + 1..] {
             for step in PAIR_STEPS {
-                let is_made_for_switch =
+                let is_ablation_case =
                     (*first, *second) == (Fault::BalancerKilled, Fault::WatchLags);
                 let cell = Cell {
-                    part: Part::Pair,
+                    kind: CellKind::Pair,
                     step,
                     first: *first,
                     second: *second,
                     seed: 7,
-                    is_made_for_switch,
+                    is_ablation_case,
                 };
                 cells.push(cell);
             }
         }
     }
 
-    for first in real {
+    for first in real_faults {
         for step in PAIR_STEPS {
             let cell = Cell {
-                part: Part::Twice,
+                kind: CellKind::Twice,
                 step,
                 first: *first,
                 second: *first,
                 seed: 11,
-                is_made_for_switch: false,
+                is_ablation_case: false,
             };
             cells.push(cell);
         }
@@ -106,8 +113,8 @@
     cells
 }
 
-/// Runs cells on all processors; the order of the results is that of the cells.
-pub fn run_cells(cells: &[Cell], switch: Switch) -> Vec<CellResult> {
+/// Runs cells on all processors and returns the results in the order of the cells.
+pub fn run_cells(cells: &[Cell], ablation: Ablation) -> Vec<CellResult> {
     let next = AtomicUsize::new(0);
     let results: Vec<Mutex<Option<CellResult>>> = cells.iter().map(|_| Mutex::new(None)).collect();
     let threads = thread::available_parallelism().map_or(4, usize::from);
@@ -120,7 +127,7 @@
                     let Some(cell) = cells.get(index) else {
                         return;
                     };
-                    *results[index].lock().unwrap() = Some(run_cell(*cell, switch));
+                    *results[index].lock().unwrap() = Some(run_cell(*cell, ablation));
                 }
             });
         }
--- a/crates/valvestage-policy/tests/fault_matrix/faults.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/faults.rs
@@ -1,49 +1,51 @@
-//! The faults, the rows of the matrix.
+//! Faults, which are the rows of the matrix.
 
-/// What goes wrong.
+/// Fault that a cell injects; "at work" means at the step that triggers the fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Fault {
-    Nothing,
-    /// The balancer at work is killed; a new process takes its place 3 s later.
+    None,
+    /// The balancer at work is killed; a new process starts on its VM 3 s later.
     BalancerKilled,
-    /// The balancer at work is paused past its lease, and wakes.
+    /// The balancer at work is paused until its lease has expired, and then resumes.
     BalancerFrozen,
-    /// As before, with a packet to a backend server already decided and not yet sent.
+    /// The owner of service 1 is paused in the same way between the decision to dispatch a request
+    /// to a backend server and the sending of the packet, which leaves after the pause.
     BalancerFrozenSending,
-    /// Another balancer joins.
+    /// A new balancer joins.
     BalancerJoins,
     /// The backend server at work is killed.
     BackendKilled,
-    /// All backend servers of a service shed load.
+    /// All backend servers of service 1 refuse new requests.
     BackendsShedding,
-    /// A third of the backend servers are 10 times slower.
+    /// A third of the backend servers of service 1 are 10 times slower.
     BackendsSlow,
     PlatformDown,
     /// Answers of the platform take 1.5 s.
     PlatformSlow,
-    /// The next writes take effect and their answers are lost.
+    /// The next 3 writes to the platform take effect, but their answers are lost.
     AnswersLost,
+    /// Watches show the value that each object had before its last write.
     WatchLags,
-    /// The zone of the balancer at work is cut from the other zones.
+    /// The availability zone of the balancer at work is cut from the other zones.
     ZoneCutFromZones,
-    /// The zone of the balancer at work is cut from the platform.
+    /// The availability zone of the balancer at work is cut from the platform.
     ZoneCutFromPlatform,
-    /// The zone is cut from everything but callers.
+    /// The availability zone of the balancer at work is cut from everything but callers.
     ZoneCutFromAll,
     PacketsLost,
-    PacketsDoubled,
+    PacketsDuplicated,
     PacketsReordered,
-    /// Two operators change the configuration at once.
+    /// Two operators change the configuration at the same time.
     OperatorsRace,
-    /// The address of a backend server is given to another service.
+    /// The address of a backend server is reassigned to another service.
     AddressReused,
-    /// Callers send forged tokens and tokens of other flows.
+    /// Callers send forged tokens, and tokens that were issued to other flows.
     TokensForged,
 }
 
 impl Fault {
     pub const ALL: [Self; 21] = [
-        Self::Nothing,
+        Self::None,
         Self::BalancerKilled,
         Self::BalancerFrozen,
         Self::BalancerFrozenSending,
@@ -59,7 +61,7 @@
         Self::ZoneCutFromPlatform,
         Self::ZoneCutFromAll,
         Self::PacketsLost,
-        Self::PacketsDoubled,
+        Self::PacketsDuplicated,
         Self::PacketsReordered,
         Self::OperatorsRace,
         Self::AddressReused,
@@ -68,7 +70,7 @@
 
     pub fn label(self) -> &'static str {
         match self {
-            Self::Nothing => "no fault",
+            Self::None => "no fault",
             Self::BalancerKilled => "balancer killed",
             Self::BalancerFrozen => "balancer frozen past its lease",
             Self::BalancerFrozenSending => "balancer frozen while sending",
@@ -84,7 +86,7 @@
             Self::ZoneCutFromPlatform => "zone cut from platform",
             Self::ZoneCutFromAll => "zone cut from zones and platform",
             Self::PacketsLost => "packets lost",
-            Self::PacketsDoubled => "packets doubled",
+            Self::PacketsDuplicated => "packets doubled",
             Self::PacketsReordered => "packets reordered",
             Self::OperatorsRace => "operators race",
             Self::AddressReused => "address given to another service",
@@ -92,8 +94,9 @@
         }
     }
 
-    /// Whether flows may break: something that held them went without notice, or packets go.
-    pub fn excuses_broken_flows(self) -> bool {
+    /// Reports whether flows may break under this fault, because a balancer or backend server that
+    /// holds them fails without notice or becomes unreachable, or because packets are lost.
+    pub fn allows_broken_flows(self) -> bool {
         matches!(
             self,
             Self::BalancerKilled
@@ -107,23 +110,23 @@
         )
     }
 
-    /// Whether requests may end in another way than answered.
-    pub fn excuses_unanswered(self) -> bool {
+    /// Reports whether requests may end without an answer under this fault.
+    pub fn allows_unanswered_requests(self) -> bool {
         !matches!(
             self,
-            Self::Nothing
+            Self::None
                 | Self::BalancerJoins
                 | Self::AnswersLost
                 | Self::WatchLags
-                | Self::PacketsDoubled
+                | Self::PacketsDuplicated
                 | Self::PacketsReordered
                 | Self::OperatorsRace
                 | Self::TokensForged
         )
     }
 
-    /// Whether a configuration may take longer than the limit to be in force.
-    pub fn excuses_late_configuration(self) -> bool {
+    /// Reports whether a configuration may come into force later than the limit under this fault.
+    pub fn allows_late_configuration(self) -> bool {
         matches!(
             self,
             Self::PlatformDown
--- a/crates/valvestage-policy/tests/fault_matrix/operator.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/operator.rs
@@ -1,4 +1,5 @@
-//! Operators, who read, change and write the configuration under the version read.
+//! Operators, who change the configuration by a read and a write that is conditional on the version
+//! read.
 
 use std::time::Duration;
 
@@ -6,37 +7,41 @@
 use valvestage_core::{BackendState, RawConfiguration};
 use valvestage_policy::control::{ObjectKey, ObjectValue, PlatformCall, PlatformReply};
 
+use crate::ablations::Ablation;
 use crate::node::zone_name;
 use crate::scenario::Timer;
 use crate::steps::Step;
-use crate::switches::Switch;
 use crate::world::{Event, World};
 
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
+const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Time between reading and writing.
-const THINKING: Duration = Duration::from_millis(4);
+/// Time from an operator's read to the write.
+const READ_TO_WRITE_DELAY: Duration = Duration::from_millis(4);
 
-/// Added to the id of a backend server whose address another service gets.
-const REUSING: BackendId = 900;
+/// Offset from the id of a backend server to the id of the one that takes over its address.
+const REPLACEMENT_ID_OFFSET: BackendId = 900;
 
+/// Change that an operator makes to the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConfigurationChange {
     Weight(BackendId, u16),
     Drain(BackendId),
     StopZone(usize),
-    Reuse(BackendId),
+    /// Replaces a backend server by one of service 2 at the same address.
+    ReuseAddress(BackendId),
 }
 
+/// Operator who makes one change, and repeats it until its result is known.
 #[derive(Debug, Clone)]
 pub struct Operator {
     pub id: String,
     pub change: ConfigurationChange,
+    /// Version and value of the configuration last read.
     pub base: Option<(ObjectVersion, RawConfiguration)>,
-    /// Whether a write is out whose result is not known.
-    pub is_unsettled: bool,
-    /// Whether the change was accepted, once that is known.
-    pub won: Option<bool>,
+    /// Whether an earlier write is in doubt: it got no answer, and may have taken effect.
+    pub is_in_doubt: bool,
+    /// Whether the change was accepted; `None` until that is known.
+    pub is_accepted: Option<bool>,
 }
 
 impl World {
@@ -45,8 +50,8 @@
             id: id.to_owned(),
             change,
             base: None,
-            is_unsettled: false,
-            won: None,
+            is_in_doubt: false,
+            is_accepted: None,
         });
 
         let index = self.operators.len() - 1;
@@ -56,22 +61,22 @@
     pub fn operator_reads(&mut self, index: usize) {
         let reply = self.platform.call(&PlatformCall::Read { key: ObjectKey::Configuration });
         let PlatformReply::Found { version, value: ObjectValue::Configuration(raw) } = reply else {
-            self.schedule(RETRY_PAUSE, Event::Timer(Timer::OperatorReads(index)));
+            self.schedule(RETRY_INTERVAL, Event::Timer(Timer::OperatorReads(index)));
             return;
         };
 
         let operator = &mut self.operators[index];
         let base = operator.base.as_ref().map(|(version, _)| *version);
-        if operator.is_unsettled && raw.change_id == operator.id {
-            operator.won = Some(true);
+        if operator.is_in_doubt && raw.change_id == operator.id {
+            operator.is_accepted = Some(true);
             return;
         }
-        if operator.is_unsettled && base != Some(version) {
-            operator.won = Some(false);
+        if operator.is_in_doubt && base != Some(version) {
+            operator.is_accepted = Some(false);
             return;
         }
         operator.base = Some((version, raw));
-        self.schedule(THINKING, Event::Timer(Timer::OperatorWrites(index)));
+        self.schedule(READ_TO_WRITE_DELAY, Event::Timer(Timer::OperatorWrites(index)));
     }
 
     pub fn operator_writes(&mut self, index: usize) {
@@ -80,59 +85,65 @@
             return;
         };
         let before = self.platform.get(ObjectKey::Configuration).map(|(version, _)| *version);
-        let unconditional = self.switch == Switch::ConditionalWrite;
+        let unconditional = self.ablation == Ablation::ConditionalWrite;
         let call = PlatformCall::Write {
             key: ObjectKey::Configuration,
             expected: if unconditional { before } else { Some(base) },
-            value: ObjectValue::Configuration(changed(&raw, operator.change, &operator.id)),
+            value: ObjectValue::Configuration(apply_change(&raw, operator.change, &operator.id)),
         };
         if operator.id == "planned" {
             let owner = self.owner_of_first_service();
-            self.reach(Step::ChangeSent, owner, None);
+            self.on_step_reached(Step::ChangeSent, owner, None);
         }
 
         let reply = self.platform.call(&call);
         let after = self.platform.get(ObjectKey::Configuration).map(|(version, _)| *version);
         if before != after {
-            self.on_accepted(&operator.id, operator.change, after.unwrap_or(0));
+            self.on_change_accepted(&operator.id, operator.change, after.unwrap_or(0));
         }
 
         let operator = &mut self.operators[index];
         match reply {
-            PlatformReply::Written { .. } => operator.won = Some(true),
-            PlatformReply::Conflict if !operator.is_unsettled => operator.won = Some(false),
+            PlatformReply::Written { .. } => operator.is_accepted = Some(true),
+            PlatformReply::Conflict if !operator.is_in_doubt => operator.is_accepted = Some(false),
             _ => {
-                operator.is_unsettled = true;
-                self.schedule(RETRY_PAUSE, Event::Timer(Timer::OperatorReads(index)));
+                operator.is_in_doubt = true;
+                self.schedule(RETRY_INTERVAL, Event::Timer(Timer::OperatorReads(index)));
             }
         }
     }
 
-    /// A change took effect in the platform, whether or not anybody was told.
-    fn on_accepted(&mut self, id: &str, change: ConfigurationChange, version: ObjectVersion) {
+    /// Records that a change took effect in the platform, whether or not the operator's answer is
+    /// lost.
+    fn on_change_accepted(
+        &mut self,
+        id: &str,
+        change: ConfigurationChange,
+        version: ObjectVersion,
+    ) {
         let now = self.now;
-        self.tell(format!("change {id} is accepted as version {version}"));
-        self.schedule(crate::verdict::IN_FORCE_WITHIN, Event::Timer(Timer::CheckInForce(version)));
+        self.log_event(format!("change {id} is accepted as version {version}"));
+        self.schedule(crate::checks::IN_FORCE_LIMIT, Event::Timer(Timer::CheckInForce(version)));
 
         let zone = |zone: usize| zone_name(zone);
         match change {
             ConfigurationChange::Drain(backend) => {
                 let vms = self.vms.iter().filter(|(_, vm)| vm.id() == backend);
-                self.leaving = Some((vms.map(|(address, _)| *address).collect(), now));
+                self.leaving_backends = Some((vms.map(|(address, _)| *address).collect(), now));
             }
             ConfigurationChange::StopZone(stopped) => {
                 let vms = self.vms.iter().filter(|(_, vm)| vm.record.zone == zone(stopped));
-                self.leaving = Some((vms.map(|(address, _)| *address).collect(), now));
+                self.leaving_backends = Some((vms.map(|(address, _)| *address).collect(), now));
             }
-            ConfigurationChange::Reuse(backend) => self.reuse_vm(backend),
+            ConfigurationChange::ReuseAddress(backend) => self.reassign_vm(backend),
             ConfigurationChange::Weight(..) => {}
         }
     }
 
-    /// The VM serves the other service from now on, whoever knows.
-    fn reuse_vm(&mut self, backend: BackendId) {
+    /// Reassigns the VM to service 2 at once, even though no balancer knows of it yet.
+    fn reassign_vm(&mut self, backend: BackendId) {
         if let Some(vm) = self.vms.values_mut().find(|vm| vm.id() == backend) {
-            vm.record.id = REUSING + backend;
+            vm.record.id = REPLACEMENT_ID_OFFSET + backend;
             vm.record.service = 2;
             vm.record.incarnation = 1;
             vm.running.clear();
@@ -141,7 +152,7 @@
     }
 }
 
-fn changed(raw: &RawConfiguration, change: ConfigurationChange, id: &str) -> RawConfiguration {
+fn apply_change(raw: &RawConfiguration, change: ConfigurationChange, id: &str) -> RawConfiguration {
     let mut next = raw.clone();
     next.change_id = id.to_owned();
 
@@ -150,22 +161,22 @@
     };
     match change {
         ConfigurationChange::Weight(backend, weight) => {
-            if let Some(place) = find(&mut next.backends, backend) {
-                next.backends[place].weight = weight;
+            if let Some(index) = find(&mut next.backends, backend) {
+                next.backends[index].weight = weight;
             }
         }
         ConfigurationChange::Drain(backend) => {
-            if let Some(place) = find(&mut next.backends, backend) {
-                next.backends[place].state = BackendState::Draining;
+            if let Some(index) = find(&mut next.backends, backend) {
+                next.backends[index].state = BackendState::Draining;
             }
         }
         ConfigurationChange::StopZone(zone) => {
             next.stopped_zones.insert(zone_name(zone));
         }
-        ConfigurationChange::Reuse(backend) => {
-            if let Some(place) = find(&mut next.backends, backend) {
-                let record = &mut next.backends[place];
-                record.id = REUSING + backend;
+        ConfigurationChange::ReuseAddress(backend) => {
+            if let Some(index) = find(&mut next.backends, backend) {
+                let record = &mut next.backends[index];
+                record.id = REPLACEMENT_ID_OFFSET + backend;
                 record.name = format!("reusing-{backend}");
                 record.service = 2;
                 record.incarnation = 1;
--- a/crates/valvestage-policy/tests/fault_matrix/platform.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/platform.rs
@@ -1,18 +1,19 @@
-//! A fake of the platform's object API.
+//! Fake of the platform's object API.
 
 use std::collections::BTreeMap;
 
 use valvestage_core::ids::ObjectVersion;
 use valvestage_policy::control::{ObjectKey, ObjectValue, PlatformCall, PlatformReply};
 
-/// Objects with versions; answers can get lost, and watches lag.
+/// Store of versioned objects with conditional writes, whose faults the simulation sets.
 #[derive(Debug, Default)]
 pub struct FakePlatform {
     revision: ObjectVersion,
     objects: BTreeMap<ObjectKey, (ObjectVersion, ObjectValue)>,
-    /// What each object was before its last write, for watches that lag.
-    former: BTreeMap<ObjectKey, (ObjectVersion, ObjectValue)>,
+    /// Version and value of each object before its last write, which lagging watches show.
+    previous: BTreeMap<ObjectKey, (ObjectVersion, ObjectValue)>,
     pub is_down: bool,
+    /// Number of writes still to come that take effect without an answer.
     pub lost_answers: u32,
     pub watch_lags: bool,
 }
@@ -48,10 +49,10 @@
 
         self.revision += 1;
         if let Some(former) = self.objects.insert(key, (self.revision, value)) {
-            self.former.insert(key, former);
+            self.previous.insert(key, former);
         }
 
-        // It took effect, and nobody is told.
+        // The write took effect, but its answer is lost.
         if self.lost_answers > 0 {
             self.lost_answers -= 1;
             return PlatformReply::Unknown;
@@ -59,7 +60,7 @@
         PlatformReply::Written { version: self.revision }
     }
 
-    /// What a watch shows; none in an outage.
+    /// Returns the objects that a watch shows, or `None` during an outage.
     pub fn watch(&self) -> Option<Vec<(ObjectKey, ObjectVersion, ObjectValue)>> {
         const WATCHED: [ObjectKey; 3] =
             [ObjectKey::Configuration, ObjectKey::OwnerMap, ObjectKey::TokenKeys];
@@ -68,7 +69,7 @@
             return None;
         }
         let shown = WATCHED.iter().filter_map(|key| {
-            let former = self.former.get(key).filter(|_| self.watch_lags);
+            let former = self.previous.get(key).filter(|_| self.watch_lags);
             let (version, value) = former.or_else(|| self.objects.get(key))?;
             Some((*key, *version, value.clone()))
         });
--- a/crates/valvestage-policy/tests/fault_matrix/world.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/world.rs
@@ -1,4 +1,4 @@
-//! The event queue, and what each event does.
+//! Simulated world: its state, the event queue, and the handling of each event.
 
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
@@ -17,32 +17,32 @@
 use valvestage_policy::rendezvous::mix;
 use valvestage_policy::requests::{BackendReply, ExportedClaim, Refusal, Request, RequestAction};
 
-use crate::backend::{Admission, FakeBackend, Work};
-use crate::caller::{self, Ending, Flow};
+use crate::ablations::Ablation;
+use crate::backend::{AdmissionResult, DispatchedRequest, FakeBackend};
+use crate::caller::{self, CallerReply, Flow};
 use crate::cells::Cell;
 use crate::network::Network;
-use crate::node::{Life, Node, Payload};
+use crate::node::{Node, Payload, ProcessState};
 use crate::operator::Operator;
 use crate::oracle::{Oracle, Promise};
 use crate::platform::FakePlatform;
 use crate::scenario::Timer;
 use crate::steps::Step;
-use crate::switches::Switch;
 
-/// Pause between two steps of a balancer.
-pub const STEP_PAUSE: Duration = Duration::from_millis(20);
+/// Interval between two steps of a balancer.
+pub const STEP_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Segments of each answer.
-const SEGMENTS: u16 = 2;
+/// Number of segments of each answer.
+const ANSWER_SEGMENTS: u16 = 2;
 
-/// Whose platform call it is.
+/// Part of a balancer that called the platform and takes the reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Who {
+pub enum PlatformCallSource {
     Machine(StateMachine),
     Stop,
 }
 
-/// What arrives at a balancer.
+/// Event that arrives at a balancer.
 #[derive(Debug, Clone)]
 pub enum NodeEvent {
     Flow {
@@ -77,8 +77,7 @@
         backend: BackendId,
         reason: RefusalReason,
     },
-    PlatformReply {
-        who: Who,
+    PlatformReply { source: PlatformCallSource,
         reply: PlatformReply,
     },
     Heartbeat {
@@ -101,20 +100,20 @@
         handover: u64,
         claims: Vec<ExportedClaim<Payload>>,
     },
-    Offered(bool),
+    OfferReply(bool),
     Bindings(Vec<Binding>),
     CopyExceptions,
 }
 
-/// What arrives anywhere.
+/// Event of the simulation.
 #[derive(Debug, Clone)]
 pub enum Event {
     StepNode(BalancerId),
     Node(BalancerId, NodeEvent),
-    Work {
+    Dispatch {
         address: SocketAddr,
-        work: Work,
-        meant: ServiceId,
+        dispatched: DispatchedRequest,
+        intended_service: ServiceId,
     },
     Cancel {
         address: SocketAddr,
@@ -122,7 +121,7 @@
         attempt: Attempt,
         from: BalancerId,
     },
-    Done {
+    RunFinished {
         address: SocketAddr,
         id: RequestId,
         attempt: Attempt,
@@ -138,7 +137,7 @@
     },
     Platform {
         from: BalancerId,
-        who: Who,
+        source: PlatformCallSource,
         call: PlatformCall,
     },
     CallerFlow {
@@ -160,45 +159,50 @@
     Timer(Timer),
 }
 
+/// State of the simulation of one cell.
 pub struct World {
     pub now: SystemTime,
     pub start: SystemTime,
     pub seed: u64,
-    pub switch: Switch,
+    pub ablation: Ablation,
     pub nodes: BTreeMap<BalancerId, Node>,
     pub platform: FakePlatform,
-    /// By address: a VM keeps its address whatever record it serves.
+    /// VMs of backend servers by address, which a VM keeps when it is reassigned to another
+    /// service.
     pub vms: BTreeMap<SocketAddr, FakeBackend>,
     pub flows: Vec<Flow>,
     pub requests: BTreeMap<RequestId, caller::Request>,
     pub oracle: Oracle,
     pub network: Network,
-    /// Events so far; the same for the same seed.
+    /// Number of events handled so far, which is the same in each run with the same seed.
     pub events: u64,
-    /// The story of the cell: what struck, and when.
-    pub story: Vec<String>,
-    /// Requests whose every event goes into the story.
-    pub traced: Vec<RequestId>,
-    /// The step that is waited for, and what it struck.
-    pub awaited: Option<Step>,
-    pub struck: Option<Struck>,
-    /// A balancer that freezes at its next dispatch to one of these (to any, if empty).
-    pub sticks: Option<(BalancerId, Vec<SocketAddr>)>,
-    pub stuck: Vec<(BalancerId, Event)>,
+    /// Lines that say what happened in the cell, and when.
+    pub event_log: Vec<String>,
+    /// Requests of which every event is logged.
+    pub traced_requests: Vec<RequestId>,
+    /// Step that triggers the first fault, until it is reached.
+    pub awaited_step: Option<Step>,
+    /// Where the step was reached.
+    pub fault_site: Option<FaultSite>,
+    /// Balancer that is to freeze at its next dispatch to one of these addresses, or to any if
+    /// there are none.
+    pub pending_freeze: Option<(BalancerId, Vec<SocketAddr>)>,
+    /// Packets that frozen balancers had decided to send. They leave when a balancer resumes.
+    pub held_packets: Vec<(BalancerId, Event)>,
     pub cell: Cell,
-    /// Balancers that the fabric sprays over.
+    /// Balancers among which the fabric spreads the packets of callers.
     pub fabric: Vec<BalancerId>,
     pub operators: Vec<Operator>,
-    /// Backend servers that leave, and since when that is accepted.
-    pub leaving: Option<(Vec<SocketAddr>, SystemTime)>,
+    /// Backend servers that a change removes from service, and when the change was accepted.
+    pub leaving_backends: Option<(Vec<SocketAddr>, SystemTime)>,
     queue: BinaryHeap<Queued>,
     sequence: u64,
     draws: u64,
 }
 
-/// Who was at work when the awaited step came.
+/// Balancer and backend server at which the awaited step was reached.
 #[derive(Debug, Clone, Copy)]
-pub struct Struck {
+pub struct FaultSite {
     pub node: BalancerId,
     pub vm: Option<SocketAddr>,
 }
@@ -224,21 +228,21 @@
 }
 
 impl Ord for Queued {
-    /// The earliest first.
+    /// Orders the earliest event first in the queue, which is a max-heap.
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
 impl World {
-    pub fn new(cell: Cell, switch: Switch) -> Self {
+    pub fn new(cell: Cell, ablation: Ablation) -> Self {
         let start = UNIX_EPOCH + Duration::from_secs(1_800_000_000);
 
         Self {
             now: start,
             start,
             seed: cell.seed,
-            switch,
+            ablation,
             nodes: BTreeMap::new(),
             platform: FakePlatform::default(),
             vms: BTreeMap::new(),
@@ -247,34 +251,35 @@
             oracle: Oracle::default(),
             network: Network::default(),
             events: 0,
-            story: Vec::new(),
-            traced: Vec::new(),
-            awaited: None,
-            struck: None,
-            sticks: None,
-            stuck: Vec::new(),
+            event_log: Vec::new(),
+            traced_requests: Vec::new(),
+            awaited_step: None,
+            fault_site: None,
+            pending_freeze: None,
+            held_packets: Vec::new(),
             cell,
             fabric: Vec::new(),
             operators: Vec::new(),
-            leaving: None,
+            leaving_backends: None,
             queue: BinaryHeap::new(),
             sequence: 0,
             draws: 0,
         }
     }
 
+    /// Draws the next pseudo-random number, which depends only on the seed.
     pub fn draw(&mut self) -> u64 {
         self.draws += 1;
 
         mix(self.seed, self.draws)
     }
 
-    /// A draw between 0 and 1.
-    pub fn share(&mut self) -> f64 {
+    /// Draws a number from 0 up to, but not including, 1.
+    pub fn draw_fraction(&mut self) -> f64 {
         #[allow(clippy::cast_precision_loss)]
-        let word = (self.draw() >> 11) as f64;
+        let random_bits = (self.draw() >> 11) as f64;
 
-        word / 9_007_199_254_740_992.0
+        random_bits / 9_007_199_254_740_992.0
     }
 
     pub fn schedule(&mut self, after: Duration, event: Event) {
@@ -283,17 +288,17 @@
         self.queue.push(Queued { at: self.now + after, sequence: self.sequence, event });
     }
 
-    pub fn tell(&mut self, what: String) {
+    pub fn log_event(&mut self, text: String) {
         let at = self.now.duration_since(self.start).unwrap_or_default();
 
-        self.story.push(format!("{:>6} ms  {what}", at.as_millis()));
+        self.event_log.push(format!("{:>6} ms  {text}", at.as_millis()));
     }
 
-    /// Adds to the story what happens to a request, if it is traced.
-    pub fn trace(&mut self, id: RequestId, what: impl FnOnce() -> String) {
-        if self.traced.contains(&id) {
-            let what = what();
-            self.tell(format!("request {id:x} {what}"));
+    /// Logs an event of a request, if the request is traced.
+    pub fn log_request_event(&mut self, id: RequestId, text: impl FnOnce() -> String) {
+        if self.traced_requests.contains(&id) {
+            let text = text();
+            self.log_event(format!("request {id:x} {text}"));
         }
     }
 
@@ -312,20 +317,20 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::StepNode(id) => self.step_node(id),
-            Event::Node(id, event) => self.arrive(id, event),
-            Event::Work { address, work, meant } => {
-                self.on_work(address, work, meant);
+            Event::Node(id, event) => self.deliver_to_node(id, event),
+            Event::Dispatch { address, dispatched, intended_service } => {
+                self.on_dispatch(address, dispatched, intended_service);
             }
             Event::Cancel { address, id, attempt, from } => {
                 self.on_cancel(address, id, attempt, from);
             }
-            Event::Done { address, id, attempt, to, backend } => {
+            Event::RunFinished { address, id, attempt, to, backend } => {
                 self.on_done(address, id, attempt, to, &backend);
             }
             Event::BackendFlow { address, flow, opening, from, backend } => {
                 self.on_backend_flow(address, flow, opening, from, &backend);
             }
-            Event::Platform { from, who, call } => self.on_platform_call(from, who, &call),
+            Event::Platform { from, source, call } => self.on_platform_call(from, source, &call),
             Event::CallerFlow { flow, backend, token, refused } => {
                 self.on_caller_flow(flow, backend, token, refused);
             }
@@ -333,29 +338,31 @@
                 self.on_caller_answer(id, caller, &segments);
             }
             Event::CallerRefusal { id, caller, refusal } => {
-                self.trace(id, || {
+                self.log_request_event(id, || {
                     format!("was told {:?} ({})", refusal.outcome, refusal.reason.label())
                 });
-                self.on_caller_ending(id, caller, Ending::Told(refusal.outcome));
+                self.on_caller_reply(id, caller, CallerReply::Told(refusal.outcome));
             }
             Event::Timer(timer) => self.on_timer(timer),
         }
     }
 
-    /// A step of the matrix has happened: the fault strikes if it was waited for.
-    pub fn reach(&mut self, step: Step, node: BalancerId, vm: Option<SocketAddr>) {
-        if self.awaited == Some(step) {
-            self.awaited = None;
-            self.struck = Some(Struck { node, vm });
-            self.tell(format!("{} at balancer {node}", step.label()));
-            self.schedule(Duration::ZERO, Event::Timer(Timer::Strike(0)));
+    /// Takes note of a step, and schedules the first fault if the cell waits for this step.
+    pub fn on_step_reached(&mut self, step: Step, node: BalancerId, vm: Option<SocketAddr>) {
+        if self.awaited_step == Some(step) {
+            self.awaited_step = None;
+            self.fault_site = Some(FaultSite { node, vm });
+            self.log_event(format!("step reached: {} at balancer {node}", step.label()));
+            self.schedule(Duration::ZERO, Event::Timer(Timer::InjectFault(0)));
         }
     }
 
     fn step_node(&mut self, id: BalancerId) {
-        self.schedule(STEP_PAUSE, Event::StepNode(id));
+        self.schedule(STEP_INTERVAL, Event::StepNode(id));
         let now = self.now;
-        let Some(node) = self.nodes.get_mut(&id).filter(|node| node.life == Life::Running) else {
+        let Some(node) =
+            self.nodes.get_mut(&id).filter(|node| node.process_state == ProcessState::Running)
+        else {
             return;
         };
 
@@ -368,15 +375,15 @@
         self.step_stop(id);
     }
 
-    fn arrive(&mut self, id: BalancerId, event: NodeEvent) {
+    fn deliver_to_node(&mut self, id: BalancerId, event: NodeEvent) {
         let Some(node) = self.nodes.get_mut(&id) else {
             return;
         };
 
-        match node.life {
-            Life::Running => self.on_node_event(id, event),
-            Life::Frozen => node.inbox.push(event),
-            Life::Dead => {}
+        match node.process_state {
+            ProcessState::Running => self.on_node_event(id, event),
+            ProcessState::Frozen => node.inbox.push(event),
+            ProcessState::Dead => {}
         }
     }
 
@@ -399,14 +406,14 @@
                 node.policy.on_request(now, request, hop, &mut requests);
                 let is_owner = node.policy.authority(service, now).is_some();
                 let owner = node.policy.owner_map().owner(service).map(|entry| entry.owner);
-                self.trace(traced, || {
+                self.log_request_event(traced, || {
                     format!(
                         "reached balancer {id} ({} relays, owner {owner:?}, authority {is_owner})",
                         hop.count
                     )
                 });
                 if once_only && is_owner && service == 1 {
-                    self.reach(Step::RequestAccepted, id, None);
+                    self.on_step_reached(Step::RequestAccepted, id, None);
                 }
             }
             NodeEvent::Answer { service, reply, place, payload } => {
@@ -421,10 +428,10 @@
             NodeEvent::FlowRefused { flow, backend, reason } => {
                 self.on_flow_refused(id, flow, backend, reason);
             }
-            NodeEvent::PlatformReply { who: Who::Machine(machine), reply } => {
+            NodeEvent::PlatformReply { source: PlatformCallSource::Machine(machine), reply } => {
                 let _ = node.control.on_reply(now, machine, reply, &mut controls);
             }
-            NodeEvent::PlatformReply { who: Who::Stop, reply } => {
+            NodeEvent::PlatformReply { source: PlatformCallSource::Stop, reply } => {
                 if let Some(stop) = &mut node.stop {
                     stop.on_reply(now, reply);
                 }
@@ -443,15 +450,15 @@
                 let _ = node.control.on_object(key, version, value, &mut controls);
             }
             NodeEvent::Offer { from, service, handover, claims } => {
-                let takes = node.control.is_serving() && node.control.grant().is_some();
-                if takes {
+                let accepts = node.control.is_serving() && node.control.grant().is_some();
+                if accepts {
                     node.policy.offer_handover(now, service, handover, claims);
                 }
-                self.send_to_node(id, from, NodeEvent::Offered(takes));
+                self.send_to_node(id, from, NodeEvent::OfferReply(accepts));
             }
-            NodeEvent::Offered(taken) => {
+            NodeEvent::OfferReply(accepted) => {
                 if let Some(stop) = &mut node.stop {
-                    stop.on_offered(taken);
+                    stop.on_offered(accepted);
                 }
             }
             NodeEvent::Bindings(bindings) => {
@@ -470,7 +477,7 @@
         for action in actions {
             match action {
                 ControlAction::Call { machine, call } => {
-                    self.call_platform(id, Who::Machine(machine), call);
+                    self.call_platform(id, PlatformCallSource::Machine(machine), call);
                 }
                 ControlAction::Heartbeat { to, message } => {
                     self.send_to_node(id, to.id, NodeEvent::Heartbeat { from: id, message });
@@ -498,7 +505,7 @@
                     Event::Node(id, NodeEvent::CopyExceptions),
                 );
                 self.check_reverts();
-                self.on_in_force(id, &change);
+                self.on_configuration_in_force(id, &change);
             }
             Installation::OwnerMap(map) => {
                 let mut requests = Vec::new();
@@ -520,7 +527,7 @@
     }
 
     fn copy_exceptions(&mut self, id: BalancerId) {
-        if self.switch == Switch::History {
+        if self.ablation == Ablation::History {
             return;
         }
         let Some(node) = self.nodes.get(&id) else {
@@ -553,11 +560,11 @@
                 let claims = node.policy.start_handover(service);
                 let offer = NodeEvent::Offer { from: id, service, handover, claims };
                 self.send_to_node(id, to, offer);
-                self.reach(Step::StopOffered, id, None);
-                // A lost offer counts as refused.
+                self.on_step_reached(Step::StopOffered, id, None);
+                // An offer without an answer after 1 s counts as refused.
                 self.schedule(Duration::from_secs(1), Event::Timer(Timer::OfferTimeout(id)));
             }
-            Some(StopStep::Call(call)) => self.call_platform(id, Who::Stop, call),
+            Some(StopStep::Call(call)) => self.call_platform(id, PlatformCallSource::Stop, call),
             Some(StopStep::Settle { service, moved, map }) => {
                 let mut controls = Vec::new();
                 let mut requests = Vec::new();
@@ -569,14 +576,14 @@
                     node.policy.settle_handover(now, service, moved, &mut requests);
                 }
                 self.perform_requests(id, requests);
-                self.reach(Step::StopWritten, id, None);
+                self.on_step_reached(Step::StopWritten, id, None);
             }
             None => self.finish_stop(id),
         }
     }
 
-    /// Like the stop task of the balancer: the lease goes back, then the process ends once nothing
-    /// is open and everybody had time to notice.
+    /// Does what the stop task of the balancer does: gives the lease back, and ends the process
+    /// once no work is open and the other balancers have had time to notice the stop.
     fn finish_stop(&mut self, id: BalancerId) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(&id) else {
@@ -589,8 +596,8 @@
         node.control.release_lease();
         let noticed = node.stop_began.is_some_and(|began| now >= began + crate::node::DEAD_AFTER);
         if noticed && node.policy.open_work() == 0 && node.control.is_lease_released() {
-            node.life = Life::Dead;
-            self.tell(format!("balancer {id} has stopped as planned"));
+            node.process_state = ProcessState::Dead;
+            self.log_event(format!("balancer {id} has stopped as planned"));
         }
     }
 
@@ -615,7 +622,7 @@
         let packet = FlowPacket { key, service, opening, closing: false, token, hop };
         match node.policy.on_flow(now, &packet) {
             FlowVerdict::Forward { backend, reply_with_binding, .. } => {
-                let unchecked = self.switch == Switch::ServiceCheck;
+                let unchecked = self.ablation == Ablation::ServiceCheck;
                 let history = node.policy.director().history();
                 let found = if unchecked {
                     history.current().and_then(|configuration| configuration.backend(backend))
@@ -627,7 +634,7 @@
                 };
                 let home = node.policy.director().view().home(key);
                 if opening {
-                    self.reach(Step::FlowOpening, id, Some(record.address));
+                    self.on_step_reached(Step::FlowOpening, id, Some(record.address));
                 }
                 self.send_flow_to_vm(id, flow, opening, record);
                 if let Some(home) = home.filter(|home| reply_with_binding && *home != id) {
@@ -702,7 +709,7 @@
                     request,
                     ..
                 } => {
-                    let work = Work {
+                    let dispatched = DispatchedRequest {
                         id: request.id,
                         attempt,
                         repeatable: request.repeatable,
@@ -711,10 +718,12 @@
                         service: request.service,
                         incarnation,
                     };
-                    self.trace(request.id, || {
-                        format!("try {attempt} sent by balancer {id} to {backend}")
+                    self.log_request_event(request.id, || {
+                        format!(
+                            "attempt {attempt} sent by balancer {id} to backend server {backend}"
+                        )
                     });
-                    self.send_work(id, backend, work, &request);
+                    self.send_dispatch(id, backend, dispatched, &request);
                 }
                 RequestAction::Cancel { backend, id: request, attempt, service, .. } => {
                     if let Some(address) = self.vm_address(id, service, backend) {
@@ -735,31 +744,31 @@
         }
     }
 
-    fn send_work(
+    fn send_dispatch(
         &mut self,
         id: BalancerId,
         backend: BackendId,
-        work: Work,
+        dispatched: DispatchedRequest,
         request: &Request<Payload>,
     ) {
         let Some(address) = self.vm_address(id, request.service, backend) else {
             return;
         };
-        let event = Event::Work { address, work, meant: request.service };
+        let event = Event::Dispatch { address, dispatched, intended_service: request.service };
 
-        // Decided, and paused before the packet reached the socket.
-        let sticks = self.sticks.as_ref().is_some_and(|(node, addresses)| {
+        // The process freezes after the decision, before the packet reaches the socket.
+        let freezes_now = self.pending_freeze.as_ref().is_some_and(|(node, addresses)| {
             *node == id && (addresses.is_empty() || addresses.contains(&address))
         });
-        if sticks && !request.repeatable {
-            self.sticks = None;
-            self.stuck.push((id, event));
+        if freezes_now && !request.repeatable {
+            self.pending_freeze = None;
+            self.held_packets.push((id, event));
             self.freeze(id);
             return;
         }
 
         if !request.repeatable && request.service == 1 {
-            self.reach(Step::RequestDispatched, id, Some(address));
+            self.on_step_reached(Step::RequestDispatched, id, Some(address));
         }
         self.send_to_vm(id, address, event);
     }
@@ -775,63 +784,79 @@
         history.find(service, backend).map(|record| record.address)
     }
 
-    fn on_work(&mut self, address: SocketAddr, work: Work, meant: ServiceId) {
-        let unchecked = self.switch == Switch::ServiceCheck;
+    fn on_dispatch(
+        &mut self,
+        address: SocketAddr,
+        dispatched: DispatchedRequest,
+        intended_service: ServiceId,
+    ) {
+        let unchecked = self.ablation == Ablation::ServiceCheck;
         let now = self.now;
         let Some(vm) = self.vms.get_mut(&address) else {
             return;
         };
         let checked = if unchecked {
-            Work { service: vm.record.service, incarnation: vm.record.incarnation, ..work }
+            DispatchedRequest {
+                service: vm.record.service,
+                incarnation: vm.record.incarnation,
+                ..dispatched
+            }
         } else {
-            work
+            dispatched
         };
         let backend = vm.record.clone();
-        let reply = BackendReply { backend: backend.id, id: work.id, attempt: work.attempt };
+        let reply =
+            BackendReply { backend: backend.id, id: dispatched.id, attempt: dispatched.attempt };
 
         let admission = vm.admit(now, &checked);
         let at = vm.id();
-        self.trace(work.id, || format!("at backend server {at}: {admission:?}"));
+        self.log_request_event(dispatched.id, || format!("at backend server {at}: {admission:?}"));
         let Some(vm) = self.vms.get_mut(&address) else {
             return;
         };
         match admission {
-            Admission::Runs(end) => {
+            AdmissionResult::Started(end) => {
                 let service = vm.record.service;
                 let slots = usize::from(vm.record.slots);
                 let running = vm.running.len();
-                self.oracle.check(Promise::NeverTheWrongService, service == meant, || {
-                    format!("request {:x} for service {meant} ran at service {service}", work.id)
+                self.oracle.check(Promise::NeverWrongService, service == intended_service, || {
+                    format!(
+                        "request {:x} for service {intended_service} ran at service {service}",
+                        dispatched.id
+                    )
                 });
                 self.oracle.check(Promise::SlotsAreNeverExceeded, running <= slots, || {
                     format!("backend server {} ran {running} of {slots}", backend.id)
                 });
-                if let Some(request) = self.requests.get_mut(&work.id) {
+                if let Some(request) = self.requests.get_mut(&dispatched.id) {
                     request.runs += 1;
                 }
                 let after = end.duration_since(now).unwrap_or_default();
-                let done = Event::Done {
+                let done = Event::RunFinished {
                     address,
-                    id: work.id,
-                    attempt: work.attempt,
-                    to: work.from,
+                    id: dispatched.id,
+                    attempt: dispatched.attempt,
+                    to: dispatched.from,
                     backend,
                 };
                 self.schedule(after, done);
-                if !work.repeatable && service == 1 {
-                    self.reach(Step::RequestRunning, work.from, Some(address));
+                if !dispatched.repeatable && service == 1 {
+                    self.on_step_reached(Step::RequestRunning, dispatched.from, Some(address));
                 }
             }
-            Admission::Refused(reason) => {
-                let service =
-                    if reason == RefusalReason::BackendMismatch { meant } else { backend.service };
+            AdmissionResult::Refused(reason) => {
+                let service = if reason == RefusalReason::BackendMismatch {
+                    intended_service
+                } else {
+                    backend.service
+                };
                 self.send_from_vm(
                     address,
-                    work.from,
+                    dispatched.from,
                     NodeEvent::Refused { service, reply, reason },
                 );
             }
-            Admission::Silent => {}
+            AdmissionResult::NoAnswer => {}
         }
     }
 
@@ -870,11 +895,11 @@
 
         if self.requests.get(&id).is_some_and(|request| !request.repeatable && request.service == 1)
         {
-            self.reach(Step::RequestAnswered, to, Some(address));
+            self.on_step_reached(Step::RequestAnswered, to, Some(address));
         }
         let reply = BackendReply { backend: backend.id, id, attempt };
-        for index in 0..SEGMENTS {
-            let place = Segment { index, count: SEGMENTS };
+        for index in 0..ANSWER_SEGMENTS {
+            let place = Segment { index, count: ANSWER_SEGMENTS };
             let payload = Payload { id, segment: index };
             let event = NodeEvent::Answer { service: backend.service, reply, place, payload };
             self.send_from_vm(address, to, event);
@@ -890,15 +915,15 @@
         backend: &Backend,
     ) {
         let now = self.now;
-        let unchecked = self.switch == Switch::ServiceCheck;
-        let (caller, meant) = (self.flows[flow].caller, self.flows[flow].service);
+        let unchecked = self.ablation == Ablation::ServiceCheck;
+        let (caller, intended_service) = (self.flows[flow].caller, self.flows[flow].service);
         let Some(vm) = self.vms.get_mut(&address).filter(|vm| !vm.is_dead) else {
             return;
         };
         let record = vm.record.clone();
         let matches = record.id == backend.id
             && record.incarnation == backend.incarnation
-            && record.service == meant;
+            && record.service == intended_service;
 
         if !matches && !unchecked {
             let reason = RefusalReason::BackendMismatch;
@@ -923,10 +948,10 @@
         if opening && vm.flows.insert(caller) {
             vm.last_new_work = Some(now);
         }
-        self.oracle.check(Promise::NeverTheWrongService, record.service == meant, || {
-            format!("a flow of service {meant} reached service {}", record.service)
+        self.oracle.check(Promise::NeverWrongService, record.service == intended_service, || {
+            format!("a flow of service {intended_service} reached service {}", record.service)
         });
-        self.reach(Step::FlowEstablished, from, Some(address));
+        self.on_step_reached(Step::FlowEstablished, from, Some(address));
         self.send_from_vm(address, from, NodeEvent::BackendFlow { flow, backend: record, opening });
     }
 
@@ -957,29 +982,34 @@
             }
         }
         flow.token = token.or(flow.token);
-        flow.last_heard = Some(now);
+        flow.last_answer = Some(now);
     }
 
     fn on_caller_answer(&mut self, id: RequestId, caller: SocketAddr, segments: &[Payload]) {
-        let whole = (0..SEGMENTS).map(|segment| Payload { id, segment });
-        let is_whole = segments.iter().copied().eq(whole);
+        let expected = (0..ANSWER_SEGMENTS).map(|segment| Payload { id, segment });
+        let is_complete = segments.iter().copied().eq(expected);
 
         if let Some(request) = self.requests.get_mut(&id) {
-            request.got_wrong_answer |= !is_whole || request.caller != caller;
+            request.got_wrong_answer |= !is_complete || request.caller != caller;
         }
-        self.on_caller_ending(id, caller, Ending::Answered);
+        self.on_caller_reply(id, caller, CallerReply::Answered);
     }
 
-    fn on_caller_ending(&mut self, id: RequestId, caller: SocketAddr, ending: Ending) {
+    fn on_caller_reply(&mut self, id: RequestId, caller: SocketAddr, reply: CallerReply) {
         let now = self.now;
-        self.trace(id, || format!("ended: {ending:?}"));
+        self.log_request_event(id, || format!("reply received by the caller: {reply:?}"));
 
         if let Some(request) = self.requests.get_mut(&id).filter(|r| r.caller == caller) {
-            request.endings.push((now, ending));
+            request.replies.push((now, reply));
         }
     }
 
-    fn on_platform_call(&mut self, from: BalancerId, who: Who, call: &PlatformCall) {
+    fn on_platform_call(
+        &mut self,
+        from: BalancerId,
+        source: PlatformCallSource,
+        call: &PlatformCall,
+    ) {
         let Some(zone) = self.nodes.get(&from).map(|node| node.zone) else {
             return;
         };
@@ -990,6 +1020,6 @@
         };
 
         let delay = self.network.platform_delay();
-        self.schedule(delay, Event::Node(from, NodeEvent::PlatformReply { who, reply }));
+        self.schedule(delay, Event::Node(from, NodeEvent::PlatformReply { source, reply }));
     }
 }
