--- a/crates/valvestage-soak/src/backend_manner.rs
+++ b/crates/valvestage-soak/src/backend_manner.rs
@@ -1,13 +1,13 @@
-//! How a backend server treats requests.
+//! Modes in which a simulated backend server responds to requests.
 
-/// `BackendManner` is how a backend server treats requests.
+/// Way in which a backend server responds to requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum BackendManner {
-    /// It answers each of them in its usual time.
+    /// Answers every request in the normal time.
     #[default]
     Usual,
-    /// It takes them all and answers every second one only.
+    /// Accepts every request, but answers only every second one.
     Failing,
-    /// It takes five times as long.
+    /// Takes five times the normal time for each request.
     Slow,
 }
--- a/crates/valvestage-soak/src/backend_places.rs
+++ b/crates/valvestage-soak/src/backend_places.rs
@@ -1,4 +1,5 @@
-//! Which backend server is at which place.
+//! Assignment of backend server instances to places. A place is a fixed backend server address,
+//! used by one instance after another.
 
 use std::time::Instant;
 
@@ -6,24 +7,25 @@
 
 use crate::site_plan::{SERVICES, other_service};
 
-/// Places from which on each zone has both services: every fourth place of a zone has the second one.
+/// Smallest number of places with which each zone has both services: every fourth place of a zone
+/// has the second one.
 pub const LEAST_BACKENDS: usize = 12;
 
-/// Backend servers that a service keeps when others of it are replaced.
+/// Smallest number of backend servers that a service keeps when places change to the other service.
 const LEAST: usize = 3;
 
-/// `BackendPlace` is what is at one address.
+/// Instance at one place.
 #[derive(Debug, Clone, Copy)]
 pub struct BackendPlace {
-    /// Which incarnation.
+    /// Id of the instance.
     pub instance: InstanceId,
-    /// What it runs.
+    /// Name of the service that the instance runs.
     pub service: &'static str,
-    /// Until when something happens to it already.
+    /// Time until which the place is reserved for a fault in progress.
     pub busy_until: Instant,
 }
 
-/// `BackendPlaces` holds all places.
+/// All places of a site, by number.
 #[derive(Debug)]
 pub struct BackendPlaces {
     places: Vec<BackendPlace>,
@@ -31,10 +33,11 @@
 }
 
 impl BackendPlaces {
-    /// `new` fills all places: both services in each zone.
+    /// Assigns an instance to each of `count` places. With at least [`LEAST_BACKENDS`] places, each
+    /// zone has both services.
     #[must_use]
     pub fn new(count: usize, seed: u64, now: Instant) -> Self {
-        // Ids of one run have nothing in common with those of another one.
+        // Seeds that differ in their low 16 bits give disjoint ranges of ids.
         let first = (seed & 0xffff) << 24 | 1;
         let mut places = Self { places: Vec::new(), next_instance: first };
 
@@ -46,13 +49,14 @@
         places
     }
 
-    /// `get` gives what is at a place.
+    /// Returns the instance at a place.
     #[must_use]
     pub fn get(&self, place: usize) -> BackendPlace {
         self.places[place]
     }
 
-    /// `idle_place` gives a place to which nothing happens, from a number on.
+    /// Returns the first place that no fault has reserved, searching circularly from `from`, or
+    /// `None` if all are reserved.
     #[must_use]
     pub fn idle_place(&self, from: usize, now: Instant) -> Option<usize> {
         let order = (0..self.places.len())
@@ -61,12 +65,13 @@
         order.into_iter().find(|place| self.places[*place].busy_until <= now)
     }
 
-    /// `occupy` keeps a place from other faults until a time.
+    /// Reserves a place until a time, so that no other fault affects it.
     pub fn occupy(&mut self, place: usize, until: Instant) {
         self.places[place].busy_until = until;
     }
 
-    /// `service_after` gives the service that follows at a place: the other one, if enough are left.
+    /// Returns the service of the next instance at a place: the other service, or the same one if
+    /// too few of its backend servers would be left.
     #[must_use]
     pub fn service_after(&self, place: usize) -> &'static str {
         let service = self.places[place].service;
@@ -75,7 +80,7 @@
         if same > LEAST { other_service(service) } else { service }
     }
 
-    /// `replace` puts a new incarnation at a place, and gives it.
+    /// Assigns a new instance to a place, and returns its id.
     pub fn replace(&mut self, place: usize, service: &'static str) -> InstanceId {
         let instance = self.draw_instance();
 
@@ -85,7 +90,7 @@
     }
 
     fn draw_instance(&mut self) -> InstanceId {
-        // Far apart, as the platform's are.
+        // Ids are far apart, as those of the platform are.
         const STEP: InstanceId = 7_919;
         self.next_instance += STEP;
 
--- a/crates/valvestage-soak/src/backend_servers.rs
+++ b/crates/valvestage-soak/src/backend_servers.rs
@@ -1,4 +1,4 @@
-//! All backend servers of a site, on one thread.
+//! Simulation of all backend servers of a site, on one thread.
 
 use std::collections::{HashMap, HashSet};
 use std::io;
@@ -22,30 +22,30 @@
 use valvestage_standins::packets::flow_packet::{FlowPacket, flags};
 use valvestage_standins::packets::socket_set::SocketSet;
 
-/// Longest wait for a packet.
+/// Longest wait for a packet before due deliveries and answers are checked.
 const TURN: Duration = Duration::from_millis(3);
 
-/// Shortest work on a request.
+/// Shortest processing time of a request.
 const LEAST_WORK: Duration = Duration::from_millis(5);
 
-/// What the draw adds to it at most.
+/// Largest random addition to the shortest processing time.
 const MORE_WORK: Duration = Duration::from_millis(25);
 
-/// How many times as long a slow one works.
+/// Factor by which a slow backend server's processing time is longer.
 const SLOWNESS: u32 = 5;
 
-/// `BackendCommand` changes one backend server.
+/// Command that changes one backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BackendCommand {
-    /// A new incarnation starts at a place. An earlier one there has ended.
+    /// Starts a new instance at a place, where no instance runs any more.
     Start(usize, InstanceId),
-    /// What is at a place ends without a word.
+    /// Stops the instance at a place without notice to anyone.
     End(usize),
-    /// What is at a place treats requests in another manner.
+    /// Changes how the instance at a place responds to requests.
     Behave(usize, BackendManner),
 }
 
-/// A packet that is still on its way.
+/// Packet that is delivered to its backend server at `due`.
 struct DelayedPacket {
     due: Instant,
     balancer: usize,
@@ -53,14 +53,14 @@
     bytes: Vec<u8>,
 }
 
-/// What a backend server does with a packet.
+/// Answers to a packet, and the observations made while it was handled.
 #[derive(Default)]
 struct PacketOutcome {
     answers: Vec<FlowPacket>,
     seen: Vec<SeenEvent>,
 }
 
-/// One incarnation.
+/// Running instance of a backend server.
 struct RunningBackend {
     instance: InstanceId,
     flows: HashMap<FlowAddresses, BackendFlow>,
@@ -69,7 +69,7 @@
     requests: u64,
 }
 
-/// `BackendServers` answers packets as the platform's backend servers do.
+/// Simulated backend servers, which answer packets as the platform's backend servers do.
 pub struct BackendServers {
     plan: SitePlan,
     links: LinkTable,
@@ -83,7 +83,7 @@
 }
 
 impl BackendServers {
-    /// `bind` takes the addresses of all places.
+    /// Binds the addresses of all places. No backend server runs until a [`BackendCommand::Start`].
     pub fn bind(
         plan: SitePlan,
         links: LinkTable,
@@ -107,7 +107,7 @@
         })
     }
 
-    /// `run` serves until told to stop.
+    /// Serves packets and applies commands until `stop` is set.
     pub fn run(mut self, stop: &Arc<AtomicBool>) -> io::Result<()> {
         let mut stalls = StallWatch::new(self.observations.clone());
 
@@ -127,7 +127,7 @@
     }
 
     fn tell(&self, seen: SeenEvent) {
-        // Nobody listens any more at the end of the run.
+        // The receiver is gone at the end of the run.
         let _ = self.observations.send(Observation { at: Instant::now(), seen });
     }
 
@@ -184,7 +184,7 @@
         }
         let Some(backend) = self.running.get_mut(&place) else { return };
         let Some((prefix, packet)) = bytes.split_at_checked(PREFIX_BYTES) else { return };
-        // Another one than is meant says nothing.
+        // An instance ignores packets that are addressed to another instance.
         let is_meant = prefix == backend.instance.to_be_bytes();
         if !is_meant && self.sabotage != Some(Sabotage::Misroute) {
             return;
@@ -210,7 +210,8 @@
         }
     }
 
-    /// Where a packet goes: where its balancer sent it.
+    /// Returns the place that a packet is delivered to: the one that the balancer sent it to,
+    /// unless the run misroutes packets on purpose.
     fn place_of(&self, place: usize, bytes: &[u8]) -> usize {
         let has_no_data = bytes.len() == PREFIX_BYTES + HEAD_BYTES;
         let is_later = bytes.get(PREFIX_BYTES).is_some_and(|bits| bits & flags::SYN == 0);
@@ -300,7 +301,7 @@
     }
 }
 
-/// What a backend server says to a packet of a flow that it does not hold.
+/// Returns the reset with which a backend server answers a packet of an unknown flow.
 fn reset_for(packet: &FlowPacket) -> FlowPacket {
     FlowPacket {
         flags: flags::RST | flags::ACK,
--- a/crates/valvestage-soak/src/balancer_process.rs
+++ b/crates/valvestage-soak/src/balancer_process.rs
@@ -1,4 +1,4 @@
-//! One balancer: the real program, started and signalled by its process id.
+//! Balancer as a process of the real executable, signalled by its process id.
 
 use std::fs::{self, File};
 use std::io;
@@ -10,7 +10,7 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 
-/// `BalancerProcess` is a balancer with its settings file and its log.
+/// Balancer process with its settings file and its log file. Dropping it kills the process.
 pub struct BalancerProcess {
     program: PathBuf,
     settings: PathBuf,
@@ -21,7 +21,7 @@
 }
 
 impl BalancerProcess {
-    /// `new` writes the settings; nothing is started yet.
+    /// Writes the settings file into `folder`, without starting the process.
     pub fn new(program: &Path, folder: &Path, number: usize, settings: &str) -> io::Result<Self> {
         let file = folder.join(format!("balancer-{number}.toml"));
         fs::write(&file, settings)?;
@@ -36,7 +36,7 @@
         })
     }
 
-    /// `start` starts it. Logs of all its lives go to one file.
+    /// Starts the process. The output of all its starts is appended to one log file.
     pub fn start(&mut self) -> io::Result<()> {
         let log = File::options().create(true).append(true).open(&self.log)?;
         let errors = log.try_clone()?;
@@ -54,18 +54,19 @@
         Ok(())
     }
 
-    /// `replace_settings` writes other settings.
+    /// Overwrites the settings file. A running process reads it only after SIGHUP.
     pub fn replace_settings(&self, settings: &str) -> io::Result<()> {
         fs::write(&self.settings, settings)
     }
 
-    /// `is_running` tells whether it was started and has not been seen to end.
+    /// Reports whether the process was started and its exit has not been collected yet.
     #[must_use]
     pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
 
-    /// Returns whether it runs, and the last lines that it wrote in all its lives.
+    /// Returns a text with the process state, the number of starts and the last `count` lines of
+    /// the log.
     #[must_use]
     pub fn last_lines(&self, count: usize) -> String {
         let state = if self.is_running() { "runs" } else { "does not run" };
@@ -78,37 +79,39 @@
         format!("{} {state}, {} starts:\n{}", self.log.display(), self.starts, last.join("\n"))
     }
 
-    /// `id` gives its process id, while it runs.
+    /// Returns the process id, or `None` if the process does not run.
     #[must_use]
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// `started` gives when it was started last.
+    /// Returns the time of the last start, or that of the creation if there was none.
     #[must_use]
     pub fn started(&self) -> Instant {
         self.started
     }
 
-    /// `starts` gives how often it was started.
+    /// Returns the number of starts.
     #[must_use]
     pub fn starts(&self) -> u32 {
         self.starts
     }
 
-    /// `signal` sends a signal, if it runs.
+    /// Sends a signal to the process. Does nothing if the process does not run.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         let Some(child) = &self.child else { return Ok(()) };
         let id = i32::try_from(child.id()).map_err(io::Error::other)?;
 
-        // A child that has ended keeps its id until it is waited for, so that it is no other's.
+        // An exited child keeps its process id until it is waited for, so the id cannot have been
+        // reused.
         match kill(Pid::from_raw(id), signal) {
             Ok(()) | Err(Errno::ESRCH) => Ok(()),
             Err(error) => Err(error.into()),
         }
     }
 
-    /// `take_end` gives how it ended, once.
+    /// Collects the exit status of the process without blocking. Returns `None` while it runs, and
+    /// after its status has been returned once.
     pub fn take_end(&mut self) -> io::Result<Option<ExitStatus>> {
         let Some(child) = &mut self.child else { return Ok(None) };
         let status = child.try_wait()?;
@@ -119,7 +122,7 @@
         Ok(status)
     }
 
-    /// `end` kills it and waits for its end.
+    /// Kills the process and waits for its exit. Does nothing if it does not run.
     pub fn end(&mut self) -> io::Result<()> {
         if let Some(mut child) = self.child.take() {
             child.kill()?;
@@ -132,7 +135,7 @@
 impl Drop for BalancerProcess {
     fn drop(&mut self) {
         if let Err(error) = self.end() {
-            log::error!("end a balancer: {error}");
+            log::error!("failed to kill a balancer: {error}");
         }
     }
 }
--- a/crates/valvestage-soak/src/control_cost.rs
+++ b/crates/valvestage-soak/src/control_cost.rs
@@ -1,4 +1,4 @@
-//! What control costs a balancer that no caller asks anything of.
+//! Measurement of what the control plane costs a balancer without callers.
 
 use std::fmt;
 use std::fs;
@@ -13,23 +13,24 @@
 use crate::soak_options::SoakOptions;
 use crate::soak_site::SoakSite;
 
-/// Time in which all learn what there is, before anything is measured.
+/// Time before the measurement, in which balancers discover each other and load the store's
+/// objects.
 const SETTLE: Duration = Duration::from_secs(5);
 
-/// Ticks of processor time a second, as Linux counts them for other programs.
+/// Clock ticks per second (`USER_HZ`) in the CPU times that Linux reports under `/proc`.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Bytes of a page of memory, on the machines that this is played on.
+/// Size of a memory page on the VMs that measurements run on, in bytes.
 const PAGE_BYTES: u64 = 4_096;
 
-/// `ControlCost` is the cost of each balancer, sorted from the least.
+/// Costs of all balancers, each list in ascending order.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ControlCost {
-    /// Bytes of messages sent a second.
+    /// Message bytes sent per second.
     bytes_per_second: Vec<f64>,
-    /// Share of a core, percent.
+    /// CPU time as a share of one core, in percent.
     core_percent: Vec<f64>,
-    /// Resident memory, megabytes.
+    /// Resident memory in megabytes.
     memory_mb: Vec<f64>,
 }
 
@@ -42,7 +43,7 @@
 
         write!(
             out,
-            "{} balancers, middle / most: {} bytes sent a second, {} % of a core, {} MB",
+            "{} balancers, median / maximum: {} bytes sent per second, {} % of a core, {} MB",
             self.core_percent.len(),
             both(&self.bytes_per_second),
             both(&self.core_percent),
@@ -51,13 +52,14 @@
     }
 }
 
-/// What a process had used at a time.
+/// Resource usage of a process: CPU time since its start, and resident memory.
 struct UsedSoFar {
     processor_seconds: f64,
     memory_bytes: u64,
 }
 
-/// `measure` runs a site without callers for a time. A configuration changes each ten seconds.
+/// Runs a site without callers for a time, with a new configuration version every ten seconds, and
+/// returns the costs.
 pub fn measure(options: &SoakOptions, time: Duration) -> Result<ControlCost, SoakError> {
     const CHANGE_INTERVAL: Duration = Duration::from_secs(10);
     let mut site = SoakSite::start(options)?;
@@ -100,14 +102,15 @@
 fn used_by_all(site: &SoakSite) -> Result<Vec<UsedSoFar>, SoakError> {
     let ids = site.balancers.iter().filter_map(|balancer| balancer.id());
 
-    ids.map(|id| used_by(id).map_err(at("read a balancer's use"))).collect()
+    ids.map(|id| used_by(id).map_err(at("read a balancer's resource usage"))).collect()
 }
 
-/// Reads a child's own lines under `/proc`.
+/// Reads the usage of a process from `/proc`.
 fn used_by(id: u32) -> io::Result<UsedSoFar> {
-    /// Places after the name in brackets: processor time of the program, and of the kernel for it.
+    /// Indices of the fields of `stat` after the command name in parentheses: user time and system
+    /// time.
     const TIMES: [usize; 2] = [11, 12];
-    let missing = || io::Error::other("a field is missing");
+    let missing = || io::Error::other("a field of /proc is missing");
     let stat = fs::read_to_string(format!("/proc/{id}/stat"))?;
     let fields: Vec<&str> =
         stat.rsplit(')').next().ok_or_else(missing)?.split_whitespace().collect();
--- a/crates/valvestage-soak/src/errors.rs
+++ b/crates/valvestage-soak/src/errors.rs
@@ -1,44 +1,45 @@
-//! Why a run could not be played.
+//! Errors that keep a run from completing.
 
 use std::io;
 
 use thiserror::Error;
 
-/// `SoakError` says at which step a run could not go on. Broken promises are no errors.
+/// Error that keeps a run from completing. A broken promise is not an error but a result of the
+/// run.
 #[derive(Debug, Error)]
 pub enum SoakError {
-    /// A step of the run itself failed.
+    /// An I/O operation of the soak test itself failed.
     #[error("{step}: {cause}")]
     Step {
-        /// The step.
+        /// The operation that failed, as a phrase such as "start a balancer".
         step: &'static str,
-        /// What went wrong.
+        /// The underlying error.
         cause: io::Error,
     },
-    /// The balancers did not become ready at the beginning.
+    /// Not all balancers became ready in time after their first start.
     #[error("start: {ready} of {balancers} balancers became ready\n{}", logs.join("\n"))]
     NotReady {
-        /// How many did.
+        /// Number of balancers that became ready.
         ready: usize,
-        /// How many there are.
+        /// Number of balancers of the run.
         balancers: usize,
-        /// The last lines that each of them wrote.
+        /// State and last log lines of each balancer.
         logs: Vec<String>,
     },
-    /// The soak was told to stop; its balancers have ended with it.
-    #[error("play: stopped by a signal")]
+    /// The stop flag of the options was set; the balancers are killed when the run is dropped.
+    #[error("run: stopped by a signal")]
     Stopped,
-    /// The list of seeds cannot be read.
+    /// The list of seeds cannot be read or parsed.
     #[error("read {file}: {cause}")]
     Seeds {
-        /// The file.
+        /// Path of the list.
         file: String,
-        /// What is wrong with it.
+        /// Text of the I/O or parse error.
         cause: String,
     },
 }
 
-/// `at` gives a step's name to an error.
+/// Returns a conversion from an I/O error to a [`SoakError::Step`] of `step`, for `map_err`.
 pub fn at(step: &'static str) -> impl Fn(io::Error) -> SoakError {
     move |cause| SoakError::Step { step, cause }
 }
--- a/crates/valvestage-soak/src/fault_kind.rs
+++ b/crates/valvestage-soak/src/fault_kind.rs
@@ -1,69 +1,73 @@
-//! What goes wrong.
+//! Kinds of faults that a run injects.
 
 use serde::{Deserialize, Serialize};
 
-/// `FaultKind` is one kind of fault, or of planned work.
+/// Kind of an injected fault, or of planned work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// A balancer is killed, and started again.
+    /// A balancer is killed, and restarted when the fault ends.
     BalancerKill,
-    /// Most balancers are killed at once, and started again.
+    /// All balancers outside of one zone are killed at once, and restarted when the fault ends.
     HerdKill,
-    /// A balancer is told to stop, and started again when it has ended.
+    /// A balancer gets SIGTERM, and is restarted after it has exited.
     BalancerStop,
-    /// A balancer stands still.
+    /// A balancer is suspended by SIGSTOP, and resumed when the fault ends.
     BalancerPause,
-    /// A balancer's settings change, with a signal.
+    /// A balancer's settings file changes, and SIGHUP makes the balancer reload it.
     BalancerReload,
-    /// A zone is cut off from the others.
+    /// A zone is partitioned from the others in both directions.
     ZoneCut,
-    /// Nothing leaves a zone.
+    /// Datagrams out of a zone are lost, those into it arrive.
     ZoneOneWay,
-    /// A balancer reaches no other one and no backend server.
+    /// A balancer exchanges no datagrams with other balancers and reaches no backend server.
     BalancerCut,
-    /// Datagrams are lost everywhere.
+    /// A share of all datagrams is lost.
     Loss,
-    /// Datagrams are late everywhere.
+    /// All datagrams are delayed.
     Delay,
-    /// The store refuses all calls; entries of some backend servers lapse meanwhile.
+    /// The store refuses all calls. In a long outage, entries of some backend servers expire.
     StoreDown,
     /// The store answers late.
     StoreSlow,
-    /// The store tells changes late.
+    /// The store's watches report changes late.
     StoreLag,
-    /// The store forgets its history.
+    /// The store discards its history of changes, so that watches fail.
     StoreForgets,
-    /// Connections of a balancer to the store fall silent, for good where something was said.
+    /// Connections of a balancer to the store pass nothing on. Those on which something was sent
+    /// during the fault stay silent when it ends.
     StoreLinkSilent,
     /// Connections of a balancer to the store are reset.
     StoreLinkReset,
-    /// The store hears a balancer, which hears no answer.
+    /// Calls of a balancer reach the store, but their answers are lost.
     StoreLinkOneWay,
-    /// Connections of all balancers to the store fall silent.
+    /// Connections of all balancers to the store pass nothing on, as in [`Self::StoreLinkSilent`].
     StoreLinksSilent,
-    /// A backend server crashes; another incarnation takes its place.
+    /// A backend server crashes; a new instance takes its address later.
     BackendCrash,
-    /// A backend server drains, leaves, and its address goes to the other service.
+    /// A backend server drains and stops; its address goes to an instance of the other service, if
+    /// enough backend servers of its own service are left.
     BackendReplace,
-    /// A backend server leaves every second request without an answer.
+    /// A backend server answers only every second request.
     BackendFails,
-    /// A configuration.
+    /// A new configuration is written.
     Configuration,
-    /// Configurations in quick succession.
+    /// Several configurations are written in quick succession.
     ConfigurationStorm,
     /// A backend server takes five times as long for its requests.
     BackendSlow,
-    /// The entry of a backend server goes and comes back, while it lives and the store answers.
+    /// The entry of a backend server is deleted and written again, while the backend server runs
+    /// and the store answers.
     BackendUnlisted,
-    /// The store refuses all calls of a balancer, and answers the others.
+    /// The store refuses all calls of one balancer, and answers those of the others.
     StoreRefusesOne,
-    /// The operator evacuates a zone, and takes it back.
+    /// The operator evacuates a zone, and later ends the evacuation.
     Evacuation,
 }
 
 impl FaultKind {
-    /// All kinds. New ones come last: seeds that once failed draw from as many as there were then.
+    /// All kinds. New kinds are appended: a seed of a known failure draws from the first kinds of
+    /// this list, as many as existed when it was recorded.
     pub const ALL: [Self; 27] = [
         Self::BalancerKill,
         Self::HerdKill,
--- a/crates/valvestage-soak/src/fault_plan.rs
+++ b/crates/valvestage-soak/src/fault_plan.rs
@@ -1,4 +1,4 @@
-//! The faults of a run, drawn from its seed.
+//! Plan of the faults of a run, drawn from its seed.
 
 use std::time::Duration;
 
@@ -7,34 +7,37 @@
 
 use crate::fault_kind::FaultKind;
 
-/// Shortest fault.
+/// Shortest duration of a fault.
 const SHORTEST: Duration = Duration::from_millis(500);
 
-/// What the draw adds to it at most.
+/// Largest random addition to the shortest duration.
 const MORE: Duration = Duration::from_millis(5_500);
 
-/// Mean time between the beginnings of two faults, in the busiest and the calmest run. With a mean length
-/// of 3.3 s some three last at once, or one now and then: promises with a bound bind undisturbed balancers.
+/// Mean time between the starts of two faults, in the busiest and in the calmest run. Faults last
+/// 3.3 s on average, so about three overlap in the busiest run, while the calmest one has only a
+/// single fault now and then. Calm runs are needed because promises with a time bound apply to
+/// undisturbed balancers only.
 const MEAN_GAPS: std::ops::Range<Duration> =
     Duration::from_millis(1_000)..Duration::from_millis(6_000);
 
-/// One in so many faults comes three times in a row.
+/// One fault in this many is repeated, three times in a row in total.
 const SERIES: usize = 5;
 
-/// `PlannedFault` is one fault of a run.
+/// Fault with its time, duration and target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct PlannedFault {
-    /// When it begins, from the beginning of the faults.
+    /// Start of the fault, measured from the start of the fault phase.
     pub at: Duration,
-    /// How long it lasts.
+    /// Duration of the fault.
     pub lasts: Duration,
-    /// What it is.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Whom it strikes: a number that the run maps to what there is.
+    /// Random number that the run maps to a balancer, zone or backend server.
     pub target: usize,
 }
 
-/// `plan` draws the faults of a run: overlapping, and some in series on the same target.
+/// Draws the faults of a run in order of their start. Faults may overlap, and some are repeated on
+/// the same target. All of them end before `length`.
 #[must_use]
 pub fn plan(seed: u64, length: Duration, kinds: &[FaultKind]) -> Vec<PlannedFault> {
     let mut draws = Draws::new(seed);
--- a/crates/valvestage-soak/src/lib.rs
+++ b/crates/valvestage-soak/src/lib.rs
@@ -1,26 +1,26 @@
-//! A soak of the real balancer under seeded faults.
+//! A soak test of the real balancer under seeded fault injection.
 //!
-//! Balancers run as processes on loopback addresses of their own. Everything around them is played by
-//! threads of the soak: store, routers, callers, backend servers, and the relays through which balancers
-//! reach each other and the store. Faults come from outside: signals to processes, relays that lose, delay,
-//! reset and silence, a store that misbehaves. What callers and backend servers see is checked while the
-//! run goes on.
+//! Balancers run as processes, each on a loopback address of its own. Threads of the soak test
+//! simulate everything around them: the store, routers, callers, backend servers, and the relays
+//! through which balancers reach each other and the store. Faults are injected from outside:
+//! signals to processes, relays that drop, delay, reset or black-hole traffic, and a store that
+//! misbehaves. What callers and backend servers observe is checked while the run is in progress.
 //!
 //! | module | contents |
 //! |---|---|
-//! | [`soak_run`], [`soak_options`], [`soak_report`] | one run |
-//! | [`fault_kind`], [`fault_plan`] | what goes wrong, drawn from a seed |
-//! | [`promise`], [`promise_checker`], [`site_truth`] | what is checked, against what is true |
-//! | [`observation`] | what callers and backend servers see |
+//! | [`soak_run`], [`soak_options`], [`soak_report`] | one run: its course, options and report |
+//! | [`fault_kind`], [`fault_plan`] | the injected faults, drawn from a seed |
+//! | [`promise`], [`promise_checker`], [`site_truth`] | promises, their checks, and the ground truth |
+//! | [`observation`] | events that callers and backend servers observe |
 //! | [`soak_site`], [`site_plan`], [`balancer_process`] | threads, addresses, processes |
 //! | [`site_store`], [`store_relay`] | the store, and connections to it |
-//! | [`peer_relay`], [`link_table`] | messages between balancers, and what happens to datagrams |
-//! | [`router_table`] | which balancer gets a packet |
-//! | [`caller_load`] | callers |
-//! | [`backend_servers`], [`backend_manner`], [`backend_places`] | backend servers |
-//! | [`seed_list`] | seeds that once failed |
-//! | [`control_cost`] | what control costs without callers |
-//! | [`errors`] | why a run could not be played |
+//! | [`peer_relay`], [`link_table`] | messages between balancers, and faults on datagram links |
+//! | [`router_table`] | health checks of balancers, and the choice of a balancer for each flow |
+//! | [`caller_load`] | the load that callers generate |
+//! | [`backend_servers`], [`backend_manner`], [`backend_places`] | simulated backend servers |
+//! | [`seed_list`] | seeds of known failures, replayed as regression tests |
+//! | [`control_cost`] | resource cost of the control plane without callers |
+//! | [`errors`] | errors that keep a run from completing |
 
 pub mod backend_manner;
 pub mod backend_places;
--- a/crates/valvestage-soak/src/link_table.rs
+++ b/crates/valvestage-soak/src/link_table.rs
@@ -1,4 +1,4 @@
-//! What happens to datagrams on their way.
+//! Faults on datagram links.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -7,55 +7,55 @@
 
 use crate::site_plan::SitePlan;
 
-/// `LinkEffect` is what happens to a datagram.
+/// Effect of a fault on a datagram.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LinkEffect {
-    /// It is lost.
+    /// The datagram is lost.
     Cut,
-    /// It is lost with this probability.
+    /// The datagram is lost with this probability.
     Loss(f64),
-    /// It comes later.
+    /// The datagram is delayed by this time.
     Delay(Duration),
 }
 
-/// `LinkEnds` says on which ways a fault lies.
+/// Set of links that a fault affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkEnds {
-    /// Between a zone and all others, both ways.
+    /// Links between a zone and all others, in both directions.
     ZoneBorder(usize),
-    /// Out of a zone, not into it.
+    /// Links out of a zone, but not into it.
     OutOfZone(usize),
-    /// From and to one balancer.
+    /// Links from and to one balancer.
     Balancer(usize),
-    /// Between all zones.
+    /// All links, within and between zones.
     Everywhere,
 }
 
-/// `LinkFault` is a fault that lasts.
+/// Fault on links that lasts until a time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LinkFault {
-    /// Where.
+    /// Links that the fault affects.
     pub ends: LinkEnds,
-    /// What.
+    /// Effect on datagrams of these links.
     pub effect: LinkEffect,
-    /// Until when.
+    /// End of the fault.
     pub until: Instant,
 }
 
-/// `LinkTable` is shared by everything that passes datagrams on.
+/// Active faults on links, shared by everything that relays datagrams.
 #[derive(Clone, Default)]
 pub struct LinkTable {
     faults: Arc<Mutex<Vec<LinkFault>>>,
 }
 
 impl LinkTable {
-    /// `add` adds a fault.
+    /// Adds a fault, which is removed after its end.
     pub fn add(&self, fault: LinkFault) {
         self.faults.lock().unwrap_or_else(PoisonError::into_inner).push(fault);
     }
 
-    /// `pass` decides about a datagram of a balancer to another one or to a backend server of a zone:
-    /// by how much it is delayed; none if it is lost.
+    /// Returns the delay of a datagram from a balancer to a target, the sum over all faults on the
+    /// link, or `None` if the datagram is lost.
     pub fn pass(
         &self,
         balancer: usize,
@@ -79,12 +79,12 @@
     }
 }
 
-/// `LinkTarget` is where a datagram of a balancer goes.
+/// Receiver of a balancer's datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkTarget {
-    /// Another balancer.
+    /// Another balancer, by number.
     Balancer(usize),
-    /// A backend server of a zone.
+    /// A backend server in this zone.
     BackendIn(usize),
 }
 
--- a/crates/valvestage-soak/src/main.rs
+++ b/crates/valvestage-soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `valvestage-soak`: plays seeded faults on real balancers.
+//! `valvestage-soak`: runs real balancers under seeded fault injection.
 
 use std::fs;
 use std::path::PathBuf;
@@ -15,31 +15,32 @@
 use valvestage_soak::{FaultKind, SoakOptions, SoakReport, control_cost, seed_list};
 use valvestage_standins::signals::stop_flag;
 
-/// Name in messages.
+/// Program name in error messages.
 const PROGRAM: &str = "valvestage-soak";
 
-/// Plays seeded faults on real balancers, and checks what callers were promised
+/// Injects seeded faults into a site of real balancers, and checks the promises made to callers
 ///
-/// Exit codes: 0 every promise was kept, 1 one was broken or a run could not be played, 2 wrong command line.
+/// Exit codes: 0 every promise was kept, 1 a promise was broken or a run could not complete, 2
+/// wrong command line.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 enum Arguments {
-    /// Plays one seed after another
+    /// Runs consecutive seeds
     #[bpaf(command)]
     Run {
         /// The first seed
         #[bpaf(long, argument("N"), fallback(1))]
         seed: u64,
-        /// How many seeds
+        /// Number of seeds
         #[bpaf(long, argument("N"), fallback(1))]
         seeds: u64,
-        /// Plays on for so long instead
+        /// Runs seeds until this many minutes have passed, instead of a fixed number of seeds
         #[bpaf(long, argument("MINUTES"))]
         minutes: Option<u64>,
         #[bpaf(external)]
         shape: Shape,
     },
-    /// Plays one seed again
+    /// Runs one seed again
     #[bpaf(command)]
     Replay {
         #[bpaf(external)]
@@ -48,22 +49,22 @@
         #[bpaf(positional("SEED"))]
         seed: u64,
     },
-    /// Measures what control costs each balancer, without callers and faults
+    /// Measures the control plane's cost to each balancer, without callers and faults
     #[bpaf(command)]
     Cost {
         #[bpaf(external)]
         shape: Shape,
     },
-    /// Plays the seeds that once failed
+    /// Runs the seeds of known failures
     #[bpaf(command)]
     Known {
         #[bpaf(external)]
         shape: Shape,
     },
-    /// Lists the kinds of faults and the seeds that once failed
+    /// Lists the kinds of faults and the seeds of known failures
     #[bpaf(command)]
     List {
-        /// The list of seeds
+        /// The list of seeds of known failures
         #[bpaf(
             long,
             argument("FILE"),
@@ -73,41 +74,41 @@
     },
 }
 
-/// What all runs have in common.
+/// Options that all subcommands with runs share.
 #[derive(Debug, Clone, Bpaf)]
 struct Shape {
-    /// The balancer's program
+    /// The balancer's executable
     #[bpaf(long, argument("FILE"), fallback(PathBuf::from("target/release/valvestage-entry")))]
     program: PathBuf,
-    /// Where logs and reports go, one folder a seed
+    /// Folder for logs and reports, with one subfolder per seed
     #[bpaf(long, argument("FOLDER"), fallback(std::env::temp_dir().join("valvestage-soak")))]
     folder: PathBuf,
-    /// Balancers, each a process; one in each of the three zones at least
+    /// Number of balancers, each a process; at least one in each of the three zones
     #[bpaf(long, argument("N"), guard(fill_zones, FILL_ZONES), fallback(6))]
     balancers: usize,
-    /// Backend servers; 12 at least, so that each zone has both services
+    /// Number of backend servers; at least 12, so that each zone has both services
     #[bpaf(long, argument("N"), guard(have_both_services, HAVE_BOTH_SERVICES), fallback(12))]
     backends: usize,
-    /// New flows a second
+    /// New flows per second
     #[bpaf(long, argument("N"), fallback(60))]
     flows: u32,
-    /// Kinds of faults to draw from, the first ones of the list; seeds from before a kind was added
-    /// need it
+    /// Number of kinds of faults to draw from, counted from the start of the list; a seed recorded
+    /// before a kind was added needs the number at that time
     #[bpaf(long, argument("N"), guard(are_kinds, ARE_KINDS), fallback(FaultKind::ALL.len()))]
     kinds: usize,
-    /// Seconds in which faults begin
+    /// Length of the fault phase in seconds; no fault begins later
     #[bpaf(long, argument("SECONDS"), fallback(30))]
     length: u64,
-    /// The list of seeds that once failed
+    /// The list of seeds of known failures
     #[bpaf(long, argument("FILE"), fallback(PathBuf::from("crates/valvestage-soak/seeds.toml")))]
     known: PathBuf,
 }
 
-const FILL_ZONES: &str = "there have to be 3 balancers at least";
+const FILL_ZONES: &str = "at least 3 balancers are needed, one for each zone";
 
-const HAVE_BOTH_SERVICES: &str = "there have to be 12 backend servers at least";
+const HAVE_BOTH_SERVICES: &str = "at least 12 backend servers are needed";
 
-const ARE_KINDS: &str = "there is not that number of kinds";
+const ARE_KINDS: &str = "has to be from 1 to the number of kinds that `list` shows";
 
 fn are_kinds(kinds: &usize) -> bool {
     (1..=FaultKind::ALL.len()).contains(kinds)
@@ -152,7 +153,7 @@
     ExitCode::from(if clean { exit_codes::SUCCESS } else { exit_codes::FAILURE })
 }
 
-/// Plays all, also after one that failed.
+/// Runs consecutive seeds, and continues after a failure. Returns whether all of them were clean.
 fn play_many(
     first: u64,
     seeds: u64,
@@ -177,7 +178,8 @@
     clean
 }
 
-/// Plays all, also after one that failed, each as it was played then.
+/// Runs all known seeds, each with the numbers of balancers and fault kinds of its recorded
+/// failure, and continues after a failure. Returns whether all of them were clean.
 fn play_known(known: &[seed_list::KnownSeed], shape: &Shape, stop: &Arc<AtomicBool>) -> bool {
     let mut clean = true;
 
@@ -188,7 +190,7 @@
     clean
 }
 
-/// Plays one seed, and says what it has shown.
+/// Runs one seed, prints and writes its report, and returns whether every promise was kept.
 fn play(seed: u64, shape: &Shape, stop: &Arc<AtomicBool>) -> bool {
     let options = SoakOptions { stop: stop.clone(), ..options(seed, shape) };
     let folder = options.folder.clone();
@@ -240,7 +242,7 @@
         .and_then(|text| fs::write(folder.join("report.json"), text));
 
     if let Err(error) = written {
-        eprintln!("{PROGRAM}: write the report: {error}");
+        eprintln!("{PROGRAM}: failed to write report.json: {error}");
     }
 }
 
--- a/crates/valvestage-soak/src/observation.rs
+++ b/crates/valvestage-soak/src/observation.rs
@@ -1,4 +1,4 @@
-//! What callers and backend servers see.
+//! Events that callers and backend servers observe, and stalls of the soak test itself.
 
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
@@ -8,102 +8,103 @@
 use valvestage_policy::steering::FlowAddresses;
 use valvestage_standins::packets::RequestId;
 
-/// `Observation` is one thing that was seen, with when.
+/// Event with the time at which it was observed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Observation {
-    /// When.
+    /// When the event was observed.
     pub at: Instant,
-    /// What.
+    /// Event that was observed.
     pub seen: SeenEvent,
 }
 
-/// `SeenEvent` is what was seen.
+/// Event that callers, backend servers or stall detectors observe.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SeenEvent {
     /// A caller sent the first opening packet of a flow.
     Begun {
-        /// The flow.
+        /// Addresses of the flow.
         flow: FlowAddresses,
     },
     /// A flow opened at a backend server.
     Opened {
-        /// The flow.
+        /// Addresses of the flow.
         flow: FlowAddresses,
-        /// Where.
+        /// Instance of the backend server.
         instance: InstanceId,
-        /// The balancer that sent its opening packet there.
+        /// Balancer that sent the flow's opening packet to the backend server.
         balancer: usize,
-        /// When that packet came.
+        /// When the opening packet arrived.
         arrived: Instant,
     },
     /// A packet of an open flow reached its backend server.
     Reached {
-        /// The flow.
+        /// Addresses of the flow.
         flow: FlowAddresses,
     },
-    /// A packet of a flow reached a backend server that does not hold it.
+    /// A packet of a flow reached a backend server that does not have the flow.
     Strayed {
-        /// The flow.
+        /// Addresses of the flow.
         flow: FlowAddresses,
-        /// The backend server.
+        /// Instance of the backend server that the packet reached.
         instance: InstanceId,
-        /// The balancer that sent it there.
+        /// Balancer that sent the packet there.
         balancer: usize,
     },
-    /// A backend server began to work on a request.
+    /// A backend server started to process a request.
     Ran {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// Whether it may run again.
+        /// Whether the request may be executed more than once.
         repeatable: bool,
     },
-    /// A balancer ended a flow.
+    /// A balancer reset a flow.
     Reset {
-        /// The flow.
+        /// Addresses of the flow.
         flow: FlowAddresses,
-        /// Whether it was open.
+        /// Whether the flow was open from the caller's point of view.
         open: bool,
-        /// The balancer.
+        /// Balancer that sent the reset.
         balancer: usize,
     },
-    /// A caller has ended a flow, or given it up.
+    /// A caller closed or abandoned a flow.
     Closed {
-        /// The flow.
+        /// Addresses of the flow.
         flow: FlowAddresses,
     },
-    /// A caller got an answer.
+    /// A caller received an answer.
     Answered {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// Whether every byte of it belongs to the request.
+        /// Whether every byte of the answer belongs to the request.
         whole: bool,
-        /// When the request began.
+        /// When the first attempt of the request began.
         began: Instant,
-        /// The address that it was sent to.
+        /// Service address that the request was sent to.
         address: SocketAddrV4,
     },
-    /// A caller gave a request up.
+    /// A caller abandoned a request.
     Failed {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// When it began.
+        /// When the first attempt of the request began.
         began: Instant,
-        /// The address that it was sent to.
+        /// Service address that the request was sent to.
         address: SocketAddrV4,
     },
     /// A packet is not as its sender wrote it.
     Forged,
-    /// A part of the soak itself stood still: what others seem to have missed may be its own doing.
+    /// A thread of the soak test itself stalled, so that it may have caused apparent violations.
     Stalled {
-        /// For how long.
+        /// Time since the previous iteration of the thread.
         time: Duration,
     },
 }
 
-/// `receive_until` takes in what is seen until a time, and what waits then.
+/// Passes observations to `take` until a time, and then those already queued at that time.
 ///
-/// What comes while it takes in the rest is left for the next call. On a busy machine there is always
-/// something, and the run has other things to do.
+/// Observations that arrive while the queued ones are processed are left for the next call. Under
+/// load new ones keep arriving, so a call that drained the queue would never return to the run's
+/// other work.
 pub fn receive_until(
     observations: &Receiver<Observation>,
     until: Instant,
@@ -120,30 +121,32 @@
     }
 }
 
-/// A gap between two turns of the soak's own threads from which on they stood still. Callers send
-/// again after 200 ms.
+/// Shortest time between two iterations of a thread of the soak test that counts as a stall.
+/// Callers resend after 200 ms, so a longer gap could look like a fault of a balancer.
 const STALL: Duration = Duration::from_millis(100);
 
-/// `StallWatch` notices that a thread of the soak stood still.
+/// Detector of stalls of one thread of the soak test.
 pub struct StallWatch {
     last_turn: Instant,
     observations: Sender<Observation>,
 }
 
 impl StallWatch {
-    /// `new` begins now.
+    /// Creates a detector whose first interval starts now, and which reports stalls to
+    /// `observations`.
     #[must_use]
     pub fn new(observations: Sender<Observation>) -> Self {
         Self { last_turn: Instant::now(), observations }
     }
 
-    /// `turn` is called at each turn of the thread, and gives the time.
+    /// Reports a stall if the previous call is too long ago, and returns the current time. The
+    /// thread calls this in each iteration of its loop.
     pub fn turn(&mut self) -> Instant {
         let now = Instant::now();
         let time = now - std::mem::replace(&mut self.last_turn, now);
 
         if time >= STALL {
-            // Nobody listens any more at the end of the run.
+            // The receiver is gone at the end of the run.
             let _ =
                 self.observations.send(Observation { at: now, seen: SeenEvent::Stalled { time } });
         }
--- a/crates/valvestage-soak/src/peer_relay.rs
+++ b/crates/valvestage-soak/src/peer_relay.rs
@@ -1,4 +1,4 @@
-//! Messages between balancers, through relays that lose and delay them.
+//! Relay of messages between balancers, which drops and delays them.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -12,10 +12,10 @@
 use crate::site_plan::SitePlan;
 use valvestage_standins::packets::socket_set::SocketSet;
 
-/// Longest wait for a datagram: delayed ones are looked at that often.
+/// Longest wait for a datagram, and so the interval at which delayed messages are checked.
 const TURN: Duration = Duration::from_millis(5);
 
-/// `PeerRelay` has one socket for each balancer, by which the others know it.
+/// Relay with one socket for each balancer, whose address that balancer advertises to the others.
 pub struct PeerRelay {
     plan: SitePlan,
     links: LinkTable,
@@ -25,10 +25,10 @@
     sent_bytes: SentBytes,
 }
 
-/// `SentBytes` counts the bytes of messages that each balancer has sent.
+/// Number of message bytes that each balancer has sent to others, indexed by its number.
 pub type SentBytes = Arc<Vec<AtomicU64>>;
 
-/// A message that is still on its way.
+/// Message that is delivered at `due`.
 struct DelayedMessage {
     due: Instant,
     from: usize,
@@ -37,7 +37,7 @@
 }
 
 impl PeerRelay {
-    /// `bind` takes the relays' addresses.
+    /// Binds the relay addresses of all balancers.
     pub fn bind(
         plan: SitePlan,
         links: LinkTable,
@@ -52,11 +52,11 @@
         Ok(Self { plan, links, sockets, draws: Draws::new(seed), delayed: Vec::new(), sent_bytes })
     }
 
-    /// `run` passes messages on until told to stop.
+    /// Relays messages until `stop` is set.
     pub fn run(mut self, stop: &Arc<AtomicBool>) -> io::Result<()> {
         while !stop.load(Ordering::Relaxed) {
             for datagram in self.sockets.receive(TURN)? {
-                // What no balancer sent goes nowhere.
+                // Datagrams that no balancer has sent are dropped.
                 if let Some(from) = self.plan.balancer_at(*datagram.sender.ip()) {
                     self.pass(from, datagram.socket, datagram.bytes);
                 }
--- a/crates/valvestage-soak/src/promise.rs
+++ b/crates/valvestage-soak/src/promise.rs
@@ -1,68 +1,73 @@
-//! What callers, backend servers and operators were promised.
+//! Promises to callers, backend servers and operators, and their time bounds.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Undisturbed time after which a balancer, or the store, has to keep promises with a bound. This and the
-/// bounds below are those of the deployments of today.
+/// Time after the end of a disturbance of a balancer, a backend server or the store during which it
+/// still counts as disturbed. This and the bounds below are those of the current deployments.
 pub const CONTACT: Duration = Duration::from_secs(4);
 
-/// A configuration is in force this long after the store took it.
+/// Time after the store has accepted a configuration at which balancers have to apply it.
 pub const CONFIGURATION_WITHIN: Duration = Duration::from_secs(3);
 
-/// What one balancer has shown to be in force may not be undone by it after this time.
+/// Time after a balancer is seen to use a configuration from which it must not open flows by an
+/// older one.
 pub const NO_WAY_BACK_AFTER: Duration = Duration::from_millis(250);
 
-/// A leaving backend server gets no new flow this long after the store took its entry.
+/// Time after the store has accepted that a backend server drains from which it gets no new flows.
 pub const DRAIN_WITHIN: Duration = Duration::from_secs(3);
 
-/// A zone that the operator evacuates gets no new flow this long after the store took it.
+/// Time after the store has accepted the evacuation of a zone from which the zone gets no new
+/// flows.
 pub const EVACUATION_WITHIN: Duration = Duration::from_secs(3);
 
-/// Time in which packets of one flow that stray count together.
+/// Sliding window over which misrouted packets of one flow are counted.
 pub const STRAY_WINDOW: Duration = Duration::from_secs(2);
 
-/// Strays in that time, with none at the flow's own backend server, that break a promise.
+/// Number of misrouted packets of one flow within [`STRAY_WINDOW`] that breaks
+/// [`Promise::FlowNotMoved`], if no packet reaches the flow's own backend server in between.
 pub const MAX_STRAYS: usize = 3;
 
-/// Callers are served again this long after the last fault.
+/// Time after the end of the last fault within which callers have to be served again.
 pub const RECOVERY_WITHIN: Duration = Duration::from_secs(12);
 
-/// `Promise` names one promise.
+/// Promise that a run checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Promise {
-    /// A flow opens only at a service to which some configuration led its address.
+    /// A flow opens only at a service to which some configuration has routed its address.
     RightService,
-    /// A leaving backend server gets no new flows after a while.
+    /// A draining backend server gets no new flows after [`DRAIN_WITHIN`].
     Drain,
-    /// A zone that is evacuated gets no new flows after a while.
+    /// An evacuated zone gets no new flows after [`EVACUATION_WITHIN`].
     Evacuation,
-    /// A configuration is in force after a while.
+    /// A configuration is in force after [`CONFIGURATION_WITHIN`].
     ConfigurationInForce,
-    /// A balancer never goes back to an older configuration.
+    /// A balancer never returns to an older configuration.
     ConfigurationNeverBack,
-    /// A flow whose backend server can take it is not refused.
+    /// A new flow is not refused while its service has a backend server that can take it.
     NoFalseRefusal,
-    /// An open flow whose backend server lives is not ended.
+    /// A balancer does not reset an open flow whose backend server runs.
     FlowNotEnded,
-    /// An open flow stays at its backend server.
+    /// Packets of an open flow keep going to its backend server.
     FlowNotMoved,
-    /// An answer is whole, and belongs to its request.
+    /// An answer is complete, and belongs to its request.
     WholeAnswer,
-    /// What may not be repeated runs once.
+    /// A request that is not repeatable is executed at most once.
     RunsOnce,
-    /// Packets arrive as they were written.
+    /// Packets arrive as their sender wrote them.
     PacketUnchanged,
-    /// A balancer does not end by itself, and a planned stop succeeds.
+    /// A balancer does not exit unless told to, exits successfully after SIGTERM, and is running
+    /// again at the end of the run.
     NoOwnEnd,
-    /// Callers are served again after faults.
+    /// Callers are served again within [`RECOVERY_WITHIN`] after the last fault.
     Recovery,
 }
 
 impl Promise {
-    /// `is_timed` tells whether the promise has a bound in time that a busy machine may spoil.
+    /// Reports whether the promise has a time bound, which a VM under other load may break by its
+    /// slowness.
     #[must_use]
     pub fn is_timed(self) -> bool {
         matches!(
--- a/crates/valvestage-soak/src/promise_checker.rs
+++ b/crates/valvestage-soak/src/promise_checker.rs
@@ -1,4 +1,4 @@
-//! Whether promises are kept, from what callers and backend servers see.
+//! Checks of promises, based on what callers and backend servers observe.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Instant;
@@ -16,59 +16,60 @@
 use crate::site_plan::COMING;
 use crate::site_truth::SiteTruth;
 
-/// Broken promises kept with their details; more are only counted.
+/// Number of violations recorded in detail; further ones are only counted.
 const MAX_DETAILS: usize = 50;
 
-/// `BrokenPromise` is one promise that was not kept.
+/// Violation of a promise.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct BrokenPromise {
-    /// Which.
+    /// Promise that was broken.
     pub promise: Promise,
-    /// Seconds from the beginning of the faults.
+    /// Seconds since the start of the fault phase.
     pub at_s: f64,
-    /// What was seen.
+    /// Description of the violation, with the flow, request or balancer concerned.
     pub detail: String,
 }
 
-/// `RequestTally` counts requests by how they ended.
+/// Counts of finished requests by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct RequestTally {
-    /// With a whole answer.
+    /// Requests with an answer, also if the answer was corrupted.
     pub answered: u64,
-    /// Without one, though a route was there all the time.
+    /// Requests without an answer, to an address that always has a route.
     pub failed: u64,
 }
 
-/// `CheckResults` is what a run has shown.
+/// Results of the checks of a run.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct CheckResults {
-    /// Requests that were owed an answer.
+    /// Requests to addresses that every configuration routes.
     pub requests: RequestTally,
-    /// How often each promise was put to the test.
+    /// Number of checks of each promise.
     pub checked: BTreeMap<Promise, u64>,
-    /// Promises that were not kept, the first one first; details of the first ones only.
+    /// First violations in the order of their detection; limited in number.
     pub broken: Vec<BrokenPromise>,
-    /// How many were not kept.
+    /// Number of all violations, also those without details.
     pub broken_count: u64,
-    /// How often a part of the soak itself stood still, which excuses what followed.
+    /// Number of stalls of the soak test's own threads. Promises do not apply for a while after a
+    /// stall.
     pub stalls: u64,
 }
 
-/// What is known of a flow.
+/// State of a flow as observed so far.
 struct FlowFact {
     begun: Instant,
     instance: Option<InstanceId>,
     strays: Vec<Instant>,
 }
 
-/// What a balancer has shown to be in force.
+/// Configuration version that a balancer is known to have had in force, at least.
 struct ShownVersion {
     life: u32,
     version: ConfigurationVersion,
     at: Instant,
 }
 
-/// `PromiseChecker` follows a run.
+/// Checker that compares observations of a run with the ground truth.
 pub struct PromiseChecker {
     began: Instant,
     timed: bool,
@@ -76,13 +77,14 @@
     ran_once: HashSet<RequestId>,
     shown: HashMap<usize, ShownVersion>,
     results: CheckResults,
-    /// Requests that began after this time are counted apart.
+    /// Requests that began at or after this time are also counted in `recent`.
     recent_from: Option<Instant>,
     recent: RequestTally,
 }
 
 impl PromiseChecker {
-    /// `new` begins now.
+    /// Creates a checker without observations. If `timed` is false, promises with a time bound are
+    /// not checked.
     #[must_use]
     pub fn new(timed: bool, now: Instant) -> Self {
         Self {
@@ -97,30 +99,31 @@
         }
     }
 
-    /// `results` gives what was found so far.
+    /// Returns the results so far.
     #[must_use]
     pub fn results(&self) -> &CheckResults {
         &self.results
     }
 
-    /// `count_from` counts the requests apart that begin from a time on.
+    /// Resets the count of recent requests; from now on it covers requests that begin at or after
+    /// `from`.
     pub fn count_from(&mut self, from: Instant) {
         self.recent_from = Some(from);
         self.recent = RequestTally::default();
     }
 
-    /// `begin` takes in when the faults begin; times are told from there.
+    /// Sets the start of the fault phase, from which times of violations are measured.
     pub fn begin(&mut self, now: Instant) {
         self.began = now;
     }
 
-    /// `recent_count` gives the number of those that have ended.
+    /// Returns the number of recent requests that have finished.
     #[must_use]
     pub fn recent_count(&self) -> u64 {
         self.recent.answered + self.recent.failed
     }
 
-    /// `recent_share` gives the share of them that was answered.
+    /// Returns the share of finished recent requests that was answered, 0 if none has finished.
     #[must_use]
     pub fn recent_share(&self) -> f64 {
         #[allow(clippy::cast_precision_loss)]
@@ -128,13 +131,14 @@
         share
     }
 
-    /// `recent` gives those requests.
+    /// Returns the counts of recent requests.
     #[must_use]
     pub fn recent(&self) -> RequestTally {
         self.recent
     }
 
-    /// `expect` puts a promise to the test.
+    /// Records the outcome of one check, and the violation if `is_kept` is false. Ignores promises
+    /// with a time bound if these are not checked.
     pub fn expect(
         &mut self,
         promise: Promise,
@@ -157,7 +161,7 @@
         }
     }
 
-    /// `observe` takes in what was seen.
+    /// Checks the promises that an observation concerns, and updates the state of its flow.
     pub fn observe(&mut self, truth: &mut SiteTruth, observation: Observation) {
         let Observation { at, seen } = observation;
 
@@ -199,10 +203,10 @@
                 }
             }
             SeenEvent::Forged => {
-                self.expect(Promise::PacketUnchanged, false, at, || "a packet's sum".to_owned());
+                self.expect(Promise::PacketUnchanged, false, at, || "packet altered".to_owned());
             }
             SeenEvent::Stalled { time } => {
-                log::warn!("the soak itself stood still for {} ms", time.as_millis());
+                log::warn!("a thread of the soak test stalled for {} ms", time.as_millis());
                 self.results.stalls += 1;
                 truth.on_stall(at);
             }
@@ -250,8 +254,9 @@
         self.check_no_way_back(truth, flow, service, balancer, begun, arrived);
     }
 
-    /// The newest configuration that explains an opening is at least as new as the oldest one that
-    /// explains an earlier opening through the same balancer.
+    /// Checks that a balancer does not return to an older configuration: the newest configuration
+    /// that explains this opening is at least as new as the oldest one that explains an earlier
+    /// opening through the same balancer since its last restart.
     fn check_no_way_back(
         &mut self,
         truth: &SiteTruth,
@@ -275,7 +280,7 @@
         let is_back = shown.is_some_and(|s| begun > s.at + NO_WAY_BACK_AFTER && newest < s.version);
         let shown_version = shown.map_or(0, |shown| shown.version);
         self.expect(Promise::ConfigurationNeverBack, !is_back, arrived, || {
-            format!("balancer {balancer} showed {shown_version}, then {newest} at most: {flow:?}")
+            format!("balancer {balancer} used {shown_version}, then {newest} at most: {flow:?}")
         });
         if needed > shown_version {
             let shown = ShownVersion { life, version: needed, at: arrived };
@@ -339,7 +344,8 @@
     }
 }
 
-/// Whether each service that an address led to had a backend server all the time.
+/// Reports whether each service that the flow's address was routed to from `from` to `at` had an
+/// undisturbed backend server, not draining, during the whole time.
 fn has_ready_backend(truth: &SiteTruth, flow: FlowAddresses, from: Instant, at: Instant) -> bool {
     let services = truth.services_between(flow.service, from, at);
 
--- a/crates/valvestage-soak/src/router_table.rs
+++ b/crates/valvestage-soak/src/router_table.rs
@@ -1,4 +1,4 @@
-//! Routers that ask balancers for readiness and spread flows over those that are in.
+//! Routers, which probe the readiness of balancers and spread flows over the healthy ones.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpStream};
@@ -11,30 +11,30 @@
 
 use crate::site_plan::{SitePlan, ZONES};
 
-/// Time between two questions to a balancer.
+/// Time between two readiness probes of a balancer.
 pub const ASK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Longest wait for an answer.
+/// Timeout for connecting, and for each read of the answer.
 const ASK_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Misses in a row after which a balancer is out.
+/// Number of consecutive failed probes after which a balancer counts as unhealthy.
 const MISSES: u32 = 2;
 
-/// `RouterTable` knows which balancers are in.
+/// Health of all balancers, shared by the probe threads and the callers.
 #[derive(Clone)]
 pub struct RouterTable {
-    /// Misses in a row of each balancer.
+    /// Number of consecutive failed probes of each balancer.
     misses: Arc<Mutex<Vec<u32>>>,
 }
 
 impl RouterTable {
-    /// `new` takes no balancer in.
+    /// Creates a table in which every balancer is unhealthy until its first successful probe.
     #[must_use]
     pub fn new(plan: &SitePlan) -> Self {
         Self { misses: Arc::new(Mutex::new(vec![MISSES; plan.balancers])) }
     }
 
-    /// `ask` asks a balancer whether it is ready.
+    /// Probes a balancer's readiness endpoint and records the result.
     pub fn ask(&self, number: usize, address: SocketAddrV4) {
         let is_ready = is_ready(address);
         let mut misses = self.misses.lock().unwrap_or_else(PoisonError::into_inner);
@@ -42,7 +42,7 @@
         misses[number] = if is_ready { 0 } else { misses[number].saturating_add(1) };
     }
 
-    /// `count_in` gives the number of balancers that are in.
+    /// Returns the number of healthy balancers.
     #[must_use]
     pub fn count_in(&self) -> usize {
         let misses = self.misses.lock().unwrap_or_else(PoisonError::into_inner);
@@ -50,8 +50,10 @@
         misses.iter().filter(|count| **count < MISSES).count()
     }
 
-    /// `pick` gives the balancer for a packet from a zone: the same for all packets of a flow while
-    /// it is in.
+    /// Returns the balancer for a packet from a zone, chosen by rendezvous hashing of its flow
+    /// among the healthy balancers of the zone. If fewer than half of these are healthy, all
+    /// balancers of the zone are candidates; if none is, the healthy ones of the other zones are.
+    /// Returns `None` if there is no candidate.
     #[must_use]
     pub fn pick(&self, zone: usize, flow: &FlowAddresses) -> Option<usize> {
         let misses = self.misses.lock().unwrap_or_else(PoisonError::into_inner);
@@ -83,7 +85,7 @@
     mix(word(flow.caller), word(flow.service))
 }
 
-/// An error of any kind is a miss.
+/// Reports whether a balancer answers with status 200. An error of any kind counts as not ready.
 fn is_ready(address: SocketAddrV4) -> bool {
     let ask = || -> std::io::Result<bool> {
         let mut stream = TcpStream::connect_timeout(&SocketAddr::V4(address), ASK_TIMEOUT)?;
--- a/crates/valvestage-soak/src/seed_list.rs
+++ b/crates/valvestage-soak/src/seed_list.rs
@@ -1,4 +1,4 @@
-//! Seeds that once failed, each with its cause.
+//! List of seeds of known failures, each with its cause.
 
 use std::path::Path;
 
@@ -6,17 +6,18 @@
 
 use crate::errors::SoakError;
 
-/// `KnownSeed` is a seed that is played again before each landing.
+/// Seed of a known failure, replayed as a regression test before each merge.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KnownSeed {
-    /// The seed.
+    /// Seed of the failed run.
     pub seed: u64,
-    /// Balancers of the run that failed.
+    /// Number of balancers of the failed run.
     pub balancers: usize,
-    /// Kinds of faults that it drew from: the first ones of [`crate::FaultKind::ALL`].
+    /// Number of kinds of faults of the failed run, counted from the start of
+    /// [`crate::FaultKind::ALL`].
     pub kinds: usize,
-    /// What made it fail, in a line.
+    /// Cause of the failure, in one line.
     pub cause: String,
 }
 
@@ -27,7 +28,7 @@
     seeds: Vec<KnownSeed>,
 }
 
-/// `read` reads the list.
+/// Reads the list from a TOML file. A file without entries gives an empty list.
 pub fn read(file: &Path) -> Result<Vec<KnownSeed>, SoakError> {
     let refuse = |cause: String| SoakError::Seeds { file: file.display().to_string(), cause };
 
--- a/crates/valvestage-soak/src/site_plan.rs
+++ b/crates/valvestage-soak/src/site_plan.rs
@@ -1,59 +1,60 @@
-//! Who is where.
+//! Addresses, ports and zones of a run's site.
 
 use std::collections::BTreeMap;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener, UdpSocket};
 
-/// Availability zones.
+/// Number of availability zones.
 pub const ZONES: usize = 3;
 
-/// The address whose route never changes.
+/// Service address whose route never changes.
 pub const STEADY: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 443);
 
-/// The address that leads to one service or the other, by the configuration.
+/// Service address whose route alternates between the two services with each configuration.
 pub const SWITCHING: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 2), 443);
 
-/// The address that only some configurations have.
+/// Service address that only some configurations have a route for.
 pub const COMING: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 3), 443);
 
 /// Names of the services.
 pub const SERVICES: [&str; 2] = ["core", "photos"];
 
-/// `Routes` gives the service of each address.
+/// Name of the service that each service address is routed to.
 pub type Routes = BTreeMap<SocketAddrV4, &'static str>;
 
-/// `other_service` gives the service that is not the one given.
+/// Returns the service of [`SERVICES`] that is not `service`.
 #[must_use]
 pub fn other_service(service: &str) -> &'static str {
     if service == SERVICES[0] { SERVICES[1] } else { SERVICES[0] }
 }
 
-/// `SitePlan` gives every address of a run. Loopback addresses of their own keep runs apart; ports come
-/// from the kernel and are alike on all VMs.
+/// Address plan of a run. Each run has a loopback network of its own, so that concurrent runs do
+/// not interfere. The kernel chooses the ports, which are the same for all simulated VMs.
 #[derive(Debug, Clone)]
 pub struct SitePlan {
-    /// Second number of all addresses.
+    /// Second octet of all addresses.
     network: u8,
-    /// Balancers.
+    /// Number of balancers.
     pub balancers: usize,
-    /// Backend servers at one time.
+    /// Number of backend server addresses, each used by one instance at a time.
     pub backends: usize,
-    /// Where callers' packets arrive, and where callers hear answers.
+    /// UDP port of balancers for callers' packets; backend servers and callers use it as well.
     pub data_port: u16,
-    /// Where readiness is asked for.
+    /// Port of the balancers' readiness endpoint.
     pub ready_port: u16,
-    /// Where metrics are asked for.
+    /// Port of the balancers' control endpoint, which serves metrics.
     pub control_port: u16,
-    /// Where messages of balancers arrive.
+    /// UDP port for messages between balancers.
     pub peer_port: u16,
 }
 
 impl SitePlan {
-    /// `new` draws ports from the kernel.
+    /// Creates a plan with free ports chosen by the kernel, and a network derived from the process
+    /// id.
     pub fn new(balancers: usize, backends: usize) -> io::Result<Self> {
         const NETWORKS: u32 = 250;
         let network = std::process::id() % NETWORKS + 1;
-        // Held together, so that all differ.
+        // All sockets are open at the same time, so that the kernel chooses distinct ports.
         let held: Vec<UdpSocket> =
             (0..4).map(|_| UdpSocket::bind("127.0.0.1:0")).collect::<io::Result<_>>()?;
         let ports: Vec<u16> = held
@@ -72,43 +73,44 @@
         })
     }
 
-    /// `zone_of` gives the zone of a balancer, backend server or caller by its number.
+    /// Returns the zone of the balancer, backend server or caller with a number.
     #[must_use]
     pub fn zone_of(number: usize) -> usize {
         number % ZONES
     }
 
-    /// `zone_name` gives the name of a zone.
+    /// Returns the name of a zone as settings and the store use it, for example `zone-a`.
     #[must_use]
     pub fn zone_name(zone: usize) -> String {
         format!("zone-{}", ["a", "b", "c"][zone % ZONES])
     }
 
-    /// `balancer` gives the address of a balancer.
+    /// Returns the IP address that a balancer binds.
     #[must_use]
     pub fn balancer(&self, number: usize) -> Ipv4Addr {
         self.address(0, number)
     }
 
-    /// `relay` gives the address by which other balancers know one.
+    /// Returns the IP address of a balancer's peer relay, which the balancer advertises to the
+    /// others.
     #[must_use]
     pub fn relay(&self, number: usize) -> Ipv4Addr {
         self.address(10, number)
     }
 
-    /// `backend` gives the address of a backend server.
+    /// Returns the address of a backend server.
     #[must_use]
     pub fn backend(&self, number: usize) -> SocketAddrV4 {
         SocketAddrV4::new(self.address(20, number), self.data_port)
     }
 
-    /// `caller` gives where the callers of a zone hear answers.
+    /// Returns the address at which the callers of a zone receive answers.
     #[must_use]
     pub fn caller(&self, zone: usize) -> SocketAddrV4 {
         SocketAddrV4::new(self.address(40, zone), self.data_port)
     }
 
-    /// `balancer_at` gives the number of the balancer with an address.
+    /// Returns the number of the balancer with an IP address, or `None` if no balancer has it.
     #[must_use]
     pub fn balancer_at(&self, ip: Ipv4Addr) -> Option<usize> {
         (0..self.balancers).find(|number| self.balancer(*number) == ip)
@@ -123,7 +125,8 @@
     }
 }
 
-/// `listen` gives a listener at a port of the kernel's.
+/// Binds a TCP listener on loopback, at a port that the kernel chooses, and returns it with its
+/// address.
 pub fn listen() -> io::Result<(TcpListener, SocketAddrV4)> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let port = listener.local_addr()?.port();
--- a/crates/valvestage-soak/src/site_store.rs
+++ b/crates/valvestage-soak/src/site_store.rs
@@ -1,4 +1,5 @@
-//! The store of a run: the stand-in, with what the site and its operator write.
+//! The store of a run: the platform stand-in, with the objects that backend servers and the
+//! operator write.
 
 use std::io;
 use std::net::TcpListener;
@@ -12,20 +13,20 @@
 
 use crate::site_plan::{Routes, SitePlan};
 
-/// Silence after which a flow may be forgotten, milliseconds.
+/// Idle time after which balancers may drop a flow's state, in milliseconds.
 const IDLE_TIMEOUT_MS: u64 = 15_000;
 
-/// Requests that a backend server works on at once.
+/// Requests that a backend server processes concurrently.
 const SLOTS: u32 = 3;
 
-/// `SiteStore` writes objects as the operator and the backend servers do.
+/// Store stand-in with methods that write objects as the operator and the backend servers do.
 #[derive(Clone, Default)]
 pub struct SiteStore {
     standin: PlatformStandin,
 }
 
 impl SiteStore {
-    /// `serve` answers calls on a listener until the process ends.
+    /// Starts a thread that serves API calls on `listener` until the process exits.
     pub fn serve(&self, listener: TcpListener) -> io::Result<()> {
         let standin = self.standin.clone();
         let serve = move || {
@@ -34,24 +35,24 @@
                 server.await
             });
             if let Err(error) = served {
-                log::error!("the store ends: {error}");
+                log::error!("the store's server failed: {error}");
             }
         };
 
         thread::Builder::new().name("store".into()).spawn(serve).map(drop)
     }
 
-    /// `misbehave` sets how the store misbehaves.
+    /// Replaces the store's injected faults by `faults`.
     pub fn misbehave(&self, faults: Faults) {
         self.standin.misbehave(faults);
     }
 
-    /// `forget_history` makes watches that began before fail.
+    /// Discards the history of changes, so that watches opened earlier fail.
     pub fn forget_history(&self) {
         self.standin.forget_history();
     }
 
-    /// `put_configuration` writes a configuration.
+    /// Writes the configuration object, replacing any earlier version.
     pub fn put_configuration(&self, version: ConfigurationVersion, routes: &Routes) {
         let routes = routes.iter().map(|(address, service)| (*address, *service));
         let spec = configuration_object(version, routes, IDLE_TIMEOUT_MS);
@@ -59,7 +60,8 @@
         self.standin.put_object(CONFIGURATION_KIND, "main", spec);
     }
 
-    /// `put_backend` writes the entry of a backend server.
+    /// Writes the entry of the backend server `instance` at `place`, replacing an earlier entry of
+    /// that instance.
     pub fn put_backend(
         &self,
         plan: &SitePlan,
@@ -75,19 +77,19 @@
         self.standin.put_object(BACKEND_KIND, &name_of(instance), object.value());
     }
 
-    /// `evacuate` writes that nothing new is to go to a zone.
+    /// Writes the evacuation object of `zone`, after which balancers send no new flows there.
     pub fn evacuate(&self, zone: usize) {
         let spec = Value::Object(Map::new());
 
         self.standin.put_object(EVACUATION_KIND, &SitePlan::zone_name(zone), spec);
     }
 
-    /// `take_back` removes that again.
+    /// Deletes the evacuation object of `zone`, which ends the evacuation.
     pub fn take_back(&self, zone: usize) {
         self.standin.delete_object(EVACUATION_KIND, &SitePlan::zone_name(zone));
     }
 
-    /// `delete_backend` removes the entry of a backend server.
+    /// Deletes the entry of a backend server.
     pub fn delete_backend(&self, instance: InstanceId) {
         self.standin.delete_object(BACKEND_KIND, &name_of(instance));
     }
--- a/crates/valvestage-soak/src/site_truth.rs
+++ b/crates/valvestage-soak/src/site_truth.rs
@@ -1,4 +1,4 @@
-//! What is true of the site, whatever balancers believe.
+//! Ground truth of the site, independent of what balancers believe.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -9,75 +9,77 @@
 use crate::promise::CONTACT;
 use crate::site_plan::Routes;
 
-/// `ConfigurationFact` is one configuration that the store took.
+/// Configuration as it should be in force from a time on.
 #[derive(Debug, Clone)]
 pub struct ConfigurationFact {
-    /// Its version.
+    /// Version that the configuration was written with.
     pub version: ConfigurationVersion,
-    /// When the store took it.
+    /// When the store accepted the configuration.
     pub at: Instant,
-    /// The service of each address.
+    /// Service that each service address is routed to.
     pub routes: Routes,
 }
 
-/// `ZoneFact` is one evacuation of a zone.
+/// Evacuation of a zone.
 #[derive(Debug, Clone, Copy)]
 pub struct ZoneFact {
-    /// The zone.
+    /// Number of the evacuated zone.
     pub zone: usize,
-    /// When the store took it.
+    /// When the store accepted the evacuation.
     pub asked_at: Instant,
-    /// When it was taken back; none: it was not.
+    /// When the evacuation was ended; `None` while it lasts.
     pub taken_back_at: Option<Instant>,
 }
 
-/// `BackendFact` is one incarnation of a backend server.
+/// Instance of a backend server, from its start on.
 #[derive(Debug, Clone)]
 pub struct BackendFact {
-    /// Its service.
+    /// Name of the service that the instance runs.
     pub service: &'static str,
-    /// Its zone.
+    /// Number of the instance's zone.
     pub zone: usize,
-    /// When the store took that it is leaving.
+    /// When the store accepted that the instance drains; `None` if it does not drain.
     pub draining_at: Option<Instant>,
-    /// When it ended.
+    /// When the instance stopped; `None` while it runs.
     pub ended_at: Option<Instant>,
-    /// When its entry appeared.
+    /// When the instance's entry was first written to the store.
     pub listed_at: Instant,
-    /// Until when it, or its links, count as disturbed.
+    /// Time until which the instance or its links count as disturbed.
     pub disturbed_until: Instant,
 }
 
-/// `BalancerFact` is one balancer.
+/// Disturbances and restarts of a balancer.
 #[derive(Debug, Clone, Copy)]
 pub struct BalancerFact {
-    /// Until when promises with a bound in time do not bind it.
+    /// Time until which promises with a time bound do not apply, because of faults or planned work.
     pub disturbed_until: Instant,
-    /// The same, but for planned work.
+    /// Time until which promises about flows do not apply, because of faults. Planned work does not
+    /// extend it.
     pub harmed_until: Instant,
-    /// Which of its lives this is.
+    /// Number of restarts so far.
     pub life: u32,
 }
 
-/// `SiteTruth` is what the run has done to the site.
+/// Record of everything that the run has done to the site.
 #[derive(Debug)]
 pub struct SiteTruth {
-    /// In the order of their versions; the first one is there from the beginning.
+    /// All configurations in ascending order of version; the first is written before balancers
+    /// start.
     pub configurations: Vec<ConfigurationFact>,
-    /// All incarnations there ever were.
+    /// All backend server instances of the run, also those that have stopped.
     pub backends: HashMap<InstanceId, BackendFact>,
-    /// In the order in which they were asked for; one at a time.
+    /// All evacuations in chronological order; at most one is in force at a time.
     pub evacuations: Vec<ZoneFact>,
-    /// By number.
+    /// State of each balancer, indexed by its number.
     pub balancers: Vec<BalancerFact>,
-    /// Until when the store counts as disturbed.
+    /// Time until which the store counts as disturbed.
     pub store_disturbed_until: Instant,
-    /// Until when nothing can be held against anyone: the soak itself stood still.
+    /// Time until which no violation counts, because a thread of the soak test itself stalled.
     pub stalled_until: Instant,
 }
 
 impl SiteTruth {
-    /// `new` knows a site without backend servers, all of whose balancers start now.
+    /// Creates the record of a site without backend servers, whose balancers all start at `now`.
     #[must_use]
     pub fn new(balancers: usize, now: Instant) -> Self {
         let until = now + CONTACT;
@@ -93,7 +95,8 @@
         }
     }
 
-    /// `disturb_balancer` takes in that something happens to a balancer until a time.
+    /// Records that a fault or planned work affects a balancer until a time. The balancer counts as
+    /// disturbed for [`CONTACT`] longer.
     pub fn disturb_balancer(&mut self, number: usize, until: Instant, planned: bool) {
         let fact = &mut self.balancers[number];
         let until = until + CONTACT;
@@ -104,31 +107,32 @@
         }
     }
 
-    /// `disturb_balancers` does so for all.
+    /// Records that a fault affects all balancers until a time.
     pub fn disturb_balancers(&mut self, until: Instant) {
         for number in 0..self.balancers.len() {
             self.disturb_balancer(number, until, false);
         }
     }
 
-    /// `disturb_backend` takes in that something happens to a backend server or its links.
+    /// Records that a fault affects a backend server or its links until a time.
     pub fn disturb_backend(&mut self, instance: InstanceId, until: Instant) {
         if let Some(fact) = self.backends.get_mut(&instance) {
             fact.disturbed_until = fact.disturbed_until.max(until + CONTACT);
         }
     }
 
-    /// `disturb_store` takes in that something happens to the store.
+    /// Records that a fault affects the store until a time.
     pub fn disturb_store(&mut self, until: Instant) {
         self.store_disturbed_until = self.store_disturbed_until.max(until + CONTACT);
     }
 
-    /// `on_stall` takes in that the soak stood still until a time.
+    /// Records that a thread of the soak test stalled until a time.
     pub fn on_stall(&mut self, until: Instant) {
         self.stalled_until = self.stalled_until.max(until + CONTACT);
     }
 
-    /// `is_in_touch` tells whether promises with a bound in time bind a balancer.
+    /// Reports whether promises with a time bound apply to a balancer: neither it nor the store is
+    /// disturbed, and the soak test itself has not stalled.
     #[must_use]
     pub fn is_in_touch(&self, balancer: usize, at: Instant) -> bool {
         let fact = &self.balancers[balancer];
@@ -136,13 +140,14 @@
         at > fact.disturbed_until && at > self.store_disturbed_until && at > self.stalled_until
     }
 
-    /// `is_unharmed` tells whether promises about flows bind a balancer.
+    /// Reports whether promises about flows apply to a balancer: no fault affects it, and the soak
+    /// test itself has not stalled. Planned work does not count.
     #[must_use]
     pub fn is_unharmed(&self, balancer: usize, at: Instant) -> bool {
         at > self.balancers[balancer].harmed_until && at > self.stalled_until
     }
 
-    /// `was_evacuated` tells whether a zone was evacuated all the time between two.
+    /// Reports whether a zone was evacuated without interruption from `from` to `until`.
     #[must_use]
     pub fn was_evacuated(&self, zone: usize, from: Instant, until: Instant) -> bool {
         self.evacuations.iter().any(|fact| {
@@ -151,7 +156,7 @@
         })
     }
 
-    /// `lives` tells whether a backend server lives, undisturbed.
+    /// Reports whether a backend server runs at a time and is not disturbed.
     #[must_use]
     pub fn lives(&self, instance: InstanceId, at: Instant) -> bool {
         self.backends
@@ -159,8 +164,8 @@
             .is_some_and(|fact| fact.ended_at.is_none() && at > fact.disturbed_until)
     }
 
-    /// `services_between` gives the services to which an address led at some time between two; none
-    /// stands for no route.
+    /// Returns the service of an address under each configuration in force at some time from `from`
+    /// to `until`; `None` for a configuration without a route of the address.
     #[must_use]
     pub fn services_between(
         &self,
@@ -173,8 +178,8 @@
         in_force.map(|fact| fact.routes.get(&address).copied()).collect()
     }
 
-    /// `versions_leading` gives the versions that led an address to a service at some time between
-    /// two, or up to the second.
+    /// Returns, in ascending order, the versions in force at some time from `from` to `until` that
+    /// route an address to a service. Without `from`, all versions up to `until` count.
     #[must_use]
     pub fn versions_leading(
         &self,
@@ -200,7 +205,7 @@
         self.configurations[first..].iter().filter(move |fact| fact.at <= until)
     }
 
-    /// `has_led` tells whether an address led to a service under any configuration.
+    /// Reports whether any configuration so far has routed an address to a service.
     #[must_use]
     pub fn has_led(&self, address: SocketAddrV4, service: &str) -> bool {
         self.configurations.iter().any(|fact| fact.routes.get(&address) == Some(&service))
--- a/crates/valvestage-soak/src/soak_options.rs
+++ b/crates/valvestage-soak/src/soak_options.rs
@@ -1,4 +1,4 @@
-//! What a run is like.
+//! Options of a run.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -7,31 +7,31 @@
 
 use crate::fault_kind::FaultKind;
 
-/// `SoakOptions` says what a run is like.
+/// Options of one run.
 #[derive(Debug, Clone)]
 pub struct SoakOptions {
-    /// The balancer's program.
+    /// Path of the balancer's executable.
     pub program: PathBuf,
-    /// Where settings and logs go.
+    /// Folder for the balancers' settings files and logs; created if it does not exist.
     pub folder: PathBuf,
-    /// Seed of all draws.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// How long faults begin.
+    /// Length of the fault phase; no fault begins later.
     pub faults_for: Duration,
-    /// Balancers; at least one in each zone.
+    /// Number of balancers; at least one in each zone.
     pub balancers: usize,
-    /// Backend servers; two services in each zone.
+    /// Number of backend servers; enough that each zone has both services.
     pub backends: usize,
-    /// New flows a second of the whole site.
+    /// New flows per second over the whole site.
     pub flows_per_second: u32,
-    /// The kinds of faults that are drawn.
+    /// Kinds of faults to draw from.
     pub kinds: Vec<FaultKind>,
-    /// Whether promises with a bound in time are checked. On a machine whose other work is not known
-    /// they cannot be.
+    /// Whether promises with a time bound are checked. They cannot be on a VM with unknown other
+    /// load, which may delay balancers beyond any bound.
     pub timed: bool,
-    /// Ends the run early when it is set; balancers are ended with it.
+    /// Ends the run early when set to true; the balancers are killed as well.
     pub stop: Arc<AtomicBool>,
-    /// What is spoiled on purpose, so that a test can show that a check is able to fail.
+    /// Defect injected on purpose, so that a test can show that a check is able to fail.
     pub sabotage: Option<Sabotage>,
 }
 
@@ -53,31 +53,31 @@
     }
 }
 
-/// `Sabotage` takes one mechanism away.
+/// Defect that disables or corrupts one mechanism, to test the checks themselves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sabotage {
-    /// Balancers are not told that backend servers drain or change.
+    /// Draining and deletion of backend servers are not written to the store.
     HideBackends,
-    /// Balancers are not told of configurations after the first.
+    /// Configurations after the first are not written to the store.
     HideConfigurations,
-    /// Balancers are told of configurations that do not have the steady route.
+    /// Configurations after the first are written without the route of the steady address.
     DropRoute,
-    /// Balancers are told newer versions with older routes.
+    /// Newer configuration versions are written with older routes than they should have.
     RollBack,
-    /// Balancers are told that each backend server runs the other service.
+    /// Each backend server's entry names the other service.
     SwapServices,
-    /// Packets without data go to another backend server.
+    /// Packets without data, other than opening packets, arrive at another backend server.
     Misroute,
-    /// Packets are changed on their way to backend servers.
+    /// Packets are corrupted on their way to backend servers.
     SpoilPackets,
-    /// Answers are changed on their way to callers.
+    /// Answers are corrupted on their way to callers.
     SpoilAnswers,
-    /// Requests are run once more.
+    /// Each request is reported as executed twice.
     RunTwice,
-    /// Callers get resets that no balancer decided on.
+    /// Callers treat packets with data as resets by a balancer.
     ForgeResets,
-    /// Killed balancers are not started again.
+    /// Killed balancers are not restarted.
     LeaveDead,
-    /// A balancer is ended behind the run's back.
+    /// Kills of balancers are not recorded as intended, so that they look like crashes.
     EndUnseen,
 }
--- a/crates/valvestage-soak/src/soak_report.rs
+++ b/crates/valvestage-soak/src/soak_report.rs
@@ -1,4 +1,4 @@
-//! What a run has shown.
+//! Report of a run.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,36 +8,36 @@
 use crate::fault_kind::FaultKind;
 use crate::promise_checker::{CheckResults, RequestTally};
 
-/// `SoakEvent` is something that the run did.
+/// Action that the run took, such as the start of a fault.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct SoakEvent {
-    /// Seconds from the beginning of the faults.
+    /// Seconds since the start of the fault phase.
     pub at_s: f64,
-    /// What.
+    /// Description of the action.
     pub text: String,
 }
 
-/// `SoakReport` is what a run has shown.
+/// Result of a run, printed and written to `report.json`.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct SoakReport {
-    /// Its seed.
+    /// Seed that the faults were drawn from.
     pub seed: u64,
-    /// Balancers, each a process.
+    /// Number of balancers, each a process.
     pub balancers: usize,
-    /// How often balancers were started.
+    /// Number of process starts, over all balancers.
     pub starts: u32,
-    /// Faults by kind.
+    /// Number of injected faults by kind.
     pub faults: BTreeMap<FaultKind, u32>,
-    /// Faults that lasted at the same time, at most.
+    /// Largest number of faults active at the same time.
     pub overlap: usize,
-    /// What was found.
+    /// Results of the checks.
     pub results: CheckResults,
-    /// What the run did, in order.
+    /// Actions of the run in chronological order.
     pub events: Vec<SoakEvent>,
 }
 
 impl SoakReport {
-    /// `is_clean` tells whether every promise was kept.
+    /// Reports whether every checked promise was kept.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.results.broken_count == 0
--- a/crates/valvestage-soak/src/soak_run.rs
+++ b/crates/valvestage-soak/src/soak_run.rs
@@ -1,4 +1,4 @@
-//! One run: faults by their plan, then calm, then what was shown.
+//! One run: faults as planned, a recovery phase without faults, and the report.
 
 mod fault_effects;
 mod site_changes;
@@ -27,39 +27,39 @@
 use crate::soak_site::SoakSite;
 use crate::store_relay::StoreLinkState;
 
-/// Time between two turns of the run.
+/// Time between two iterations of the run's loop.
 const TURN: Duration = Duration::from_millis(10);
 
-/// Undisturbed time before the first fault: balancers have to keep promises from then on.
+/// Undisturbed time before the first fault, long enough that all promises apply when it begins.
 const CALM_BEFORE: Duration = Duration::from_secs(5);
 
-/// Time from the start of a process to its readiness, generously.
+/// Generous estimate of the time from the start of a process to its readiness.
 const START_TIME: Duration = Duration::from_secs(1);
 
-/// Pause between the end of a process and its next start.
+/// Pause between the exit of a process and its restart.
 const RESTART_AFTER: Duration = Duration::from_millis(300);
 
-/// Requests that tell whether callers are served again.
+/// Number of requests that decides whether callers are served again after the faults.
 const RECOVERY_SAMPLE: u64 = 100;
 
-/// Share of them that has to be answered.
+/// Share of these requests that has to be answered.
 const RECOVERY_SHARE: f64 = 0.9;
 
-/// Longest wait for that where bounds in time are not checked.
+/// Longest wait for recovery in runs that do not check time bounds.
 const RECOVERY_GIVE_UP: Duration = Duration::from_secs(60);
 
-/// What the run is about to do with a balancer.
+/// State that the run has put a balancer into.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum BalancerDuty {
-    /// It runs, and is not to end.
+    /// The balancer runs and must not exit.
     Run,
-    /// It was killed.
+    /// The run has killed the balancer.
     Killed,
-    /// It was told to stop.
+    /// The run has sent SIGTERM to the balancer.
     Stopping,
 }
 
-/// What is to be done at a later time.
+/// Action scheduled for a later time, such as the end of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LaterStep {
     StartBalancer { number: usize, planned: bool },
@@ -74,18 +74,18 @@
     TakeBack { zone: usize },
 }
 
-/// `SoakRun` plays one run.
+/// State of one run: the site, its ground truth, the checker and the scheduled actions.
 pub struct SoakRun {
     options: SoakOptions,
     site: SoakSite,
-    /// Whether this thread stood still: what it was to do was done late.
+    /// Detects stalls of this thread, which delay its scheduled actions.
     stalls: StallWatch,
     truth: SiteTruth,
     checker: PromiseChecker,
     places: BackendPlaces,
     duties: Vec<BalancerDuty>,
     later: Vec<(Instant, LaterStep)>,
-    /// Faults of the store that last, with their ends.
+    /// Active faults of the store, with the time at which each ends.
     store_faults: Vec<(Instant, FaultKind)>,
     draws: Draws,
     version: ConfigurationVersion,
@@ -95,7 +95,8 @@
     counts: BTreeMap<FaultKind, u32>,
 }
 
-/// `run` plays one run.
+/// Runs one seed from start to recovery. Returns the report, or an error if the run could not
+/// complete.
 pub fn run(options: SoakOptions) -> Result<SoakReport, SoakError> {
     let mut run = SoakRun::start(options)?;
 
@@ -134,12 +135,12 @@
         run.site.start_balancers()?;
         run.truth.disturb_balancers(Instant::now());
         run.site.start_callers(&run.options)?;
-        // The start of processes takes its time.
+        // Starting the processes takes longer than a stall, so detection begins anew.
         run.stalls = run.site.stall_watch();
         Ok(run)
     }
 
-    /// Begins each fault at its time.
+    /// Begins each fault at its planned time, and waits for the end of the fault phase.
     fn play(&mut self, faults: &[PlannedFault]) -> Result<(), SoakError> {
         self.turn_until(Instant::now() + CALM_BEFORE)?;
         self.began = Instant::now();
@@ -152,7 +153,7 @@
         self.turn_until(self.began + self.options.faults_for)
     }
 
-    /// Waits until callers are served again.
+    /// Waits until all faults have ended, then checks that callers are served again.
     fn recover(&mut self) -> Result<(), SoakError> {
         self.note("calm".to_owned());
         while !self.later.is_empty() || !self.store_faults.is_empty() {
@@ -177,7 +178,7 @@
         Ok(())
     }
 
-    /// Whatever was killed or told to stop has ended and runs again.
+    /// Checks that every balancer that was killed or told to stop has exited and runs again.
     fn expect_all_back(&mut self, give_up: Instant) -> Result<(), SoakError> {
         let is_back = |run: &Self| run.duties.iter().all(|duty| *duty == BalancerDuty::Run);
         while !is_back(self) && Instant::now() < give_up {
@@ -187,7 +188,7 @@
         let is_kept = is_back(self);
         let duties = self.duties.clone();
         self.checker.expect(Promise::NoOwnEnd, is_kept, Instant::now(), || {
-            format!("not all balancers are back: {duties:?}")
+            format!("not all balancers run again: {duties:?}")
         });
         Ok(())
     }
@@ -211,7 +212,7 @@
         Ok(())
     }
 
-    /// Takes in what was seen for a moment, and does what is due.
+    /// Processes observations for one interval, then executes the actions that are due.
     fn turn(&mut self) -> Result<(), SoakError> {
         if self.options.stop.load(Ordering::Relaxed) {
             return Err(SoakError::Stopped);
@@ -274,20 +275,20 @@
 
     fn look_at_balancers(&mut self, now: Instant) -> Result<(), SoakError> {
         for number in 0..self.site.balancers.len() {
-            let end = self.site.balancers[number].take_end().map_err(at("look at a balancer"))?;
+            let end = self.site.balancers[number].take_end().map_err(at("wait for a balancer"))?;
             let Some(status) = end else { continue };
             let planned = self.duties[number] == BalancerDuty::Stopping;
             let is_right = match self.duties[number] {
                 BalancerDuty::Run => false,
                 BalancerDuty::Killed => true,
-                // Before its program runs, nothing in a process can handle the signal.
+                // SIGTERM ends a process that has not installed its handler yet, which is no fault.
                 BalancerDuty::Stopping => {
                     status.success() || now < self.site.balancers[number].started() + START_TIME
                 }
             };
 
             self.checker.expect(Promise::NoOwnEnd, is_right, now, || {
-                format!("balancer {number} ended: {status}")
+                format!("balancer {number} exited: {status}")
             });
             if self.duties[number] != BalancerDuty::Killed {
                 let step = LaterStep::StartBalancer { number, planned };
@@ -301,14 +302,15 @@
         self.site.balancers[number].signal(signal).map_err(at("signal a balancer"))
     }
 
-    /// A command to a thread that has ended would come too late anyway.
+    /// Sends a command to the backend servers' thread. If that thread has ended, only logs it: the
+    /// command would come too late in any case.
     fn command(&self, command: BackendCommand) {
         if self.site.commands.send(command).is_err() {
-            log::error!("the backend servers have ended");
+            log::error!("command dropped: the thread of the backend servers has ended");
         }
     }
 
-    /// The store misbehaves by all faults that last.
+    /// Removes expired faults of the store, and applies the remaining ones together.
     fn step_store(&mut self, now: Instant) {
         const SLOW_MS: u64 = 300;
         const LAG: u64 = 3;
@@ -324,7 +326,7 @@
     }
 }
 
-/// How many faults last at the same time, at most.
+/// Returns the largest number of faults that are active at the same time.
 fn overlap(faults: &[PlannedFault]) -> usize {
     let lasting = |at: Duration| {
         faults.iter().filter(|fault| fault.at <= at && at < fault.at + fault.lasts).count()
--- a/crates/valvestage-soak/src/soak_run/fault_effects.rs
+++ b/crates/valvestage-soak/src/soak_run/fault_effects.rs
@@ -1,4 +1,4 @@
-//! What each fault does to the site.
+//! Effects of each kind of fault on the site.
 
 use std::time::{Duration, Instant};
 
@@ -16,22 +16,23 @@
 use crate::soak_options::Sabotage;
 use crate::store_relay::StoreLinkState;
 
-/// Silence after which the entry of a backend server goes.
+/// Time after a backend server falls silent at which its entry expires from the store.
 const LAPSE_AFTER: Duration = Duration::from_millis(2_300);
 
-/// Time for which a draining backend server serves on.
+/// Time for which a draining backend server continues to serve.
 const DRAIN_TIME: Duration = Duration::from_secs(4);
 
-/// Time after which an address may go to another backend server.
+/// Time after a backend server's end during which its address is not assigned to another one.
 const REUSE_AFTER: Duration = Duration::from_secs(2);
 
-/// How much longer a zone is evacuated than other faults last, so that promises with a bound are put to the test.
+/// Addition to a fault's duration for evacuations, so that they outlast the bound within which a
+/// zone must stop getting new flows.
 const EVACUATED_FOR: Duration = Duration::from_secs(5);
 
-/// Configurations of a storm.
+/// Number of configurations in a storm.
 const STORM_LENGTH: u32 = 6;
 
-/// Time between two of them.
+/// Time between two configurations of a storm.
 const STORM_GAP: Duration = Duration::from_millis(330);
 
 impl SoakRun {
@@ -179,8 +180,8 @@
         self.later.push((until, LaterStep::ReopenRelay(number)));
     }
 
-    /// Entries of some backend servers lapse in a long outage. They are back within two seconds of
-    /// its end, and the backend servers have lived all the time.
+    /// Takes the store down. In a long outage, entries of some backend servers expire although
+    /// these keep running; the entries are written again less than two seconds after its end.
     fn store_down(&mut self, fault: &PlannedFault, until: Instant) {
         const BACK_AFTER: Duration = Duration::from_millis(1_200);
         let now = Instant::now();
@@ -208,7 +209,7 @@
         let service = self.places.get(place).service;
         self.places.occupy(place, starts_at + TURN);
 
-        // Nothing but its silence tells of it until its entry goes.
+        // Until its entry expires, the backend server's silence is the only sign of its crash.
         self.end_backend(place, now);
         self.later.push((deleted_at, LaterStep::DeleteEntry { place }));
         self.later.push((starts_at, LaterStep::StartBackend { place, service }));
@@ -238,7 +239,7 @@
         self.later.push((until, LaterStep::BehaveAgain { place }));
     }
 
-    /// The operator evacuates a zone, unless one is evacuated.
+    /// Evacuates a zone as the operator does, unless an evacuation is already in force.
     fn evacuate(&mut self, zone: usize, until: Instant) {
         if self.truth.evacuations.last().is_some_and(|fact| fact.taken_back_at.is_none()) {
             return;
@@ -257,7 +258,8 @@
         self.site.store.take_back(zone);
     }
 
-    /// A backend server that loses the store is taken for gone, and its flows may be ended.
+    /// Deletes the entry of a running backend server until a time. Balancers then treat the backend
+    /// server as stopped and may end its flows.
     fn unlist_backend(&mut self, target: usize, until: Instant) {
         let Some(place) = self.disturb_backend(target, until) else { return };
 
@@ -265,8 +267,8 @@
         self.later.push((until, LaterStep::ListAgain { place }));
     }
 
-    /// A backend server that nothing else happens to until then, and its place; none if there is no
-    /// such one.
+    /// Marks an idle backend server as disturbed and its place as busy until a time. Returns the
+    /// place, or `None` if no backend server is idle.
     fn disturb_backend(&mut self, target: usize, until: Instant) -> Option<usize> {
         let place = self.places.idle_place(target, Instant::now())?;
 
--- a/crates/valvestage-soak/src/soak_run/site_changes.rs
+++ b/crates/valvestage-soak/src/soak_run/site_changes.rs
@@ -1,4 +1,5 @@
-//! Changes of backend servers and configurations, as the site makes them and the store tells them.
+//! Changes of backend servers and configurations, recorded in the ground truth and written to the
+//! store.
 
 use std::time::Instant;
 
@@ -11,7 +12,7 @@
 use crate::soak_options::Sabotage;
 
 impl SoakRun {
-    /// A backend server starts at a place and writes its entry.
+    /// Starts the backend server instance that is assigned to a place, and writes its entry.
     pub(super) fn list_backend(&mut self, place: usize) {
         let entry = self.places.get(place);
         let now = Instant::now();
@@ -29,7 +30,7 @@
         self.write_entry(place, false);
     }
 
-    /// A backend server ends without a word; its entry is still there.
+    /// Stops a backend server without notice; its entry stays in the store.
     pub(super) fn end_backend(&mut self, place: usize, now: Instant) {
         self.command(BackendCommand::End(place));
 
@@ -54,8 +55,8 @@
         self.site.store.put_backend(&self.site.plan, place, entry.instance, service, is_draining);
     }
 
-    /// Each configuration changes where one address leads, and every second one whether another one
-    /// leads anywhere. Versions rise in uneven steps.
+    /// Writes the next configuration. Each one changes the service of the switching address, and
+    /// every second one adds or removes the route of the third address. Versions rise by 1 to 4.
     pub(super) fn write_configuration(&mut self) {
         let number = self.configurations as usize;
         self.configurations += 1;
@@ -76,7 +77,8 @@
     }
 }
 
-/// What the store is told of a configuration, where that is spoiled on purpose.
+/// Returns the routes to write to the store, or `None` to write nothing. They differ from the
+/// expected `routes` only if a run corrupts configurations on purpose.
 fn told_routes(sabotage: Option<Sabotage>, number: usize, routes: &mut Routes) -> Option<Routes> {
     let mut told = routes.clone();
 
@@ -85,7 +87,8 @@
         Some(Sabotage::DropRoute) if number > 0 => {
             told.remove(&STEADY);
         }
-        // What is true stays as the second one made it.
+        // The expected route stays that of the second configuration, while the written one
+        // alternates.
         Some(Sabotage::RollBack) if number > 0 => {
             routes.insert(SWITCHING, SERVICES[1]);
         }
--- a/crates/valvestage-soak/src/soak_site.rs
+++ b/crates/valvestage-soak/src/soak_site.rs
@@ -1,4 +1,4 @@
-//! A site on one machine: real balancers, and threads that play everything around them.
+//! A site on one VM: real balancers, and threads that simulate everything around them.
 
 use std::fs;
 use std::io;
@@ -23,50 +23,50 @@
 use crate::soak_options::SoakOptions;
 use crate::store_relay::StoreRelay;
 
-/// Balancers named in the settings of each.
+/// Number of other balancers that each balancer's settings name as seeds.
 const SEEDS: usize = 3;
 
-/// Longest wait for all balancers to become ready at the beginning.
+/// Longest wait for all balancers to become ready after their first start.
 const READY_WITHIN: Duration = Duration::from_secs(60);
 
-/// Lines of each balancer's log that an error shows.
+/// Number of lines of each balancer's log that an error shows.
 const SHOWN_LINES: usize = 40;
 
-/// Time between two looks at what is awaited.
+/// Polling interval while balancers become ready.
 const LOOK_AGAIN: Duration = Duration::from_millis(20);
 
-/// `SoakSite` holds what the run acts on. Threads end with it.
+/// Processes, threads and shared tables that the run acts on. Dropping it stops them.
 pub struct SoakSite {
-    /// All addresses.
+    /// Addresses and ports of the site.
     pub plan: SitePlan,
-    /// The store.
+    /// Store that all balancers use.
     pub store: SiteStore,
-    /// The store's relay of each balancer.
+    /// Relay between each balancer and the store, indexed by the balancer's number.
     pub relays: Vec<StoreRelay>,
-    /// What happens to datagrams.
+    /// Active faults on datagram links.
     pub links: LinkTable,
-    /// Which balancers get flows.
+    /// Health of balancers as the routers see it.
     pub router: RouterTable,
-    /// The processes.
+    /// Balancer processes, indexed by number.
     pub balancers: Vec<BalancerProcess>,
-    /// Changes backend servers.
+    /// Sends commands to the backend servers' thread.
     pub commands: Sender<BackendCommand>,
-    /// What is seen.
+    /// Receives the observations of callers, backend servers and stall detectors.
     pub observations: Receiver<Observation>,
-    /// What balancers have sent each other.
+    /// Bytes that each balancer has sent to other balancers.
     pub sent_bytes: SentBytes,
     observe: Sender<Observation>,
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
-    /// Runs the store's relays.
+    /// Runtime of the store's relays; kept so that they run until the site is dropped.
     _runtime: tokio::runtime::Runtime,
 }
 
 impl SoakSite {
-    /// `start` starts everything but balancers and callers.
+    /// Starts the store, the relays and the backend servers, and writes the balancers' settings.
     pub fn start(options: &SoakOptions) -> Result<Self, SoakError> {
-        fs::create_dir_all(&options.folder).map_err(at("make the folder"))?;
-        let plan = SitePlan::new(options.balancers, options.backends).map_err(at("draw ports"))?;
+        fs::create_dir_all(&options.folder).map_err(at("create the folder"))?;
+        let plan = SitePlan::new(options.balancers, options.backends).map_err(at("find ports"))?;
         let store = SiteStore::default();
         let (listener, store_address) = listen().map_err(at("listen for the store"))?;
         store.serve(listener).map_err(at("start the store"))?;
@@ -94,7 +94,7 @@
             plan: plan.clone(),
         };
         for number in 0..plan.balancers {
-            site.add_balancer(options, number, store_address).map_err(at("set a balancer up"))?;
+            site.add_balancer(options, number, store_address).map_err(at("set up a balancer"))?;
         }
         let links = || site.links.clone();
         let relay = PeerRelay::bind(plan.clone(), links(), site.sent_bytes.clone(), options.seed);
@@ -106,13 +106,14 @@
         Ok(site)
     }
 
-    /// `stall_watch` notices whether a thread stands still from now on.
+    /// Returns a detector for stalls of the calling thread, starting now.
     #[must_use]
     pub fn stall_watch(&self) -> StallWatch {
         StallWatch::new(self.observe.clone())
     }
 
-    /// `start_balancers` starts all balancers and waits until they are ready.
+    /// Starts all balancers and their routers' probes, and waits until the routers see all of them
+    /// ready.
     pub fn start_balancers(&mut self) -> Result<(), SoakError> {
         for balancer in &mut self.balancers {
             balancer.start().map_err(at("start a balancer"))?;
@@ -141,7 +142,7 @@
         Ok(())
     }
 
-    /// `start_callers` lets callers begin.
+    /// Starts the thread that generates the callers' load.
     pub fn start_callers(&mut self, options: &SoakOptions) -> Result<(), SoakError> {
         let callers =
             CallerLoad::bind(self.plan.clone(), self.router.clone(), self.observe.clone(), options)
@@ -150,7 +151,8 @@
         self.spawn("callers", |stop| callers.run(&stop))
     }
 
-    /// `settings` gives the settings of a balancer; the turn shifts which others it names.
+    /// Returns the text of a balancer's settings. `turn` shifts which other balancers are named as
+    /// seeds.
     #[must_use]
     pub fn settings(&self, number: usize, turn: usize, store: SocketAddrV4) -> String {
         let plan = &self.plan;
@@ -200,7 +202,7 @@
         let stop = self.stop.clone();
         let work = move || {
             if let Err(error) = work(stop) {
-                log::error!("the thread {name} ends: {error}");
+                log::error!("thread {name} failed: {error}");
             }
         };
 
@@ -216,7 +218,7 @@
 
         for thread in self.threads.drain(..) {
             if thread.join().is_err() {
-                log::error!("a thread of the soak panicked");
+                log::error!("a thread of the soak test panicked");
             }
         }
     }
--- a/crates/valvestage-soak/src/store_relay.rs
+++ b/crates/valvestage-soak/src/store_relay.rs
@@ -1,4 +1,4 @@
-//! Connections of one balancer to the store, through a relay that breaks them.
+//! Relay of one balancer's connections to the store, which can break them.
 
 use std::io;
 use std::net::{SocketAddrV4, TcpListener};
@@ -9,62 +9,63 @@
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
-/// Bytes passed on at once.
+/// Largest number of bytes relayed at once.
 const CHUNK: usize = 16 * 1024;
 
-/// What a balancer hears that the store turns away. Calls have no body and come in one piece.
+/// Response to a refused call. The relay sends one for each chunk that it reads, because a call has
+/// no body and arrives in one chunk.
 const REFUSAL: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n";
 
-/// The balancer's end, written to by the store's answers and by refusals.
+/// Write half of the balancer's connection, shared by the store's answers and by refusals.
 type SharedWriteHalf = Arc<tokio::sync::Mutex<OwnedWriteHalf>>;
 
-/// `StoreLinkState` is what the relay does with connections.
+/// State of a relay, which decides what happens to its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum StoreLinkState {
-    /// Passes everything on.
+    /// Relays everything.
     #[default]
     Open,
-    /// Passes everything on, later.
+    /// Relays everything, each chunk after this delay.
     Slow(Duration),
-    /// Ends connections, and new ones at once.
+    /// Closes a connection at its next chunk, and new connections at once.
     Resetting,
-    /// Answers each call itself: too busy.
+    /// Answers each call itself with status 503.
     Refusing,
-    /// Passes calls on, but no answers.
+    /// Relays calls, but not their answers.
     AnswersLost,
-    /// Passes nothing on. Connections that had something to pass then stay silent for good.
+    /// Relays nothing. A connection on which something was sent in this state stays silent for
+    /// good.
     Silent,
 }
 
-/// `StoreRelay` stands between one balancer and the store.
+/// Relay between one balancer and the store. Clones share their state.
 #[derive(Clone)]
 pub struct StoreRelay {
     address: SocketAddrV4,
     state: Arc<Mutex<StoreLinkState>>,
-    /// Sent to connections that are to fall silent for good.
+    /// Notifies open connections that they have to fall silent for good.
     silence: Arc<tokio::sync::Notify>,
 }
 
 impl StoreRelay {
-    /// `new` is a relay at an address.
+    /// Creates an open relay; `address` is that of the listener given to [`Self::serve`].
     #[must_use]
     pub fn new(address: SocketAddrV4) -> Self {
         Self { address, state: Arc::default(), silence: Arc::default() }
     }
 
-    /// `address` gives where it takes connections.
+    /// Returns the address at which balancers connect to the relay.
     #[must_use]
     pub fn address(&self) -> SocketAddrV4 {
         self.address
     }
 
-    /// `set` changes what the relay does.
+    /// Changes the state, also for connections that are open.
     pub fn set(&self, state: StoreLinkState) {
         *self.state.lock().unwrap_or_else(PoisonError::into_inner) = state;
     }
 
-    /// `silence_open` makes the connections that are open pass nothing more, without ending them; new
-    /// ones work.
+    /// Makes all open connections silent for good without closing them. New connections work.
     pub fn silence_open(&self) {
         self.silence.notify_waiters();
     }
@@ -73,7 +74,8 @@
         *self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// `serve` passes connections on, for as long as the runtime lives.
+    /// Accepts connections and relays them to the store, until the runtime is dropped or an error
+    /// occurs.
     pub async fn serve(self, listener: TcpListener, store: SocketAddrV4) -> io::Result<()> {
         listener.set_nonblocking(true)?;
         let listener = tokio::net::TcpListener::from_std(listener)?;
@@ -94,7 +96,8 @@
         }
     }
 
-    /// Passes one direction on until it is silenced; its ends stay open then.
+    /// Relays one direction until it ends or the connection is silenced. In the latter case the
+    /// task waits forever, so that both sockets stay open.
     async fn pass(self, direction: impl Future<Output = ()>) {
         let mut direction = std::pin::pin!(direction);
 
@@ -104,7 +107,7 @@
         }
     }
 
-    /// Passes calls on until their connection ends. An error means that one end has gone.
+    /// Relays calls until the connection ends. An error means that one of its sides was closed.
     async fn pass_calls(
         self,
         mut from: OwnedReadHalf,
@@ -116,7 +119,7 @@
         while let Ok(length @ 1..) = from.read(&mut chunk).await {
             let written = match self.hold().await {
                 StoreLinkState::Resetting => return,
-                // Both ends stay open and hear nothing more.
+                // Both sockets stay open and get nothing more.
                 StoreLinkState::Silent => return std::future::pending().await,
                 StoreLinkState::Refusing => answers.lock().await.write_all(REFUSAL).await,
                 _ => to.write_all(&chunk[..length]).await,
@@ -127,7 +130,7 @@
         }
     }
 
-    /// Passes answers on in the same way.
+    /// Relays answers until the connection ends, as for calls.
     async fn pass_answers(self, mut from: OwnedReadHalf, to: SharedWriteHalf) {
         let mut chunk = vec![0; CHUNK];
 
@@ -145,7 +148,7 @@
         }
     }
 
-    /// Waits as long as what passes is late, and gives the state that it meets.
+    /// Returns the state on entry, after waiting for the delay that it imposes.
     async fn hold(&self) -> StoreLinkState {
         let state = self.state();
 
--- a/crates/valvestage-soak/tests/observation.rs
+++ b/crates/valvestage-soak/tests/observation.rs
@@ -1,4 +1,4 @@
-//! Taking in what is seen.
+//! Receiving observations with a time limit.
 
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,8 @@
 #[test]
 fn what_comes_meanwhile_is_left_for_the_next_call() {
     const WAITING: usize = 10;
-    // What the endless loop of a run that never ends would see.
+    // Ends the loop of an implementation that drains the queue although new observations keep
+    // arriving.
     const GIVE_UP: usize = 1_000;
     let (sender, receiver) = unbounded();
     for _ in 0..WAITING {
--- a/crates/valvestage-soak/tests/plan.rs
+++ b/crates/valvestage-soak/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Faults are drawn from the seed alone.
+//! Fault plans are a function of the seed, fit into the run and cover all kinds.
 
 use std::time::Duration;
 
--- a/crates/valvestage-soak/tests/process_logs.rs
+++ b/crates/valvestage-soak/tests/process_logs.rs
@@ -1,4 +1,4 @@
-//! Logs of balancers that a run could not wait for.
+//! Log excerpts in the error for balancers that did not become ready.
 
 use std::path::Path;
 use std::thread;
@@ -10,7 +10,7 @@
 fn an_error_shows_the_last_lines_of_each_balancer() {
     let folder = std::env::temp_dir().join(format!("valvestage-soak-logs-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    // It writes its arguments, and ends.
+    // Stands in for the balancer: prints its arguments and exits.
     let mut process = BalancerProcess::new(Path::new("/bin/echo"), &folder, 2, "").unwrap();
     for _ in 0..3 {
         process.start().unwrap();
--- a/crates/valvestage-soak/tests/seeds.rs
+++ b/crates/valvestage-soak/tests/seeds.rs
@@ -1,4 +1,4 @@
-//! The list of seeds that once failed.
+//! The list of seeds of known failures.
 
 use std::path::Path;
 
