--- a/crates/valvestage-soak/src/backend_places.rs
+++ b/crates/valvestage-soak/src/backend_places.rs
@@ -9,10 +9,10 @@
 
 /// Smallest number of places with which each zone has both services: every fourth place of a zone
 /// has the second one.
-pub const LEAST_BACKENDS: usize = 12;
+pub const MIN_BACKENDS: usize = 12;
 
 /// Smallest number of backend servers that a service keeps when places change to the other service.
-const LEAST: usize = 3;
+const MIN_PER_SERVICE: usize = 3;
 
 /// Instance at one place.
 #[derive(Debug, Clone, Copy)]
@@ -22,7 +22,7 @@
     /// Name of the service that the instance runs.
     pub service: &'static str,
     /// Time until which the place is reserved for a fault in progress.
-    pub busy_until: Instant,
+    pub reserved_until: Instant,
 }
 
 /// All places of a site, by number.
@@ -33,7 +33,7 @@
 }
 
 impl BackendPlaces {
-    /// Assigns an instance to each of `count` places. With at least [`LEAST_BACKENDS`] places, each
+    /// Assigns an instance to each of `count` places. With at least [`MIN_BACKENDS`] places, each
     /// zone has both services.
     #[must_use]
     pub fn new(count: usize, seed: u64, now: Instant) -> Self {
@@ -43,8 +43,8 @@
 
         for place in 0..count {
             let service = SERVICES[usize::from(place / 3 % 4 == 3)];
-            let instance = places.draw_instance();
-            places.places.push(BackendPlace { instance, service, busy_until: now });
+            let instance = places.allocate_instance();
+            places.places.push(BackendPlace { instance, service, reserved_until: now });
         }
         places
     }
@@ -62,34 +62,34 @@
         let order = (0..self.places.len())
             .map(|step| (from % self.places.len() + step) % self.places.len());
 
-        order.into_iter().find(|place| self.places[*place].busy_until <= now)
+        order.into_iter().find(|place| self.places[*place].reserved_until <= now)
     }
 
     /// Reserves a place until a time, so that no other fault affects it.
-    pub fn occupy(&mut self, place: usize, until: Instant) {
-        self.places[place].busy_until = until;
+    pub fn reserve(&mut self, place: usize, until: Instant) {
+        self.places[place].reserved_until = until;
     }
 
     /// Returns the service of the next instance at a place: the other service, or the same one if
     /// too few of its backend servers would be left.
     #[must_use]
-    pub fn service_after(&self, place: usize) -> &'static str {
+    pub fn next_service(&self, place: usize) -> &'static str {
         let service = self.places[place].service;
         let same = self.places.iter().filter(|other| other.service == service).count();
 
-        if same > LEAST { other_service(service) } else { service }
+        if same > MIN_PER_SERVICE { other_service(service) } else { service }
     }
 
     /// Assigns a new instance to a place, and returns its id.
     pub fn replace(&mut self, place: usize, service: &'static str) -> InstanceId {
-        let instance = self.draw_instance();
+        let instance = self.allocate_instance();
 
         self.places[place].instance = instance;
         self.places[place].service = service;
         instance
     }
 
-    fn draw_instance(&mut self) -> InstanceId {
+    fn allocate_instance(&mut self) -> InstanceId {
         // Ids are far apart, as those of the platform are.
         const STEP: InstanceId = 7_919;
         self.next_instance += STEP;
--- a/crates/valvestage-soak/src/backend_servers.rs
+++ b/crates/valvestage-soak/src/backend_servers.rs
@@ -13,9 +13,9 @@
 use valvestage_policy::steering::FlowAddresses;
 use valvestage_standins::draws::Draws;
 
-use crate::backend_manner::BackendManner;
+use crate::backend_manner::BackendBehaviour;
 use crate::link_table::{LinkTable, LinkTarget};
-use crate::observation::{Observation, SeenEvent, StallWatch};
+use crate::observation::{Observation, ObservedEvent, StallDetector};
 use crate::site_plan::SitePlan;
 use crate::soak_options::{Sabotage, SoakOptions};
 use valvestage_standins::packets::backend_flow::BackendFlow;
@@ -23,16 +23,16 @@
 use valvestage_standins::packets::socket_set::SocketSet;
 
 /// Longest wait for a packet before due deliveries and answers are checked.
-const TURN: Duration = Duration::from_millis(3);
+const POLL_TIMEOUT: Duration = Duration::from_millis(3);
 
 /// Shortest processing time of a request.
-const LEAST_WORK: Duration = Duration::from_millis(5);
+const MIN_WORK: Duration = Duration::from_millis(5);
 
 /// Largest random addition to the shortest processing time.
-const MORE_WORK: Duration = Duration::from_millis(25);
+const MAX_EXTRA_WORK: Duration = Duration::from_millis(25);
 
 /// Factor by which a slow backend server's processing time is longer.
-const SLOWNESS: u32 = 5;
+const SLOW_FACTOR: u32 = 5;
 
 /// Command that changes one backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,9 +40,9 @@
     /// Starts a new instance at a place, where no instance runs any more.
     Start(usize, InstanceId),
     /// Stops the instance at a place without notice to anyone.
-    End(usize),
+    Stop(usize),
     /// Changes how the instance at a place responds to requests.
-    Behave(usize, BackendManner),
+    SetBehaviour(usize, BackendBehaviour),
 }
 
 /// Packet that is delivered to its backend server at `due`.
@@ -57,15 +57,15 @@
 #[derive(Default)]
 struct PacketOutcome {
     answers: Vec<FlowPacket>,
-    seen: Vec<SeenEvent>,
+    events: Vec<ObservedEvent>,
 }
 
 /// Running instance of a backend server.
 struct RunningBackend {
     instance: InstanceId,
     flows: HashMap<FlowAddresses, BackendFlow>,
-    ended: HashSet<FlowAddresses>,
-    manner: BackendManner,
+    closed: HashSet<FlowAddresses>,
+    behaviour: BackendBehaviour,
     requests: u64,
 }
 
@@ -109,73 +109,73 @@
 
     /// Serves packets and applies commands until `stop` is set.
     pub fn run(mut self, stop: &Arc<AtomicBool>) -> io::Result<()> {
-        let mut stalls = StallWatch::new(self.observations.clone());
+        let mut stalls = StallDetector::new(self.observations.clone());
 
         while !stop.load(Ordering::Relaxed) {
-            let datagrams = self.sockets.receive(TURN)?;
-            let now = stalls.turn();
-            self.obey();
+            let datagrams = self.sockets.receive(POLL_TIMEOUT)?;
+            let now = stalls.tick();
+            self.apply_commands();
             for datagram in datagrams {
                 if let Some(balancer) = self.plan.balancer_at(*datagram.sender.ip()) {
-                    self.pass(balancer, datagram.socket, datagram.bytes, now);
+                    self.schedule_delivery(balancer, datagram.socket, datagram.bytes, now);
                 }
             }
-            self.take_delayed(now);
-            self.send_due(now);
+            self.deliver_due(now);
+            self.send_due_answers(now);
         }
         Ok(())
     }
 
-    fn tell(&self, seen: SeenEvent) {
+    fn report(&self, event: ObservedEvent) {
         // The receiver is gone at the end of the run.
-        let _ = self.observations.send(Observation { at: Instant::now(), seen });
+        let _ = self.observations.send(Observation { at: Instant::now(), event });
     }
 
-    fn obey(&mut self) {
+    fn apply_commands(&mut self) {
         while let Ok(command) = self.commands.try_recv() {
             match command {
                 BackendCommand::Start(place, instance) => {
                     let backend = RunningBackend {
                         instance,
                         flows: HashMap::new(),
-                        ended: HashSet::new(),
-                        manner: BackendManner::default(),
+                        closed: HashSet::new(),
+                        behaviour: BackendBehaviour::default(),
                         requests: 0,
                     };
                     self.running.insert(place, backend);
                 }
-                BackendCommand::End(place) => {
+                BackendCommand::Stop(place) => {
                     self.running.remove(&place);
                 }
-                BackendCommand::Behave(place, manner) => {
+                BackendCommand::SetBehaviour(place, behaviour) => {
                     if let Some(backend) = self.running.get_mut(&place) {
-                        backend.manner = manner;
+                        backend.behaviour = behaviour;
                     }
                 }
             }
         }
     }
 
-    fn pass(&mut self, balancer: usize, place: usize, bytes: Vec<u8>, now: Instant) {
+    fn schedule_delivery(&mut self, balancer: usize, place: usize, bytes: Vec<u8>, now: Instant) {
         let target = LinkTarget::BackendIn(SitePlan::zone_of(place));
 
-        if let Some(delay) = self.links.pass(balancer, target, &mut self.draws, now) {
+        if let Some(delay) = self.links.datagram_delay(balancer, target, &mut self.draws, now) {
             self.delayed.push(DelayedPacket { due: now + delay, balancer, place, bytes });
         }
     }
 
-    fn take_delayed(&mut self, now: Instant) {
+    fn deliver_due(&mut self, now: Instant) {
         let (due, later) =
             std::mem::take(&mut self.delayed).into_iter().partition(|packet| packet.due <= now);
         self.delayed = later;
 
         for DelayedPacket { balancer, place, bytes, .. } in due {
-            self.take(balancer, place, &bytes, now);
+            self.deliver(balancer, place, &bytes, now);
         }
     }
 
-    fn take(&mut self, balancer: usize, place: usize, bytes: &[u8], now: Instant) {
-        let place = self.place_of(place, bytes);
+    fn deliver(&mut self, balancer: usize, place: usize, bytes: &[u8], now: Instant) {
+        let place = self.delivery_place(place, bytes);
         let mut bytes = bytes.to_vec();
         if self.sabotage == Some(Sabotage::SpoilPackets)
             && let Some(last) = bytes.last_mut()
@@ -185,45 +185,45 @@
         let Some(backend) = self.running.get_mut(&place) else { return };
         let Some((prefix, packet)) = bytes.split_at_checked(PREFIX_BYTES) else { return };
         // An instance ignores packets that are addressed to another instance.
-        let is_meant = prefix == backend.instance.to_be_bytes();
-        if !is_meant && self.sabotage != Some(Sabotage::Misroute) {
+        let is_addressed = prefix == backend.instance.to_be_bytes();
+        if !is_addressed && self.sabotage != Some(Sabotage::Misroute) {
             return;
         }
         let (Some(decoded), true) = (FlowPacket::decode(packet), FlowPacket::is_genuine(packet))
         else {
-            return self.tell(SeenEvent::Forged);
+            return self.report(ObservedEvent::Altered);
         };
 
-        let PacketOutcome { answers, seen } =
-            backend.take(&decoded, balancer, &mut self.draws, now);
+        let PacketOutcome { answers, events } =
+            backend.handle_packet(&decoded, balancer, &mut self.draws, now);
         let caller = SocketAddrV4::new(*decoded.source.ip(), self.plan.data_port);
         for answer in answers {
             self.sockets.send(place, caller, &answer.encode());
         }
-        for event in seen {
-            let runs_again =
-                self.sabotage == Some(Sabotage::RunTwice) && matches!(event, SeenEvent::Ran { .. });
+        for event in events {
+            let runs_again = self.sabotage == Some(Sabotage::RunTwice)
+                && matches!(event, ObservedEvent::Executed { .. });
             if runs_again {
-                self.tell(event.clone());
+                self.report(event.clone());
             }
-            self.tell(event);
+            self.report(event);
         }
     }
 
     /// Returns the place that a packet is delivered to: the one that the balancer sent it to,
     /// unless the run misroutes packets on purpose.
-    fn place_of(&self, place: usize, bytes: &[u8]) -> usize {
+    fn delivery_place(&self, place: usize, bytes: &[u8]) -> usize {
         let has_no_data = bytes.len() == PREFIX_BYTES + HEAD_BYTES;
-        let is_later = bytes.get(PREFIX_BYTES).is_some_and(|bits| bits & flags::SYN == 0);
+        let is_past_opening = bytes.get(PREFIX_BYTES).is_some_and(|bits| bits & flags::SYN == 0);
 
-        if self.sabotage == Some(Sabotage::Misroute) && is_later && has_no_data {
+        if self.sabotage == Some(Sabotage::Misroute) && is_past_opening && has_no_data {
             (place + 1) % self.plan.backends
         } else {
             place
         }
     }
 
-    fn send_due(&mut self, now: Instant) {
+    fn send_due_answers(&mut self, now: Instant) {
         for (place, backend) in &mut self.running {
             for flow in backend.flows.values_mut() {
                 for mut packet in flow.due_packets(now) {
@@ -239,7 +239,7 @@
 }
 
 impl RunningBackend {
-    fn take(
+    fn handle_packet(
         &mut self,
         packet: &FlowPacket,
         balancer: usize,
@@ -251,7 +251,7 @@
             let sequence = u32::try_from(draws.word() >> 32).unwrap_or(0);
             let open = || BackendFlow::new(packet.clone(), sequence, balancer, now);
             let held = self.flows.entry(flow).or_insert_with(open);
-            return PacketOutcome { answers: vec![held.opening_answer()], seen: Vec::new() };
+            return PacketOutcome { answers: vec![held.opening_answer()], events: Vec::new() };
         }
         if packet.has(flags::RST) {
             self.flows.remove(&flow);
@@ -260,33 +260,36 @@
 
         let instance = self.instance;
         let Some(held) = self.flows.get_mut(&flow) else {
-            if self.ended.contains(&flow) {
+            if self.closed.contains(&flow) {
                 return PacketOutcome::default();
             }
-            let strayed = SeenEvent::Strayed { flow, instance, balancer };
-            return PacketOutcome { answers: vec![reset_for(packet)], seen: vec![strayed] };
+            let misrouted = ObservedEvent::Misrouted { flow, instance, balancer };
+            return PacketOutcome { answers: vec![reset_for(packet)], events: vec![misrouted] };
         };
-        let mut seen = Vec::new();
+        let mut events = Vec::new();
         if !held.open {
             if !held.accepts(packet) {
-                let strayed = SeenEvent::Strayed { flow, instance, balancer };
-                return PacketOutcome { answers: Vec::new(), seen: vec![strayed] };
+                let misrouted = ObservedEvent::Misrouted { flow, instance, balancer };
+                return PacketOutcome { answers: Vec::new(), events: vec![misrouted] };
             }
             held.open = true;
             let (balancer, arrived) = (held.balancer, held.arrived);
-            seen.push(SeenEvent::Opened { flow, instance, balancer, arrived });
+            events.push(ObservedEvent::Opened { flow, instance, balancer, arrived });
         }
-        seen.push(SeenEvent::Reached { flow });
+        events.push(ObservedEvent::Delivered { flow });
 
         if let Some(request) = held.take(packet) {
-            seen.push(SeenEvent::Ran { request: request.id, repeatable: request.repeatable });
+            events.push(ObservedEvent::Executed {
+                request: request.id,
+                repeatable: request.repeatable,
+            });
             self.requests += 1;
-            let work = LEAST_WORK + MORE_WORK.mul_f64(draws.unit());
-            match self.manner {
-                BackendManner::Usual => held.work_until(now + work, request),
-                BackendManner::Slow => held.work_until(now + work * SLOWNESS, request),
-                BackendManner::Failing if self.requests.is_multiple_of(2) => {}
-                BackendManner::Failing => held.work_until(now + work, request),
+            let work = MIN_WORK + MAX_EXTRA_WORK.mul_f64(draws.unit());
+            match self.behaviour {
+                BackendBehaviour::Normal => held.work_until(now + work, request),
+                BackendBehaviour::Slow => held.work_until(now + work * SLOW_FACTOR, request),
+                BackendBehaviour::Failing if self.requests.is_multiple_of(2) => {}
+                BackendBehaviour::Failing => held.work_until(now + work, request),
             }
         }
         let mut answers = Vec::new();
@@ -295,9 +298,9 @@
         }
         if packet.has(flags::FIN) {
             self.flows.remove(&flow);
-            self.ended.insert(flow);
+            self.closed.insert(flow);
         }
-        PacketOutcome { answers, seen }
+        PacketOutcome { answers, events }
     }
 }
 
--- a/crates/valvestage-soak/src/balancer_process.rs
+++ b/crates/valvestage-soak/src/balancer_process.rs
@@ -16,7 +16,7 @@
     settings: PathBuf,
     log: PathBuf,
     starts: u32,
-    started: Instant,
+    last_start: Instant,
     child: Option<Child>,
 }
 
@@ -31,7 +31,7 @@
             settings: file,
             log: folder.join(format!("balancer-{number}.log")),
             starts: 0,
-            started: Instant::now(),
+            last_start: Instant::now(),
             child: None,
         })
     }
@@ -49,7 +49,7 @@
             .spawn()?;
 
         self.starts += 1;
-        self.started = Instant::now();
+        self.last_start = Instant::now();
         self.child = Some(child);
         Ok(())
     }
@@ -81,14 +81,14 @@
 
     /// Returns the process id, or `None` if the process does not run.
     #[must_use]
-    pub fn id(&self) -> Option<u32> {
+    pub fn process_id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
     /// Returns the time of the last start, or that of the creation if there was none.
     #[must_use]
-    pub fn started(&self) -> Instant {
-        self.started
+    pub fn last_start(&self) -> Instant {
+        self.last_start
     }
 
     /// Returns the number of starts.
@@ -112,7 +112,7 @@
 
     /// Collects the exit status of the process without blocking. Returns `None` while it runs, and
     /// after its status has been returned once.
-    pub fn take_end(&mut self) -> io::Result<Option<ExitStatus>> {
+    pub fn poll_exit(&mut self) -> io::Result<Option<ExitStatus>> {
         let Some(child) = &mut self.child else { return Ok(None) };
         let status = child.try_wait()?;
 
@@ -123,7 +123,7 @@
     }
 
     /// Kills the process and waits for its exit. Does nothing if it does not run.
-    pub fn end(&mut self) -> io::Result<()> {
+    pub fn kill_and_wait(&mut self) -> io::Result<()> {
         if let Some(mut child) = self.child.take() {
             child.kill()?;
             child.wait()?;
@@ -134,7 +134,7 @@
 
 impl Drop for BalancerProcess {
     fn drop(&mut self) {
-        if let Err(error) = self.end() {
+        if let Err(error) = self.kill_and_wait() {
             log::error!("failed to kill a balancer: {error}");
         }
     }
--- a/crates/valvestage-soak/src/caller_load.rs
+++ b/crates/valvestage-soak/src/caller_load.rs
@@ -12,9 +12,9 @@
 use valvestage_standins::draws::Draws;
 use valvestage_standins::packets::RequestId;
 
-use crate::observation::{Observation, SeenEvent, StallWatch};
+use crate::observation::{Observation, ObservedEvent, StallDetector};
 use crate::router_table::RouterTable;
-use crate::site_plan::{COMING, STEADY, SWITCHING, SitePlan, ZONES};
+use crate::site_plan::{INTERMITTENT, STEADY, SWITCHING, SitePlan, ZONES};
 use crate::soak_options::{Sabotage, SoakOptions};
 use valvestage_standins::packets::caller_flow::{CallerFlow, FlowProgress, FlowStep};
 use valvestage_standins::packets::flow_packet::{FlowPacket, flags};
@@ -22,25 +22,25 @@
 use valvestage_standins::packets::socket_set::SocketSet;
 
 /// Longest wait for a packet before due timers are checked.
-const TURN: Duration = Duration::from_millis(3);
+const POLL_TIMEOUT: Duration = Duration::from_millis(3);
 
 /// Time after the start of a request at which its caller abandons it, over all attempts.
-const DEADLINE: Duration = Duration::from_secs(3);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Attempts of one request, each on a flow of its own.
-const MAX_TRIES: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
 /// Number of requests on a long flow.
-const LONG_FLOW: u32 = 12;
+const LONG_FLOW_REQUESTS: u32 = 12;
 
 /// Pause between two requests of a long flow.
-const PAUSE: Duration = Duration::from_millis(400);
+const REQUEST_PAUSE: Duration = Duration::from_millis(400);
 
 /// Sizes of answers in bytes; the first fits into one packet, the second takes three.
 const ANSWER_BYTES: [u32; 2] = [600, 3_000];
 
 /// Source ports of callers' flows, used in turn.
-const PORTS: std::ops::Range<u16> = 1_024..60_000;
+const CALLER_PORTS: std::ops::Range<u16> = 1_024..60_000;
 
 /// Flow of a caller, with the request in progress on it.
 struct CallerSession {
@@ -49,7 +49,7 @@
     request: PacketRequest,
     /// When the request began; all of its attempts share this time.
     began: Instant,
-    tries: u32,
+    attempts: u32,
     requests_left: u32,
     /// When the next request begins, while the flow is idle between two requests.
     next_request: Option<Instant>,
@@ -57,7 +57,7 @@
 
 impl CallerSession {
     fn deadline(&self) -> Instant {
-        self.began + DEADLINE
+        self.began + REQUEST_TIMEOUT
     }
 }
 
@@ -104,13 +104,13 @@
 
     /// Generates load until `stop` is set.
     pub fn run(mut self, stop: &Arc<AtomicBool>) -> io::Result<()> {
-        let mut stalls = StallWatch::new(self.observations.clone());
+        let mut stalls = StallDetector::new(self.observations.clone());
 
         while !stop.load(Ordering::Relaxed) {
-            let datagrams = self.sockets.receive(TURN)?;
-            let now = stalls.turn();
+            let datagrams = self.sockets.receive(POLL_TIMEOUT)?;
+            let now = stalls.tick();
             for datagram in datagrams {
-                self.take(datagram.sender, &datagram.bytes, now);
+                self.handle_packet(datagram.sender, &datagram.bytes, now);
             }
             self.begin_flows(now);
             self.step_sessions(now);
@@ -118,9 +118,9 @@
         Ok(())
     }
 
-    fn tell(&self, seen: SeenEvent) {
+    fn report(&self, event: ObservedEvent) {
         // The receiver is gone at the end of the run.
-        let _ = self.observations.send(Observation { at: Instant::now(), seen });
+        let _ = self.observations.send(Observation { at: Instant::now(), event });
     }
 
     fn begin_flows(&mut self, now: Instant) {
@@ -128,19 +128,19 @@
             self.next_flow += self.interval;
             let zone = self.draws.below(ZONES);
             let service = match self.draws.below(10) {
-                0 => COMING,
+                0 => INTERMITTENT,
                 1..4 => SWITCHING,
                 _ => STEADY,
             };
             let is_long = self.draws.below(3) == 0;
-            let request = self.next_request(is_long);
-            let requests_left = if is_long { LONG_FLOW } else { 1 };
-            self.open(zone, service, request, now, 1, requests_left);
+            let request = self.draw_request(is_long);
+            let requests_left = if is_long { LONG_FLOW_REQUESTS } else { 1 };
+            self.open_flow(zone, service, request, now, 1, requests_left);
         }
     }
 
     /// Draws a request. Requests on long flows are always repeatable, half of the others are not.
-    fn next_request(&mut self, is_long: bool) -> PacketRequest {
+    fn draw_request(&mut self, is_long: bool) -> PacketRequest {
         self.request_count += 1;
         let repeatable = is_long || self.draws.below(2) == 0;
         let answer_bytes = ANSWER_BYTES[self.draws.below(ANSWER_BYTES.len())];
@@ -148,17 +148,17 @@
         PacketRequest { id: self.request_count, repeatable, answer_bytes }
     }
 
-    fn open(
+    fn open_flow(
         &mut self,
         zone: usize,
         service: SocketAddrV4,
         request: PacketRequest,
         began: Instant,
-        tries: u32,
+        attempts: u32,
         requests_left: u32,
     ) {
         self.flow_count += 1;
-        let port = usize::from(PORTS.start) + self.flow_count % PORTS.len();
+        let port = usize::from(CALLER_PORTS.start) + self.flow_count % CALLER_PORTS.len();
         let caller =
             SocketAddrV4::new(*self.plan.caller(zone).ip(), u16::try_from(port).unwrap_or(1));
         let flow = FlowAddresses { caller, service };
@@ -168,12 +168,12 @@
             zone,
             request,
             began,
-            tries,
+            attempts,
             requests_left,
             next_request: None,
         };
 
-        self.tell(SeenEvent::Begun { flow });
+        self.report(ObservedEvent::Started { flow });
         self.send(zone, &session.flow.opening_packet(0));
         self.sessions.insert(flow, session);
     }
@@ -186,9 +186,9 @@
         }
     }
 
-    fn take(&mut self, sender: SocketAddrV4, bytes: &[u8], now: Instant) {
+    fn handle_packet(&mut self, sender: SocketAddrV4, bytes: &[u8], now: Instant) {
         let Some(packet) = FlowPacket::decode(bytes) else {
-            return self.tell(SeenEvent::Forged);
+            return self.report(ObservedEvent::Altered);
         };
         let flow = FlowAddresses { caller: packet.destination, service: packet.source };
         if !self.sessions.contains_key(&flow) {
@@ -197,25 +197,25 @@
 
         if self.sabotage == Some(Sabotage::ForgeResets) && !packet.data.is_empty() {
             let balancer = SocketAddrV4::new(self.plan.balancer(0), self.plan.data_port);
-            return self.take_reset(flow, balancer, now);
+            return self.handle_reset(flow, balancer, now);
         }
         if FlowPacket::is_from_balancer(bytes) {
-            self.take_reset(flow, sender, now);
+            self.handle_reset(flow, sender, now);
         } else if !FlowPacket::is_genuine(bytes) {
-            self.tell(SeenEvent::Forged);
+            self.report(ObservedEvent::Altered);
         } else if packet.has(flags::RST) {
             self.retry(flow, now);
         } else {
-            self.progress(flow, now, |session| session.take(&packet, now));
+            self.advance(flow, now, |session| session.take(&packet, now));
         }
     }
 
-    fn take_reset(&mut self, flow: FlowAddresses, sender: SocketAddrV4, now: Instant) {
+    fn handle_reset(&mut self, flow: FlowAddresses, sender: SocketAddrV4, now: Instant) {
         let open = self.sessions.get(&flow).is_some_and(|session| session.flow.is_open());
 
         match self.plan.balancer_at(*sender.ip()) {
-            Some(balancer) => self.tell(SeenEvent::Reset { flow, open, balancer }),
-            None => self.tell(SeenEvent::Forged),
+            Some(balancer) => self.report(ObservedEvent::Reset { flow, open, balancer }),
+            None => self.report(ObservedEvent::Altered),
         }
         self.retry(flow, now);
     }
@@ -226,16 +226,16 @@
         for flow in flows {
             let Some(session) = self.sessions.get_mut(&flow) else { continue };
             match session.next_request {
-                Some(at) if at <= now => self.ask_again(flow, now),
+                Some(at) if at <= now => self.send_next_request(flow, now),
                 Some(_) => {}
-                None if session.deadline() <= now => self.give_up(flow),
-                None => self.progress(flow, now, |session| session.on_time(now)),
+                None if session.deadline() <= now => self.abandon(flow),
+                None => self.advance(flow, now, |session| session.on_time(now)),
             }
         }
     }
 
     /// Applies `act` to a flow, sends the resulting packets, and handles the flow's progress.
-    fn progress(
+    fn advance(
         &mut self,
         flow: FlowAddresses,
         now: Instant,
@@ -259,21 +259,21 @@
         let Some(session) = self.sessions.get_mut(&flow) else { return };
         let (request, began) = (session.request.id, session.began);
         session.requests_left -= 1;
-        let goes_on = session.requests_left > 0;
-        session.next_request = Some(now + PAUSE);
+        let should_continue = session.requests_left > 0;
+        session.next_request = Some(now + REQUEST_PAUSE);
 
-        self.tell(SeenEvent::Answered { request, whole, began, address: flow.service });
-        if !goes_on {
-            self.close(flow);
+        self.report(ObservedEvent::Answered { request, whole, began, address: flow.service });
+        if !should_continue {
+            self.close_flow(flow);
         }
     }
 
-    fn ask_again(&mut self, flow: FlowAddresses, now: Instant) {
-        let request = self.next_request(true);
+    fn send_next_request(&mut self, flow: FlowAddresses, now: Instant) {
+        let request = self.draw_request(true);
         let Some(session) = self.sessions.get_mut(&flow) else { return };
         session.request = request;
         session.began = now;
-        session.tries = 1;
+        session.attempts = 1;
         session.next_request = None;
 
         let (zone, packet) = (session.zone, session.flow.ask(request, now));
@@ -285,36 +285,36 @@
     /// retried is reported as failed.
     fn retry(&mut self, flow: FlowAddresses, now: Instant) {
         let Some(session) = self.sessions.remove(&flow) else { return };
-        self.tell(SeenEvent::Closed { flow });
+        self.report(ObservedEvent::Closed { flow });
         if session.next_request.is_some() {
             return;
         }
 
         let may_run_again = session.request.repeatable || !session.flow.is_open();
-        if may_run_again && session.tries < MAX_TRIES && now < session.deadline() {
-            let CallerSession { zone, request, began, tries, requests_left, .. } = session;
-            self.open(zone, flow.service, request, began, tries + 1, requests_left);
+        if may_run_again && session.attempts < MAX_ATTEMPTS && now < session.deadline() {
+            let CallerSession { zone, request, began, attempts, requests_left, .. } = session;
+            self.open_flow(zone, flow.service, request, began, attempts + 1, requests_left);
         } else {
             let (request, began) = (session.request.id, session.began);
-            self.tell(SeenEvent::Failed { request, began, address: flow.service });
+            self.report(ObservedEvent::Failed { request, began, address: flow.service });
         }
     }
 
-    fn give_up(&mut self, flow: FlowAddresses) {
+    fn abandon(&mut self, flow: FlowAddresses) {
         if let Some(session) = self.sessions.get(&flow) {
             let (request, began) = (session.request.id, session.began);
-            self.tell(SeenEvent::Failed { request, began, address: flow.service });
+            self.report(ObservedEvent::Failed { request, began, address: flow.service });
         }
 
-        self.close(flow);
+        self.close_flow(flow);
     }
 
-    fn close(&mut self, flow: FlowAddresses) {
+    fn close_flow(&mut self, flow: FlowAddresses) {
         if let Some(session) = self.sessions.remove(&flow) {
             if session.flow.is_open() {
                 self.send(session.zone, &session.flow.closing_packet());
             }
-            self.tell(SeenEvent::Closed { flow });
+            self.report(ObservedEvent::Closed { flow });
         }
     }
 }
--- a/crates/valvestage-soak/src/control_cost.rs
+++ b/crates/valvestage-soak/src/control_cost.rs
@@ -8,14 +8,14 @@
 use std::time::{Duration, Instant};
 
 use crate::backend_places::BackendPlaces;
-use crate::errors::{SoakError, at};
+use crate::errors::{SoakError, failed_to};
 use crate::site_plan::{Routes, SERVICES, STEADY};
 use crate::soak_options::SoakOptions;
 use crate::soak_site::SoakSite;
 
 /// Time before the measurement, in which balancers discover each other and load the store's
 /// objects.
-const SETTLE: Duration = Duration::from_secs(5);
+const SETTLE_TIME: Duration = Duration::from_secs(5);
 
 /// Clock ticks per second (`USER_HZ`) in the CPU times that Linux reports under `/proc`.
 const TICKS_PER_SECOND: f64 = 100.0;
@@ -36,8 +36,8 @@
 
 impl fmt::Display for ControlCost {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let both = |values: &[f64]| match (values.get(values.len() / 2), values.last()) {
-            (Some(middle), Some(most)) => format!("{middle:.2} / {most:.2}"),
+        let median_and_max = |values: &[f64]| match (values.get(values.len() / 2), values.last()) {
+            (Some(median), Some(maximum)) => format!("{median:.2} / {maximum:.2}"),
             _ => "-".to_owned(),
         };
 
@@ -45,15 +45,15 @@
             out,
             "{} balancers, median / maximum: {} bytes sent per second, {} % of a core, {} MB",
             self.core_percent.len(),
-            both(&self.bytes_per_second),
-            both(&self.core_percent),
-            both(&self.memory_mb)
+            median_and_max(&self.bytes_per_second),
+            median_and_max(&self.core_percent),
+            median_and_max(&self.memory_mb)
         )
     }
 }
 
 /// Resource usage of a process: CPU time since its start, and resident memory.
-struct UsedSoFar {
+struct ProcessUsage {
     processor_seconds: f64,
     memory_bytes: u64,
 }
@@ -71,18 +71,18 @@
     let routes = Routes::from([(STEADY, SERVICES[0])]);
     site.store.put_configuration(1, &routes);
     site.start_balancers()?;
-    thread::sleep(SETTLE);
+    thread::sleep(SETTLE_TIME);
 
-    let (began, before) = (Instant::now(), used_by_all(&site)?);
-    let bytes_before = sent_by_all(&site);
+    let (began, before) = (Instant::now(), usage_of_all(&site)?);
+    let bytes_before = bytes_sent_by_all(&site);
     let mut version = 1;
     while began.elapsed() < time {
         thread::sleep(CHANGE_INTERVAL.min(time));
         version += 1;
         site.store.put_configuration(version, &routes);
     }
-    let (seconds, after) = (began.elapsed().as_secs_f64(), used_by_all(&site)?);
-    let bytes_after = sent_by_all(&site);
+    let (seconds, after) = (began.elapsed().as_secs_f64(), usage_of_all(&site)?);
+    let bytes_after = bytes_sent_by_all(&site);
 
     let bytes = bytes_before.iter().zip(&bytes_after);
     let cores = before.iter().zip(&after);
@@ -95,33 +95,32 @@
     })
 }
 
-fn sent_by_all(site: &SoakSite) -> Vec<f64> {
+fn bytes_sent_by_all(site: &SoakSite) -> Vec<f64> {
     site.sent_bytes.iter().map(|count| as_f64(count.load(Ordering::Relaxed))).collect()
 }
 
-fn used_by_all(site: &SoakSite) -> Result<Vec<UsedSoFar>, SoakError> {
-    let ids = site.balancers.iter().filter_map(|balancer| balancer.id());
+fn usage_of_all(site: &SoakSite) -> Result<Vec<ProcessUsage>, SoakError> {
+    let ids = site.balancers.iter().filter_map(|balancer| balancer.process_id());
 
-    ids.map(|id| used_by(id).map_err(at("read a balancer's resource usage"))).collect()
+    ids.map(|id| read_usage(id).map_err(failed_to("read a balancer's resource usage"))).collect()
 }
 
 /// Reads the usage of a process from `/proc`.
-fn used_by(id: u32) -> io::Result<UsedSoFar> {
+fn read_usage(id: u32) -> io::Result<ProcessUsage> {
     /// Indices of the fields of `stat` after the command name in parentheses: user time and system
     /// time.
-    const TIMES: [usize; 2] = [11, 12];
+    const CPU_TIME_FIELDS: [usize; 2] = [11, 12];
     let missing = || io::Error::other("a field of /proc is missing");
     let stat = fs::read_to_string(format!("/proc/{id}/stat"))?;
     let fields: Vec<&str> =
         stat.rsplit(')').next().ok_or_else(missing)?.split_whitespace().collect();
     let ticks = |place: usize| fields.get(place).and_then(|text| text.parse::<u64>().ok());
-    let [program, kernel] = TIMES.map(ticks);
-    let ticks =
-        program.zip(kernel).map(|(program, kernel)| program + kernel).ok_or_else(missing)?;
+    let [user, system] = CPU_TIME_FIELDS.map(ticks);
+    let ticks = user.zip(system).map(|(user, system)| user + system).ok_or_else(missing)?;
 
     let statm = fs::read_to_string(format!("/proc/{id}/statm"))?;
     let resident = statm.split_whitespace().nth(1).and_then(|text| text.parse::<u64>().ok());
-    Ok(UsedSoFar {
+    Ok(ProcessUsage {
         processor_seconds: as_f64(ticks) / TICKS_PER_SECOND,
         memory_bytes: resident.ok_or_else(missing)? * PAGE_BYTES,
     })
--- a/crates/valvestage-soak/src/errors.rs
+++ b/crates/valvestage-soak/src/errors.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Error)]
 pub enum SoakError {
     /// An I/O operation of the soak test itself failed.
-    #[error("{step}: {cause}")]
+    #[error("failed to {step}: {cause}")]
     Step {
         /// The operation that failed, as a phrase such as "start a balancer".
         step: &'static str,
@@ -30,7 +30,7 @@
     #[error("run: stopped by a signal")]
     Stopped,
     /// The list of seeds cannot be read or parsed.
-    #[error("read {file}: {cause}")]
+    #[error("failed to read {file}: {cause}")]
     Seeds {
         /// Path of the list.
         file: String,
@@ -40,6 +40,6 @@
 }
 
 /// Returns a conversion from an I/O error to a [`SoakError::Step`] of `step`, for `map_err`.
-pub fn at(step: &'static str) -> impl Fn(io::Error) -> SoakError {
+pub fn failed_to(step: &'static str) -> impl Fn(io::Error) -> SoakError {
     move |cause| SoakError::Step { step, cause }
 }
--- a/crates/valvestage-soak/src/fault_plan.rs
+++ b/crates/valvestage-soak/src/fault_plan.rs
@@ -8,20 +8,20 @@
 use crate::fault_kind::FaultKind;
 
 /// Shortest duration of a fault.
-const SHORTEST: Duration = Duration::from_millis(500);
+const MIN_DURATION: Duration = Duration::from_millis(500);
 
 /// Largest random addition to the shortest duration.
-const MORE: Duration = Duration::from_millis(5_500);
+const MAX_EXTRA_DURATION: Duration = Duration::from_millis(5_500);
 
 /// Mean time between the starts of two faults, in the busiest and in the calmest run. Faults last
 /// 3.3 s on average, so about three overlap in the busiest run, while the calmest one has only a
 /// single fault now and then. Calm runs are needed because promises with a time bound apply to
 /// undisturbed balancers only.
-const MEAN_GAPS: std::ops::Range<Duration> =
+const MEAN_INTERVALS: std::ops::Range<Duration> =
     Duration::from_millis(1_000)..Duration::from_millis(6_000);
 
 /// One fault in this many is repeated, three times in a row in total.
-const SERIES: usize = 5;
+const SERIES_ODDS: usize = 5;
 
 /// Fault with its time, duration and target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
@@ -43,16 +43,17 @@
     let mut draws = Draws::new(seed);
     let mut faults = Vec::new();
     let mut at = Duration::ZERO;
-    let mean_gap = MEAN_GAPS.start + (MEAN_GAPS.end - MEAN_GAPS.start).mul_f64(draws.unit());
+    let mean_interval =
+        MEAN_INTERVALS.start + (MEAN_INTERVALS.end - MEAN_INTERVALS.start).mul_f64(draws.unit());
 
     loop {
-        at += draws.exponential(mean_gap);
+        at += draws.exponential(mean_interval);
         let kind = kinds[draws.below(kinds.len())];
         let target = draws.below(usize::MAX);
-        let lasts = SHORTEST + MORE.mul_f64(draws.unit());
-        let repeats = if draws.below(SERIES) == 0 { 3 } else { 1 };
+        let lasts = MIN_DURATION + MAX_EXTRA_DURATION.mul_f64(draws.unit());
+        let repeats = if draws.below(SERIES_ODDS) == 0 { 3 } else { 1 };
         for repeat in 0..repeats {
-            let at = at + (lasts + SHORTEST) * repeat;
+            let at = at + (lasts + MIN_DURATION) * repeat;
             if at + lasts < length {
                 faults.push(PlannedFault { at, lasts, kind, target });
             }
--- a/crates/valvestage-soak/src/link_table.rs
+++ b/crates/valvestage-soak/src/link_table.rs
@@ -20,7 +20,7 @@
 
 /// Set of links that a fault affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LinkEnds {
+pub enum LinkScope {
     /// Links between a zone and all others, in both directions.
     ZoneBorder(usize),
     /// Links out of a zone, but not into it.
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LinkFault {
     /// Links that the fault affects.
-    pub ends: LinkEnds,
+    pub scope: LinkScope,
     /// Effect on datagrams of these links.
     pub effect: LinkEffect,
     /// End of the fault.
@@ -56,7 +56,7 @@
 
     /// Returns the delay of a datagram from a balancer to a target, the sum over all faults on the
     /// link, or `None` if the datagram is lost.
-    pub fn pass(
+    pub fn datagram_delay(
         &self,
         balancer: usize,
         to: LinkTarget,
@@ -67,7 +67,7 @@
         faults.retain(|fault| fault.until > now);
 
         let mut delay = Duration::ZERO;
-        for fault in faults.iter().filter(|fault| fault.ends.lie_on(balancer, to)) {
+        for fault in faults.iter().filter(|fault| fault.scope.includes(balancer, to)) {
             match fault.effect {
                 LinkEffect::Cut => return None,
                 LinkEffect::Loss(share) if draws.unit() < share => return None,
@@ -88,8 +88,8 @@
     BackendIn(usize),
 }
 
-impl LinkEnds {
-    fn lie_on(self, balancer: usize, to: LinkTarget) -> bool {
+impl LinkScope {
+    fn includes(self, balancer: usize, to: LinkTarget) -> bool {
         let from = SitePlan::zone_of(balancer);
         let into = match to {
             LinkTarget::Balancer(number) => SitePlan::zone_of(number),
--- a/crates/valvestage-soak/src/main.rs
+++ b/crates/valvestage-soak/src/main.rs
@@ -10,7 +10,7 @@
 use bpaf::Bpaf;
 use valvestage_process::command_line::{parse, usage_error};
 use valvestage_process::exit_codes;
-use valvestage_soak::backend_places::LEAST_BACKENDS;
+use valvestage_soak::backend_places::MIN_BACKENDS;
 use valvestage_soak::site_plan::ZONES;
 use valvestage_soak::{FaultKind, SoakOptions, SoakReport, control_cost, seed_list};
 use valvestage_standins::signals::stop_flag;
@@ -84,17 +84,22 @@
     #[bpaf(long, argument("FOLDER"), fallback(std::env::temp_dir().join("valvestage-soak")))]
     folder: PathBuf,
     /// Number of balancers, each a process; at least one in each of the three zones
-    #[bpaf(long, argument("N"), guard(fill_zones, FILL_ZONES), fallback(6))]
+    #[bpaf(long, argument("N"), guard(has_enough_balancers, TOO_FEW_BALANCERS), fallback(6))]
     balancers: usize,
     /// Number of backend servers; at least 12, so that each zone has both services
-    #[bpaf(long, argument("N"), guard(have_both_services, HAVE_BOTH_SERVICES), fallback(12))]
+    #[bpaf(long, argument("N"), guard(has_enough_backends, TOO_FEW_BACKENDS), fallback(12))]
     backends: usize,
     /// New flows per second
     #[bpaf(long, argument("N"), fallback(60))]
     flows: u32,
     /// Number of kinds of faults to draw from, counted from the start of the list; a seed recorded
     /// before a kind was added needs the number at that time
-    #[bpaf(long, argument("N"), guard(are_kinds, ARE_KINDS), fallback(FaultKind::ALL.len()))]
+    #[bpaf(
+        long,
+        argument("N"),
+        guard(is_kind_count, WRONG_KIND_COUNT),
+        fallback(FaultKind::ALL.len())
+    )]
     kinds: usize,
     /// Length of the fault phase in seconds; no fault begins later
     #[bpaf(long, argument("SECONDS"), fallback(30))]
@@ -104,22 +109,22 @@
     known: PathBuf,
 }
 
-const FILL_ZONES: &str = "at least 3 balancers are needed, one for each zone";
+const TOO_FEW_BALANCERS: &str = "at least 3 balancers are needed, one for each zone";
 
-const HAVE_BOTH_SERVICES: &str = "at least 12 backend servers are needed";
+const TOO_FEW_BACKENDS: &str = "at least 12 backend servers are needed";
 
-const ARE_KINDS: &str = "has to be from 1 to the number of kinds that `list` shows";
+const WRONG_KIND_COUNT: &str = "has to be from 1 to the number of kinds that `list` shows";
 
-fn are_kinds(kinds: &usize) -> bool {
+fn is_kind_count(kinds: &usize) -> bool {
     (1..=FaultKind::ALL.len()).contains(kinds)
 }
 
-fn fill_zones(balancers: &usize) -> bool {
+fn has_enough_balancers(balancers: &usize) -> bool {
     *balancers >= ZONES
 }
 
-fn have_both_services(backends: &usize) -> bool {
-    *backends >= LEAST_BACKENDS
+fn has_enough_backends(backends: &usize) -> bool {
+    *backends >= MIN_BACKENDS
 }
 
 fn main() -> ExitCode {
@@ -134,17 +139,17 @@
     };
     let clean = match arguments {
         Arguments::Run { seed, seeds, minutes, shape } => {
-            play_many(seed, seeds, minutes, &shape, &stop)
+            run_seeds(seed, seeds, minutes, &shape, &stop)
         }
-        Arguments::Replay { seed, shape } => play(seed, &shape, &stop),
-        Arguments::Cost { shape } => measure(&shape),
+        Arguments::Replay { seed, shape } => run_seed(seed, &shape, &stop),
+        Arguments::Cost { shape } => measure_cost(&shape),
         Arguments::Known { shape } => match seed_list::read(&shape.known) {
-            Ok(known) => play_known(&known, &shape, &stop),
+            Ok(known) => run_known(&known, &shape, &stop),
             Err(error) => return usage_error(PROGRAM, &error),
         },
         Arguments::List { known } => match seed_list::read(&known) {
             Ok(known) => {
-                list(&known);
+                print_list(&known);
                 true
             }
             Err(error) => return usage_error(PROGRAM, &error),
@@ -154,7 +159,7 @@
 }
 
 /// Runs consecutive seeds, and continues after a failure. Returns whether all of them were clean.
-fn play_many(
+fn run_seeds(
     first: u64,
     seeds: u64,
     minutes: Option<u64>,
@@ -162,17 +167,17 @@
     stop: &Arc<AtomicBool>,
 ) -> bool {
     const SECONDS_A_MINUTE: u64 = 60;
-    let give_up =
+    let stop_at =
         minutes.map(|count| Instant::now() + Duration::from_secs(count * SECONDS_A_MINUTE));
     let mut clean = true;
     let mut seed = first;
 
-    let goes_on = |seed: u64| match give_up {
+    let should_continue = |seed: u64| match stop_at {
         Some(at) => Instant::now() < at,
         None => seed < first + seeds,
     };
-    while goes_on(seed) && !stop.load(Ordering::Relaxed) {
-        clean &= play(seed, shape, stop);
+    while should_continue(seed) && !stop.load(Ordering::Relaxed) {
+        clean &= run_seed(seed, shape, stop);
         seed += 1;
     }
     clean
@@ -180,18 +185,18 @@
 
 /// Runs all known seeds, each with the numbers of balancers and fault kinds of its recorded
 /// failure, and continues after a failure. Returns whether all of them were clean.
-fn play_known(known: &[seed_list::KnownSeed], shape: &Shape, stop: &Arc<AtomicBool>) -> bool {
+fn run_known(known: &[seed_list::KnownSeed], shape: &Shape, stop: &Arc<AtomicBool>) -> bool {
     let mut clean = true;
 
     for seed in known {
         let shape = Shape { balancers: seed.balancers, kinds: seed.kinds, ..shape.clone() };
-        clean &= play(seed.seed, &shape, stop);
+        clean &= run_seed(seed.seed, &shape, stop);
     }
     clean
 }
 
 /// Runs one seed, prints and writes its report, and returns whether every promise was kept.
-fn play(seed: u64, shape: &Shape, stop: &Arc<AtomicBool>) -> bool {
+fn run_seed(seed: u64, shape: &Shape, stop: &Arc<AtomicBool>) -> bool {
     let options = SoakOptions { stop: stop.clone(), ..options(seed, shape) };
     let folder = options.folder.clone();
 
@@ -208,7 +213,7 @@
     }
 }
 
-fn measure(shape: &Shape) -> bool {
+fn measure_cost(shape: &Shape) -> bool {
     let options = options(0, shape);
     match control_cost::measure(&options, Duration::from_secs(shape.length)) {
         Ok(cost) => {
@@ -246,7 +251,7 @@
     }
 }
 
-fn list(known: &[seed_list::KnownSeed]) {
+fn print_list(known: &[seed_list::KnownSeed]) {
     for kind in FaultKind::ALL {
         println!("{kind:?}");
     }
--- a/crates/valvestage-soak/src/observation.rs
+++ b/crates/valvestage-soak/src/observation.rs
@@ -14,14 +14,14 @@
     /// When the event was observed.
     pub at: Instant,
     /// Event that was observed.
-    pub seen: SeenEvent,
+    pub event: ObservedEvent,
 }
 
 /// Event that callers, backend servers or stall detectors observe.
 #[derive(Debug, Clone, PartialEq)]
-pub enum SeenEvent {
+pub enum ObservedEvent {
     /// A caller sent the first opening packet of a flow.
-    Begun {
+    Started {
         /// Addresses of the flow.
         flow: FlowAddresses,
     },
@@ -37,12 +37,12 @@
         arrived: Instant,
     },
     /// A packet of an open flow reached its backend server.
-    Reached {
+    Delivered {
         /// Addresses of the flow.
         flow: FlowAddresses,
     },
     /// A packet of a flow reached a backend server that does not have the flow.
-    Strayed {
+    Misrouted {
         /// Addresses of the flow.
         flow: FlowAddresses,
         /// Instance of the backend server that the packet reached.
@@ -51,7 +51,7 @@
         balancer: usize,
     },
     /// A backend server started to process a request.
-    Ran {
+    Executed {
         /// Id of the request.
         request: RequestId,
         /// Whether the request may be executed more than once.
@@ -92,7 +92,7 @@
         address: SocketAddrV4,
     },
     /// A packet is not as its sender wrote it.
-    Forged,
+    Altered,
     /// A thread of the soak test itself stalled, so that it may have caused apparent violations.
     Stalled {
         /// Time since the previous iteration of the thread.
@@ -100,7 +100,7 @@
     },
 }
 
-/// Passes observations to `take` until a time, and then those already queued at that time.
+/// Passes observations to `handle` until a time, and then those already queued at that time.
 ///
 /// Observations that arrive while the queued ones are processed are left for the next call. Under
 /// load new ones keep arriving, so a call that drained the queue would never return to the run's
@@ -108,47 +108,48 @@
 pub fn receive_until(
     observations: &Receiver<Observation>,
     until: Instant,
-    mut take: impl FnMut(Observation),
+    mut handle: impl FnMut(Observation),
 ) {
     while Instant::now() < until
         && let Ok(observation) = observations.recv_deadline(until)
     {
-        take(observation);
+        handle(observation);
     }
 
     for observation in observations.try_iter().take(observations.len()) {
-        take(observation);
+        handle(observation);
     }
 }
 
 /// Shortest time between two iterations of a thread of the soak test that counts as a stall.
 /// Callers resend after 200 ms, so a longer gap could look like a fault of a balancer.
-const STALL: Duration = Duration::from_millis(100);
+const STALL_THRESHOLD: Duration = Duration::from_millis(100);
 
 /// Detector of stalls of one thread of the soak test.
-pub struct StallWatch {
-    last_turn: Instant,
+pub struct StallDetector {
+    last_tick: Instant,
     observations: Sender<Observation>,
 }
 
-impl StallWatch {
+impl StallDetector {
     /// Creates a detector whose first interval starts now, and which reports stalls to
     /// `observations`.
     #[must_use]
     pub fn new(observations: Sender<Observation>) -> Self {
-        Self { last_turn: Instant::now(), observations }
+        Self { last_tick: Instant::now(), observations }
     }
 
     /// Reports a stall if the previous call is too long ago, and returns the current time. The
     /// thread calls this in each iteration of its loop.
-    pub fn turn(&mut self) -> Instant {
+    pub fn tick(&mut self) -> Instant {
         let now = Instant::now();
-        let time = now - std::mem::replace(&mut self.last_turn, now);
+        let time = now - std::mem::replace(&mut self.last_tick, now);
 
-        if time >= STALL {
+        if time >= STALL_THRESHOLD {
             // The receiver is gone at the end of the run.
-            let _ =
-                self.observations.send(Observation { at: now, seen: SeenEvent::Stalled { time } });
+            let _ = self
+                .observations
+                .send(Observation { at: now, event: ObservedEvent::Stalled { time } });
         }
         now
     }
--- a/crates/valvestage-soak/src/peer_relay.rs
+++ b/crates/valvestage-soak/src/peer_relay.rs
@@ -13,7 +13,7 @@
 use valvestage_standins::packets::socket_set::SocketSet;
 
 /// Longest wait for a datagram, and so the interval at which delayed messages are checked.
-const TURN: Duration = Duration::from_millis(5);
+const POLL_TIMEOUT: Duration = Duration::from_millis(5);
 
 /// Relay with one socket for each balancer, whose address that balancer advertises to the others.
 pub struct PeerRelay {
@@ -55,10 +55,10 @@
     /// Relays messages until `stop` is set.
     pub fn run(mut self, stop: &Arc<AtomicBool>) -> io::Result<()> {
         while !stop.load(Ordering::Relaxed) {
-            for datagram in self.sockets.receive(TURN)? {
+            for datagram in self.sockets.receive(POLL_TIMEOUT)? {
                 // Datagrams that no balancer has sent are dropped.
                 if let Some(from) = self.plan.balancer_at(*datagram.sender.ip()) {
-                    self.pass(from, datagram.socket, datagram.bytes);
+                    self.queue_message(from, datagram.socket, datagram.bytes);
                 }
             }
             self.send_due();
@@ -66,11 +66,11 @@
         Ok(())
     }
 
-    fn pass(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
+    fn queue_message(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
         let now = Instant::now();
         self.sent_bytes[from].fetch_add(bytes.len() as u64, Ordering::Relaxed);
 
-        let delay = self.links.pass(from, LinkTarget::Balancer(to), &mut self.draws, now);
+        let delay = self.links.datagram_delay(from, LinkTarget::Balancer(to), &mut self.draws, now);
         if let Some(delay) = delay {
             self.delayed.push(DelayedMessage { due: now + delay, from, to, bytes });
         }
--- a/crates/valvestage-soak/src/promise.rs
+++ b/crates/valvestage-soak/src/promise.rs
@@ -6,14 +6,14 @@
 
 /// Time after the end of a disturbance of a balancer, a backend server or the store during which it
 /// still counts as disturbed. This and the bounds below are those of the current deployments.
-pub const CONTACT: Duration = Duration::from_secs(4);
+pub const DISTURBANCE_MARGIN: Duration = Duration::from_secs(4);
 
 /// Time after the store has accepted a configuration at which balancers have to apply it.
 pub const CONFIGURATION_WITHIN: Duration = Duration::from_secs(3);
 
 /// Time after a balancer is seen to use a configuration from which it must not open flows by an
 /// older one.
-pub const NO_WAY_BACK_AFTER: Duration = Duration::from_millis(250);
+pub const ROLLBACK_GRACE: Duration = Duration::from_millis(250);
 
 /// Time after the store has accepted that a backend server drains from which it gets no new flows.
 pub const DRAIN_WITHIN: Duration = Duration::from_secs(3);
@@ -23,11 +23,11 @@
 pub const EVACUATION_WITHIN: Duration = Duration::from_secs(3);
 
 /// Sliding window over which misrouted packets of one flow are counted.
-pub const STRAY_WINDOW: Duration = Duration::from_secs(2);
+pub const MISROUTE_WINDOW: Duration = Duration::from_secs(2);
 
-/// Number of misrouted packets of one flow within [`STRAY_WINDOW`] that breaks
+/// Number of misrouted packets of one flow within [`MISROUTE_WINDOW`] that breaks
 /// [`Promise::FlowNotMoved`], if no packet reaches the flow's own backend server in between.
-pub const MAX_STRAYS: usize = 3;
+pub const MISROUTE_LIMIT: usize = 3;
 
 /// Time after the end of the last fault within which callers have to be served again.
 pub const RECOVERY_WITHIN: Duration = Duration::from_secs(12);
--- a/crates/valvestage-soak/src/promise_checker.rs
+++ b/crates/valvestage-soak/src/promise_checker.rs
@@ -8,13 +8,13 @@
 use valvestage_policy::steering::FlowAddresses;
 use valvestage_standins::packets::RequestId;
 
-use crate::observation::{Observation, SeenEvent};
+use crate::observation::{Observation, ObservedEvent};
 use crate::promise::{
-    CONFIGURATION_WITHIN, CONTACT, DRAIN_WITHIN, EVACUATION_WITHIN, MAX_STRAYS, NO_WAY_BACK_AFTER,
-    Promise, STRAY_WINDOW,
+    CONFIGURATION_WITHIN, DISTURBANCE_MARGIN, DRAIN_WITHIN, EVACUATION_WITHIN, MISROUTE_LIMIT,
+    MISROUTE_WINDOW, Promise, ROLLBACK_GRACE,
 };
-use crate::site_plan::COMING;
-use crate::site_truth::SiteTruth;
+use crate::site_plan::INTERMITTENT;
+use crate::site_truth::GroundTruth;
 
 /// Number of violations recorded in detail; further ones are only counted.
 const MAX_DETAILS: usize = 50;
@@ -56,26 +56,26 @@
 }
 
 /// State of a flow as observed so far.
-struct FlowFact {
-    begun: Instant,
+struct FlowRecord {
+    started_at: Instant,
     instance: Option<InstanceId>,
-    strays: Vec<Instant>,
+    misrouted: Vec<Instant>,
 }
 
 /// Configuration version that a balancer is known to have had in force, at least.
-struct ShownVersion {
-    life: u32,
+struct ObservedVersion {
+    restarts: u32,
     version: ConfigurationVersion,
     at: Instant,
 }
 
 /// Checker that compares observations of a run with the ground truth.
 pub struct PromiseChecker {
-    began: Instant,
+    faults_began: Instant,
     timed: bool,
-    flows: HashMap<FlowAddresses, FlowFact>,
+    flows: HashMap<FlowAddresses, FlowRecord>,
     ran_once: HashSet<RequestId>,
-    shown: HashMap<usize, ShownVersion>,
+    observed: HashMap<usize, ObservedVersion>,
     results: CheckResults,
     /// Requests that began at or after this time are also counted in `recent`.
     recent_from: Option<Instant>,
@@ -88,11 +88,11 @@
     #[must_use]
     pub fn new(timed: bool, now: Instant) -> Self {
         Self {
-            began: now,
+            faults_began: now,
             timed,
             flows: HashMap::new(),
             ran_once: HashSet::new(),
-            shown: HashMap::new(),
+            observed: HashMap::new(),
             results: CheckResults::default(),
             recent_from: None,
             recent: RequestTally::default(),
@@ -107,14 +107,14 @@
 
     /// Resets the count of recent requests; from now on it covers requests that begin at or after
     /// `from`.
-    pub fn count_from(&mut self, from: Instant) {
+    pub fn reset_recent(&mut self, from: Instant) {
         self.recent_from = Some(from);
         self.recent = RequestTally::default();
     }
 
     /// Sets the start of the fault phase, from which times of violations are measured.
-    pub fn begin(&mut self, now: Instant) {
-        self.began = now;
+    pub fn start_fault_phase(&mut self, now: Instant) {
+        self.faults_began = now;
     }
 
     /// Returns the number of recent requests that have finished.
@@ -139,7 +139,7 @@
 
     /// Records the outcome of one check, and the violation if `is_kept` is false. Ignores promises
     /// with a time bound if these are not checked.
-    pub fn expect(
+    pub fn check(
         &mut self,
         promise: Promise,
         is_kept: bool,
@@ -156,59 +156,59 @@
 
         self.results.broken_count += 1;
         if self.results.broken.len() < MAX_DETAILS {
-            let at_s = at.saturating_duration_since(self.began).as_secs_f64();
+            let at_s = at.saturating_duration_since(self.faults_began).as_secs_f64();
             self.results.broken.push(BrokenPromise { promise, at_s, detail: detail() });
         }
     }
 
     /// Checks the promises that an observation concerns, and updates the state of its flow.
-    pub fn observe(&mut self, truth: &mut SiteTruth, observation: Observation) {
-        let Observation { at, seen } = observation;
+    pub fn observe(&mut self, truth: &mut GroundTruth, observation: Observation) {
+        let Observation { at, event } = observation;
 
-        match seen {
-            SeenEvent::Begun { flow } => {
-                let fact = FlowFact { begun: at, instance: None, strays: Vec::new() };
-                self.flows.insert(flow, fact);
+        match event {
+            ObservedEvent::Started { flow } => {
+                let record = FlowRecord { started_at: at, instance: None, misrouted: Vec::new() };
+                self.flows.insert(flow, record);
             }
-            SeenEvent::Opened { flow, instance, balancer, arrived } => {
+            ObservedEvent::Opened { flow, instance, balancer, arrived } => {
                 self.on_opened(truth, flow, instance, balancer, arrived);
             }
-            SeenEvent::Reached { flow } => {
-                if let Some(fact) = self.flows.get_mut(&flow) {
-                    fact.strays.clear();
+            ObservedEvent::Delivered { flow } => {
+                if let Some(record) = self.flows.get_mut(&flow) {
+                    record.misrouted.clear();
                 }
             }
-            SeenEvent::Strayed { flow, instance, balancer } => {
-                self.on_strayed(truth, flow, instance, balancer, at);
+            ObservedEvent::Misrouted { flow, instance, balancer } => {
+                self.on_misrouted(truth, flow, instance, balancer, at);
             }
-            SeenEvent::Ran { request, repeatable } => {
+            ObservedEvent::Executed { request, repeatable } => {
                 let is_first = repeatable || self.ran_once.insert(request);
-                self.expect(Promise::RunsOnce, is_first, at, || format!("request {request}"));
+                self.check(Promise::RunsOnce, is_first, at, || format!("request {request}"));
             }
-            SeenEvent::Reset { flow, open, balancer } => {
+            ObservedEvent::Reset { flow, open, balancer } => {
                 self.on_reset(truth, flow, open, balancer, at);
             }
-            SeenEvent::Closed { flow } => {
+            ObservedEvent::Closed { flow } => {
                 self.flows.remove(&flow);
             }
-            SeenEvent::Answered { request, whole, began, address } => {
-                self.expect(Promise::WholeAnswer, whole, at, || format!("request {request}"));
-                if address != COMING {
+            ObservedEvent::Answered { request, whole, began, address } => {
+                self.check(Promise::WholeAnswer, whole, at, || format!("request {request}"));
+                if address != INTERMITTENT {
                     self.count(began, |tally| tally.answered += 1);
                 }
             }
-            SeenEvent::Failed { began, address, .. } => {
-                if address != COMING {
+            ObservedEvent::Failed { began, address, .. } => {
+                if address != INTERMITTENT {
                     self.count(began, |tally| tally.failed += 1);
                 }
             }
-            SeenEvent::Forged => {
-                self.expect(Promise::PacketUnchanged, false, at, || "packet altered".to_owned());
+            ObservedEvent::Altered => {
+                self.check(Promise::PacketUnchanged, false, at, || "packet altered".to_owned());
             }
-            SeenEvent::Stalled { time } => {
+            ObservedEvent::Stalled { time } => {
                 log::warn!("a thread of the soak test stalled for {} ms", time.as_millis());
                 self.results.stalls += 1;
-                truth.on_stall(at);
+                truth.record_stall(at);
             }
         }
     }
@@ -223,87 +223,92 @@
 
     fn on_opened(
         &mut self,
-        truth: &SiteTruth,
+        truth: &GroundTruth,
         flow: FlowAddresses,
         instance: InstanceId,
         balancer: usize,
         arrived: Instant,
     ) {
-        let Some(fact) = self.flows.get_mut(&flow) else { return };
-        fact.instance = Some(instance);
-        let begun = fact.begun;
+        let Some(record) = self.flows.get_mut(&flow) else { return };
+        record.instance = Some(instance);
+        let started_at = record.started_at;
         let Some(backend) = truth.backends.get(&instance) else { return };
         let service = backend.service;
-        let place = || format!("{flow:?} at {instance:x} of {service} through balancer {balancer}");
+        let detail =
+            || format!("{flow:?} at {instance:x} of {service} through balancer {balancer}");
 
-        let has_led = truth.has_led(flow.service, service);
-        self.expect(Promise::RightService, has_led, arrived, place);
-        if !truth.is_in_touch(balancer, arrived) {
+        let was_ever_routed = truth.was_ever_routed(flow.service, service);
+        self.check(Promise::RightService, was_ever_routed, arrived, detail);
+        if !truth.is_undisturbed(balancer, arrived) {
             return;
         }
 
-        let is_late = backend.draining_at.is_some_and(|at| begun > at + DRAIN_WITHIN);
-        self.expect(Promise::Drain, !is_late, arrived, place);
-        let from = begun.checked_sub(EVACUATION_WITHIN).unwrap_or(begun);
-        let is_left_alone = !truth.was_evacuated(backend.zone, from, arrived);
-        self.expect(Promise::Evacuation, is_left_alone, arrived, place);
-        let from = begun.checked_sub(CONFIGURATION_WITHIN).unwrap_or(begun);
-        let allowed = truth.services_between(flow.service, from, arrived);
+        let is_late = backend.draining_at.is_some_and(|at| started_at > at + DRAIN_WITHIN);
+        self.check(Promise::Drain, !is_late, arrived, detail);
+        let from = started_at.checked_sub(EVACUATION_WITHIN).unwrap_or(started_at);
+        let is_respected = !truth.was_evacuated(backend.zone, from, arrived);
+        self.check(Promise::Evacuation, is_respected, arrived, detail);
+        let from = started_at.checked_sub(CONFIGURATION_WITHIN).unwrap_or(started_at);
+        let allowed = truth.services_routed(flow.service, from, arrived);
         let is_allowed = allowed.contains(&Some(service));
-        self.expect(Promise::ConfigurationInForce, is_allowed, arrived, place);
-        self.check_no_way_back(truth, flow, service, balancer, begun, arrived);
+        self.check(Promise::ConfigurationInForce, is_allowed, arrived, detail);
+        self.check_no_rollback(truth, flow, service, balancer, started_at, arrived);
     }
 
     /// Checks that a balancer does not return to an older configuration: the newest configuration
     /// that explains this opening is at least as new as the oldest one that explains an earlier
     /// opening through the same balancer since its last restart.
-    fn check_no_way_back(
+    fn check_no_rollback(
         &mut self,
-        truth: &SiteTruth,
+        truth: &GroundTruth,
         flow: FlowAddresses,
         service: &str,
         balancer: usize,
-        begun: Instant,
+        started_at: Instant,
         arrived: Instant,
     ) {
-        let from = begun.checked_sub(CONFIGURATION_WITHIN).unwrap_or(begun);
+        let from = started_at.checked_sub(CONFIGURATION_WITHIN).unwrap_or(started_at);
         let address = flow.service;
-        let Some(newest) = truth.versions_leading(address, service, None, arrived).last().copied()
+        let Some(newest) = truth.versions_routing(address, service, None, arrived).last().copied()
         else {
             return;
         };
-        let plausible = truth.versions_leading(address, service, Some(from), arrived);
+        let plausible = truth.versions_routing(address, service, Some(from), arrived);
         let needed = plausible.first().copied().unwrap_or(0);
 
-        let life = truth.balancers[balancer].life;
-        let shown = self.shown.get(&balancer).filter(|shown| shown.life == life);
-        let is_back = shown.is_some_and(|s| begun > s.at + NO_WAY_BACK_AFTER && newest < s.version);
-        let shown_version = shown.map_or(0, |shown| shown.version);
-        self.expect(Promise::ConfigurationNeverBack, !is_back, arrived, || {
-            format!("balancer {balancer} used {shown_version}, then {newest} at most: {flow:?}")
+        let restarts = truth.balancers[balancer].restarts;
+        let observed =
+            self.observed.get(&balancer).filter(|observed| observed.restarts == restarts);
+        let is_rollback =
+            observed.is_some_and(|s| started_at > s.at + ROLLBACK_GRACE && newest < s.version);
+        let observed_version = observed.map_or(0, |observed| observed.version);
+        self.check(Promise::ConfigurationNeverBack, !is_rollback, arrived, || {
+            format!("balancer {balancer} used {observed_version}, then {newest} at most: {flow:?}")
         });
-        if needed > shown_version {
-            let shown = ShownVersion { life, version: needed, at: arrived };
-            self.shown.insert(balancer, shown);
+        if needed > observed_version {
+            let observed = ObservedVersion { restarts, version: needed, at: arrived };
+            self.observed.insert(balancer, observed);
         }
     }
 
-    fn on_strayed(
+    fn on_misrouted(
         &mut self,
-        truth: &SiteTruth,
+        truth: &GroundTruth,
         flow: FlowAddresses,
         instance: InstanceId,
         balancer: usize,
         at: Instant,
     ) {
-        let Some(fact) = self.flows.get_mut(&flow) else { return };
-        let Some(own) = fact.instance.filter(|own| *own != instance) else { return };
-        fact.strays.retain(|stray| at.saturating_duration_since(*stray) <= STRAY_WINDOW);
-        fact.strays.push(at);
-
-        let strays = fact.strays.len();
-        if truth.is_unharmed(balancer, at) && truth.lives(own, at) {
-            self.expect(Promise::FlowNotMoved, strays < MAX_STRAYS, at, || {
+        let Some(record) = self.flows.get_mut(&flow) else { return };
+        let Some(own) = record.instance.filter(|own| *own != instance) else { return };
+        record
+            .misrouted
+            .retain(|earlier| at.saturating_duration_since(*earlier) <= MISROUTE_WINDOW);
+        record.misrouted.push(at);
+
+        let misrouted = record.misrouted.len();
+        if truth.is_fault_free(balancer, at) && truth.is_backend_up(own, at) {
+            self.check(Promise::FlowNotMoved, misrouted < MISROUTE_LIMIT, at, || {
                 format!("{flow:?} of {own:x} reached {instance:x} through balancer {balancer}")
             });
         }
@@ -311,33 +316,33 @@
 
     fn on_reset(
         &mut self,
-        truth: &SiteTruth,
+        truth: &GroundTruth,
         flow: FlowAddresses,
         open: bool,
         balancer: usize,
         at: Instant,
     ) {
-        let Some(fact) = self.flows.get(&flow) else { return };
-        let from = fact.begun.checked_sub(CONTACT).unwrap_or(fact.begun);
-        let has_route = !truth.services_between(flow.service, from, at).contains(&None);
+        let Some(record) = self.flows.get(&flow) else { return };
+        let from = record.started_at.checked_sub(DISTURBANCE_MARGIN).unwrap_or(record.started_at);
+        let has_route = !truth.services_routed(flow.service, from, at).contains(&None);
         if !has_route {
             return;
         }
 
         let detail = || format!("{flow:?} through balancer {balancer}");
-        match fact.instance {
+        match record.instance {
             Some(instance) if open => {
-                if truth.is_unharmed(balancer, at) {
-                    let lives = truth.lives(instance, at);
-                    self.expect(Promise::FlowNotEnded, !lives, at, || {
+                if truth.is_fault_free(balancer, at) {
+                    let is_up = truth.is_backend_up(instance, at);
+                    self.check(Promise::FlowNotEnded, !is_up, at, || {
                         format!("{} of {instance:x}", detail())
                     });
                 }
             }
             _ => {
-                if truth.is_in_touch(balancer, at) {
-                    let is_false = has_ready_backend(truth, flow, from, at);
-                    self.expect(Promise::NoFalseRefusal, !is_false, at, detail);
+                if truth.is_undisturbed(balancer, at) {
+                    let is_false_refusal = has_ready_backend(truth, flow, from, at);
+                    self.check(Promise::NoFalseRefusal, !is_false_refusal, at, detail);
                 }
             }
         }
@@ -346,15 +351,15 @@
 
 /// Reports whether each service that the flow's address was routed to from `from` to `at` had an
 /// undisturbed backend server, not draining, during the whole time.
-fn has_ready_backend(truth: &SiteTruth, flow: FlowAddresses, from: Instant, at: Instant) -> bool {
-    let services = truth.services_between(flow.service, from, at);
+fn has_ready_backend(truth: &GroundTruth, flow: FlowAddresses, from: Instant, at: Instant) -> bool {
+    let services = truth.services_routed(flow.service, from, at);
 
     services.into_iter().flatten().all(|service| {
-        truth.backends.iter().any(|(instance, fact)| {
-            fact.service == service
-                && fact.listed_at <= from
-                && fact.draining_at.is_none()
-                && truth.lives(*instance, at)
+        truth.backends.iter().any(|(instance, record)| {
+            record.service == service
+                && record.registered_at <= from
+                && record.draining_at.is_none()
+                && truth.is_backend_up(*instance, at)
         })
     })
 }
--- a/crates/valvestage-soak/src/site_plan.rs
+++ b/crates/valvestage-soak/src/site_plan.rs
@@ -14,7 +14,7 @@
 pub const SWITCHING: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 2), 443);
 
 /// Service address that only some configurations have a route for.
-pub const COMING: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 3), 443);
+pub const INTERMITTENT: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 3), 443);
 
 /// Names of the services.
 pub const SERVICES: [&str; 2] = ["core", "photos"];
@@ -127,7 +127,7 @@
 
 /// Binds a TCP listener on loopback, at a port that the kernel chooses, and returns it with its
 /// address.
-pub fn listen() -> io::Result<(TcpListener, SocketAddrV4)> {
+pub fn bind_listener() -> io::Result<(TcpListener, SocketAddrV4)> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let port = listener.local_addr()?.port();
 
--- a/crates/valvestage-soak/src/site_store.rs
+++ b/crates/valvestage-soak/src/site_store.rs
@@ -43,7 +43,7 @@
     }
 
     /// Replaces the store's injected faults by `faults`.
-    pub fn misbehave(&self, faults: Faults) {
+    pub fn set_faults(&self, faults: Faults) {
         self.standin.misbehave(faults);
     }
 
@@ -74,7 +74,7 @@
         let address = plan.backend(place);
         let object = BackendObject { service, address, zone: &zone, slots: SLOTS, is_draining };
 
-        self.standin.put_object(BACKEND_KIND, &name_of(instance), object.value());
+        self.standin.put_object(BACKEND_KIND, &entry_name(instance), object.value());
     }
 
     /// Writes the evacuation object of `zone`, after which balancers send no new flows there.
@@ -85,16 +85,16 @@
     }
 
     /// Deletes the evacuation object of `zone`, which ends the evacuation.
-    pub fn take_back(&self, zone: usize) {
+    pub fn end_evacuation(&self, zone: usize) {
         self.standin.delete_object(EVACUATION_KIND, &SitePlan::zone_name(zone));
     }
 
     /// Deletes the entry of a backend server.
     pub fn delete_backend(&self, instance: InstanceId) {
-        self.standin.delete_object(BACKEND_KIND, &name_of(instance));
+        self.standin.delete_object(BACKEND_KIND, &entry_name(instance));
     }
 }
 
-fn name_of(instance: InstanceId) -> String {
+fn entry_name(instance: InstanceId) -> String {
     format!("i-{instance:x}")
 }
--- a/crates/valvestage-soak/src/soak_run/site_changes.rs
+++ b/crates/valvestage-soak/src/soak_run/site_changes.rs
@@ -7,35 +7,37 @@
 
 use super::SoakRun;
 use crate::backend_servers::BackendCommand;
-use crate::site_plan::{COMING, Routes, SERVICES, STEADY, SWITCHING, SitePlan, other_service};
-use crate::site_truth::{BackendFact, ConfigurationFact};
+use crate::site_plan::{
+    INTERMITTENT, Routes, SERVICES, STEADY, SWITCHING, SitePlan, other_service,
+};
+use crate::site_truth::{BackendRecord, ConfigurationRecord};
 use crate::soak_options::Sabotage;
 
 impl SoakRun {
     /// Starts the backend server instance that is assigned to a place, and writes its entry.
-    pub(super) fn list_backend(&mut self, place: usize) {
+    pub(super) fn register_backend(&mut self, place: usize) {
         let entry = self.places.get(place);
         let now = Instant::now();
-        let fact = BackendFact {
+        let record = BackendRecord {
             service: entry.service,
             zone: SitePlan::zone_of(place),
             draining_at: None,
             ended_at: None,
-            listed_at: now,
+            registered_at: now,
             disturbed_until: now,
         };
 
-        self.truth.backends.insert(entry.instance, fact);
-        self.command(BackendCommand::Start(place, entry.instance));
+        self.truth.backends.insert(entry.instance, record);
+        self.send_command(BackendCommand::Start(place, entry.instance));
         self.write_entry(place, false);
     }
 
     /// Stops a backend server without notice; its entry stays in the store.
-    pub(super) fn end_backend(&mut self, place: usize, now: Instant) {
-        self.command(BackendCommand::End(place));
+    pub(super) fn stop_backend(&mut self, place: usize, now: Instant) {
+        self.send_command(BackendCommand::Stop(place));
 
-        if let Some(fact) = self.truth.backends.get_mut(&self.places.get(place).instance) {
-            fact.ended_at = Some(now);
+        if let Some(record) = self.truth.backends.get_mut(&self.places.get(place).instance) {
+            record.ended_at = Some(now);
         }
     }
 
@@ -65,27 +67,32 @@
         routes.insert(STEADY, SERVICES[0]);
         routes.insert(SWITCHING, SERVICES[number % 2]);
         if (number / 2).is_multiple_of(2) {
-            routes.insert(COMING, SERVICES[0]);
+            routes.insert(INTERMITTENT, SERVICES[0]);
         }
 
-        let told = told_routes(self.options.sabotage, number, &mut routes);
-        if let Some(told) = told {
-            self.site.store.put_configuration(self.version, &told);
+        let written = written_routes(self.options.sabotage, number, &mut routes);
+        if let Some(written) = written {
+            self.site.store.put_configuration(self.version, &written);
         }
-        let fact = ConfigurationFact { version: self.version, at: Instant::now(), routes };
-        self.truth.configurations.push(fact);
+        let record =
+            ConfigurationRecord { version: self.version, accepted_at: Instant::now(), routes };
+        self.truth.configurations.push(record);
     }
 }
 
 /// Returns the routes to write to the store, or `None` to write nothing. They differ from the
 /// expected `routes` only if a run corrupts configurations on purpose.
-fn told_routes(sabotage: Option<Sabotage>, number: usize, routes: &mut Routes) -> Option<Routes> {
-    let mut told = routes.clone();
+fn written_routes(
+    sabotage: Option<Sabotage>,
+    number: usize,
+    routes: &mut Routes,
+) -> Option<Routes> {
+    let mut written = routes.clone();
 
     match sabotage {
         Some(Sabotage::HideConfigurations) if number > 0 => return None,
         Some(Sabotage::DropRoute) if number > 0 => {
-            told.remove(&STEADY);
+            written.remove(&STEADY);
         }
         // The expected route stays that of the second configuration, while the written one
         // alternates.
@@ -94,5 +101,5 @@
         }
         _ => {}
     }
-    Some(told)
+    Some(written)
 }
--- a/crates/valvestage-soak/src/soak_site.rs
+++ b/crates/valvestage-soak/src/soak_site.rs
@@ -13,27 +13,27 @@
 use crate::backend_servers::{BackendCommand, BackendServers};
 use crate::balancer_process::BalancerProcess;
 use crate::caller_load::CallerLoad;
-use crate::errors::{SoakError, at};
+use crate::errors::{SoakError, failed_to};
 use crate::link_table::LinkTable;
-use crate::observation::{Observation, StallWatch};
+use crate::observation::{Observation, StallDetector};
 use crate::peer_relay::{PeerRelay, SentBytes};
-use crate::router_table::{ASK_INTERVAL, RouterTable};
-use crate::site_plan::{SitePlan, ZONES, listen};
+use crate::router_table::{PROBE_INTERVAL, RouterTable};
+use crate::site_plan::{SitePlan, ZONES, bind_listener};
 use crate::site_store::SiteStore;
 use crate::soak_options::SoakOptions;
 use crate::store_relay::StoreRelay;
 
 /// Number of other balancers that each balancer's settings name as seeds.
-const SEEDS: usize = 3;
+const SEED_COUNT: usize = 3;
 
 /// Longest wait for all balancers to become ready after their first start.
 const READY_WITHIN: Duration = Duration::from_secs(60);
 
 /// Number of lines of each balancer's log that an error shows.
-const SHOWN_LINES: usize = 40;
+const LOG_LINES_SHOWN: usize = 40;
 
 /// Polling interval while balancers become ready.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Processes, threads and shared tables that the run acts on. Dropping it stops them.
 pub struct SoakSite {
@@ -55,7 +55,7 @@
     pub observations: Receiver<Observation>,
     /// Bytes that each balancer has sent to other balancers.
     pub sent_bytes: SentBytes,
-    observe: Sender<Observation>,
+    observation_sender: Sender<Observation>,
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
     /// Runtime of the store's relays; kept so that they run until the site is dropped.
@@ -65,19 +65,21 @@
 impl SoakSite {
     /// Starts the store, the relays and the backend servers, and writes the balancers' settings.
     pub fn start(options: &SoakOptions) -> Result<Self, SoakError> {
-        fs::create_dir_all(&options.folder).map_err(at("create the folder"))?;
-        let plan = SitePlan::new(options.balancers, options.backends).map_err(at("find ports"))?;
+        fs::create_dir_all(&options.folder).map_err(failed_to("create the folder"))?;
+        let plan =
+            SitePlan::new(options.balancers, options.backends).map_err(failed_to("find ports"))?;
         let store = SiteStore::default();
-        let (listener, store_address) = listen().map_err(at("listen for the store"))?;
-        store.serve(listener).map_err(at("start the store"))?;
+        let (listener, store_address) =
+            bind_listener().map_err(failed_to("listen for the store"))?;
+        store.serve(listener).map_err(failed_to("start the store"))?;
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
             .enable_all()
             .build()
-            .map_err(at("start the relays"))?;
+            .map_err(failed_to("start the relays"))?;
 
         let (commands, command_receiver) = unbounded();
-        let (observe, observations) = unbounded();
+        let (observation_sender, observations) = unbounded();
         let mut site = Self {
             router: RouterTable::new(&plan),
             relays: vec![],
@@ -86,7 +88,7 @@
             commands,
             observations,
             sent_bytes: Arc::new((0..plan.balancers).map(|_| AtomicU64::new(0)).collect()),
-            observe: observe.clone(),
+            observation_sender: observation_sender.clone(),
             stop: Arc::new(AtomicBool::new(false)),
             threads: vec![],
             _runtime: runtime,
@@ -94,69 +96,77 @@
             plan: plan.clone(),
         };
         for number in 0..plan.balancers {
-            site.add_balancer(options, number, store_address).map_err(at("set up a balancer"))?;
+            site.add_balancer(options, number, store_address)
+                .map_err(failed_to("set up a balancer"))?;
         }
         let links = || site.links.clone();
         let relay = PeerRelay::bind(plan.clone(), links(), site.sent_bytes.clone(), options.seed);
-        let relay = relay.map_err(at("bind relays"))?;
-        let backends = BackendServers::bind(plan, links(), command_receiver, observe, options)
-            .map_err(at("bind backend servers"))?;
-        site.spawn("relay", |stop| relay.run(&stop))?;
-        site.spawn("backends", |stop| backends.run(&stop))?;
+        let relay = relay.map_err(failed_to("bind relays"))?;
+        let backends =
+            BackendServers::bind(plan, links(), command_receiver, observation_sender, options)
+                .map_err(failed_to("bind backend servers"))?;
+        site.spawn_thread("relay", |stop| relay.run(&stop))?;
+        site.spawn_thread("backends", |stop| backends.run(&stop))?;
         Ok(site)
     }
 
     /// Returns a detector for stalls of the calling thread, starting now.
     #[must_use]
-    pub fn stall_watch(&self) -> StallWatch {
-        StallWatch::new(self.observe.clone())
+    pub fn stall_detector(&self) -> StallDetector {
+        StallDetector::new(self.observation_sender.clone())
     }
 
     /// Starts all balancers and their routers' probes, and waits until the routers see all of them
     /// ready.
     pub fn start_balancers(&mut self) -> Result<(), SoakError> {
         for balancer in &mut self.balancers {
-            balancer.start().map_err(at("start a balancer"))?;
+            balancer.start().map_err(failed_to("start a balancer"))?;
         }
         for number in 0..self.plan.balancers {
             let (router, plan) = (self.router.clone(), self.plan.clone());
             let address = SocketAddrV4::new(plan.balancer(number), plan.ready_port);
-            self.spawn("router", move |stop| {
+            self.spawn_thread("router", move |stop| {
                 while !stop.load(Ordering::Relaxed) {
-                    router.ask(number, address);
-                    thread::sleep(ASK_INTERVAL);
+                    router.probe(number, address);
+                    thread::sleep(PROBE_INTERVAL);
                 }
                 Ok(())
             })?;
         }
 
         let give_up = Instant::now() + READY_WITHIN;
-        while self.router.count_in() < self.plan.balancers {
+        while self.router.healthy_count() < self.plan.balancers {
             if Instant::now() >= give_up {
-                let (ready, balancers) = (self.router.count_in(), self.plan.balancers);
-                let logs = self.balancers.iter().map(|one| one.last_lines(SHOWN_LINES)).collect();
+                let (ready, balancers) = (self.router.healthy_count(), self.plan.balancers);
+                let logs =
+                    self.balancers.iter().map(|one| one.last_lines(LOG_LINES_SHOWN)).collect();
                 return Err(SoakError::NotReady { ready, balancers, logs });
             }
-            thread::sleep(LOOK_AGAIN);
+            thread::sleep(READY_POLL_INTERVAL);
         }
         Ok(())
     }
 
     /// Starts the thread that generates the callers' load.
     pub fn start_callers(&mut self, options: &SoakOptions) -> Result<(), SoakError> {
-        let callers =
-            CallerLoad::bind(self.plan.clone(), self.router.clone(), self.observe.clone(), options)
-                .map_err(at("bind callers"))?;
+        let callers = CallerLoad::bind(
+            self.plan.clone(),
+            self.router.clone(),
+            self.observation_sender.clone(),
+            options,
+        )
+        .map_err(failed_to("bind callers"))?;
 
-        self.spawn("callers", |stop| callers.run(&stop))
+        self.spawn_thread("callers", |stop| callers.run(&stop))
     }
 
-    /// Returns the text of a balancer's settings. `turn` shifts which other balancers are named as
-    /// seeds.
+    /// Returns the text of a balancer's settings. `seed_shift` varies which other balancers are
+    /// named as seeds.
     #[must_use]
-    pub fn settings(&self, number: usize, turn: usize, store: SocketAddrV4) -> String {
+    pub fn settings(&self, number: usize, seed_shift: usize, store: SocketAddrV4) -> String {
         let plan = &self.plan;
-        let others = (1..=SEEDS).map(|step| plan.relay((number + turn + step) % plan.balancers));
+        let others =
+            (1..=SEED_COUNT).map(|step| plan.relay((number + seed_shift + step) % plan.balancers));
         let seeds: Vec<String> = others.map(|ip| format!("\"{ip}:1\"")).collect();
         let (ip, zone) = (plan.balancer(number), SitePlan::zone_name(SitePlan::zone_of(number)));
 
@@ -183,7 +193,7 @@
         number: usize,
         store: SocketAddrV4,
     ) -> io::Result<()> {
-        let (listener, address): (TcpListener, _) = listen()?;
+        let (listener, address): (TcpListener, _) = bind_listener()?;
         let relay = StoreRelay::new(address);
         self._runtime.spawn(relay.clone().serve(listener, store));
         self.relays.push(relay);
@@ -194,7 +204,7 @@
         Ok(())
     }
 
-    fn spawn(
+    fn spawn_thread(
         &mut self,
         name: &'static str,
         work: impl FnOnce(Arc<AtomicBool>) -> io::Result<()> + Send + 'static,
@@ -207,7 +217,7 @@
         };
 
         let thread = thread::Builder::new().name(name.into()).spawn(work);
-        self.threads.push(thread.map_err(at("start a thread"))?);
+        self.threads.push(thread.map_err(failed_to("start a thread"))?);
         Ok(())
     }
 }
--- a/crates/valvestage-soak/src/store_relay.rs
+++ b/crates/valvestage-soak/src/store_relay.rs
@@ -61,7 +61,7 @@
     }
 
     /// Changes the state, also for connections that are open.
-    pub fn set(&self, state: StoreLinkState) {
+    pub fn set_state(&self, state: StoreLinkState) {
         *self.state.lock().unwrap_or_else(PoisonError::into_inner) = state;
     }
 
@@ -81,24 +81,24 @@
         let listener = tokio::net::TcpListener::from_std(listener)?;
 
         loop {
-            let (near, _) = listener.accept().await?;
+            let (client, _) = listener.accept().await?;
             if self.state() == StoreLinkState::Resetting {
                 continue;
             }
-            let far = TcpStream::connect(store).await?;
-            let (near_read, near_write) = near.into_split();
-            let (far_read, far_write) = far.into_split();
-            let near_write = Arc::new(tokio::sync::Mutex::new(near_write));
-            let calls = self.clone().pass_calls(near_read, far_write, near_write.clone());
-            let answers = self.clone().pass_answers(far_read, near_write);
-            tokio::spawn(self.clone().pass(calls));
-            tokio::spawn(self.clone().pass(answers));
+            let upstream = TcpStream::connect(store).await?;
+            let (client_read, client_write) = client.into_split();
+            let (upstream_read, upstream_write) = upstream.into_split();
+            let client_write = Arc::new(tokio::sync::Mutex::new(client_write));
+            let calls = self.clone().relay_calls(client_read, upstream_write, client_write.clone());
+            let answers = self.clone().relay_answers(upstream_read, client_write);
+            tokio::spawn(self.clone().relay_until_silenced(calls));
+            tokio::spawn(self.clone().relay_until_silenced(answers));
         }
     }
 
     /// Relays one direction until it ends or the connection is silenced. In the latter case the
     /// task waits forever, so that both sockets stay open.
-    async fn pass(self, direction: impl Future<Output = ()>) {
+    async fn relay_until_silenced(self, direction: impl Future<Output = ()>) {
         let mut direction = std::pin::pin!(direction);
 
         tokio::select! {
@@ -108,7 +108,7 @@
     }
 
     /// Relays calls until the connection ends. An error means that one of its sides was closed.
-    async fn pass_calls(
+    async fn relay_calls(
         self,
         mut from: OwnedReadHalf,
         mut to: OwnedWriteHalf,
@@ -117,7 +117,7 @@
         let mut chunk = vec![0; CHUNK];
 
         while let Ok(length @ 1..) = from.read(&mut chunk).await {
-            let written = match self.hold().await {
+            let written = match self.delayed_state().await {
                 StoreLinkState::Resetting => return,
                 // Both sockets stay open and get nothing more.
                 StoreLinkState::Silent => return std::future::pending().await,
@@ -131,11 +131,11 @@
     }
 
     /// Relays answers until the connection ends, as for calls.
-    async fn pass_answers(self, mut from: OwnedReadHalf, to: SharedWriteHalf) {
+    async fn relay_answers(self, mut from: OwnedReadHalf, to: SharedWriteHalf) {
         let mut chunk = vec![0; CHUNK];
 
         while let Ok(length @ 1..) = from.read(&mut chunk).await {
-            match self.hold().await {
+            match self.delayed_state().await {
                 StoreLinkState::Resetting => return,
                 StoreLinkState::AnswersLost | StoreLinkState::Silent => {
                     return std::future::pending().await;
@@ -149,7 +149,7 @@
     }
 
     /// Returns the state on entry, after waiting for the delay that it imposes.
-    async fn hold(&self) -> StoreLinkState {
+    async fn delayed_state(&self) -> StoreLinkState {
         let state = self.state();
 
         if let StoreLinkState::Slow(time) = state {
--- a/crates/valvestage-soak/tests/observation.rs
+++ b/crates/valvestage-soak/tests/observation.rs
@@ -3,14 +3,14 @@
 use std::time::{Duration, Instant};
 
 use crossbeam_channel::unbounded;
-use valvestage_soak::observation::{Observation, SeenEvent, receive_until};
+use valvestage_soak::observation::{Observation, ObservedEvent, receive_until};
 
 fn observation() -> Observation {
-    Observation { at: Instant::now(), seen: SeenEvent::Forged }
+    Observation { at: Instant::now(), event: ObservedEvent::Altered }
 }
 
 #[test]
-fn what_comes_meanwhile_is_left_for_the_next_call() {
+fn observations_that_arrive_meanwhile_wait_for_the_next_call() {
     const WAITING: usize = 10;
     // Ends the loop of an implementation that drains the queue although new observations keep
     // arriving.
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn what_comes_before_the_time_is_taken_in() {
+fn observations_before_the_deadline_are_received() {
     let (sender, receiver) = unbounded();
     sender.send(observation()).unwrap();
 
--- a/crates/valvestage-soak/tests/plan.rs
+++ b/crates/valvestage-soak/tests/plan.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn faults_end_with_the_run_and_come_in_order() {
+fn faults_end_within_the_run_and_are_ordered() {
     for seed in 0..50 {
         let faults = plan(seed, LENGTH, &FaultKind::ALL);
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn every_kind_comes_and_some_overlap() {
+fn every_kind_occurs_and_some_faults_overlap() {
     let faults: Vec<_> = (0..50).map(|seed| plan(seed, LENGTH, &FaultKind::ALL)).collect();
 
     for kind in FaultKind::ALL {
--- a/crates/valvestage-soak/tests/process_logs.rs
+++ b/crates/valvestage-soak/tests/process_logs.rs
@@ -14,7 +14,7 @@
     let mut process = BalancerProcess::new(Path::new("/bin/echo"), &folder, 2, "").unwrap();
     for _ in 0..3 {
         process.start().unwrap();
-        while process.take_end().unwrap().is_none() {
+        while process.poll_exit().unwrap().is_none() {
             thread::yield_now();
         }
     }
--- a/crates/valvestage-soak/tests/seeds.rs
+++ b/crates/valvestage-soak/tests/seeds.rs
@@ -6,7 +6,7 @@
 use valvestage_soak::seed_list::read;
 
 #[test]
-fn the_list_can_be_read() {
+fn the_seed_list_is_valid() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("seeds.toml");
 
     let known = read(&file).unwrap();
