--- a/crates/valvestage-soak/src/soak_run.rs
+++ b/crates/valvestage-soak/src/soak_run.rs
@@ -59,9 +59,9 @@
     Stopping,
 }
 
-/// Action scheduled for a later time, such as the end of a fault.
+/// Action of a timer of the run, such as the end of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum ScheduledAction {
+enum TimerAction {
     StartBalancer { number: usize, planned: bool },
     ResumeBalancer(usize),
     ReopenRelay(usize),
@@ -74,17 +74,17 @@
     EndEvacuation { zone: usize },
 }
 
-/// State of one run: the site, its ground truth, the checker and the scheduled actions.
+/// State of one run: the site, its ground truth, the checker and the timers.
 pub struct SoakRun {
     options: SoakOptions,
     site: SoakSite,
-    /// Detects stalls of this thread, which delay its scheduled actions.
+    /// Detects stalls of this thread, which delay its timers.
     stalls: StallDetector,
     truth: GroundTruth,
     checker: PromiseChecker,
     places: BackendPlaces,
     balancer_states: Vec<BalancerState>,
-    scheduled: Vec<(Instant, ScheduledAction)>,
+    timers: Vec<(Instant, TimerAction)>,
     /// Active faults of the store, with the time at which each ends.
     store_faults: Vec<(Instant, FaultKind)>,
     draws: Draws,
@@ -115,7 +115,7 @@
             checker: PromiseChecker::new(options.timed, now),
             places: BackendPlaces::new(options.backends, options.seed, now),
             balancer_states: vec![BalancerState::Run; options.balancers],
-            scheduled: Vec::new(),
+            timers: Vec::new(),
             store_faults: Vec::new(),
             draws: Draws::new(!options.seed),
             version: 0,
@@ -156,7 +156,7 @@
     /// Waits until all faults have ended, then checks that callers are served again.
     fn await_recovery(&mut self) -> Result<(), SoakError> {
         self.record_event("calm".to_owned());
-        while !self.scheduled.is_empty() || !self.store_faults.is_empty() {
+        while !self.timers.is_empty() || !self.store_faults.is_empty() {
             self.iterate()?;
         }
         let limit = if self.options.timed { RECOVERY_WITHIN } else { UNTIMED_RECOVERY_LIMIT };
@@ -213,7 +213,7 @@
         Ok(())
     }
 
-    /// Processes observations for one interval, then executes the actions that are due.
+    /// Processes observations for one interval, then executes the actions of expired timers.
     fn iterate(&mut self) -> Result<(), SoakError> {
         if self.options.stop.load(Ordering::Relaxed) {
             return Err(SoakError::Stopped);
@@ -226,9 +226,9 @@
         let now = self.stalls.tick();
         self.apply_store_faults(now);
         let (due, pending) =
-            std::mem::take(&mut self.scheduled).into_iter().partition(|(at, _)| *at <= now);
-        self.scheduled = pending;
-        let due: Vec<(Instant, ScheduledAction)> = due;
+            std::mem::take(&mut self.timers).into_iter().partition(|(at, _)| *at <= now);
+        self.timers = pending;
+        let due: Vec<(Instant, TimerAction)> = due;
         for (_, action) in due {
             self.execute_action(action)?;
         }
@@ -241,11 +241,11 @@
         self.events.push(SoakEvent { at_s, text });
     }
 
-    fn execute_action(&mut self, action: ScheduledAction) -> Result<(), SoakError> {
+    fn execute_action(&mut self, action: TimerAction) -> Result<(), SoakError> {
         let now = Instant::now();
 
         match action {
-            ScheduledAction::StartBalancer { number, planned } => {
+            TimerAction::StartBalancer { number, planned } => {
                 if !self.site.balancers[number].is_running() {
                     self.site.balancers[number].start().map_err(failed_to("start a balancer"))?;
                     self.balancer_states[number] = BalancerState::Run;
@@ -253,25 +253,23 @@
                     self.truth.disturb_balancer(number, now + START_TIME, planned);
                 }
             }
-            ScheduledAction::ResumeBalancer(number) => self.signal(number, Signal::SIGCONT)?,
-            ScheduledAction::ReopenRelay(number) => {
-                self.site.relays[number].set_state(StoreLinkState::Open)
-            }
-            ScheduledAction::DeleteEntry { place } => self.delete_entry(place),
-            ScheduledAction::RestoreEntry { place } => self.write_entry(place, false),
-            ScheduledAction::StopBackend { place } => {
+            TimerAction::ResumeBalancer(number) => self.signal(number, Signal::SIGCONT)?,
+            TimerAction::ReopenRelay(number) => self.site.relays[number].set(StoreLinkState::Open),
+            TimerAction::DeleteEntry { place } => self.delete_entry(place),
+            TimerAction::RestoreEntry { place } => self.write_entry(place, false),
+            TimerAction::StopBackend { place } => {
                 self.stop_backend(place, now);
                 self.delete_entry(place);
             }
-            ScheduledAction::StartBackend { place, service } => {
+            TimerAction::StartBackend { place, service } => {
                 self.places.replace(place, service);
                 self.register_backend(place);
             }
-            ScheduledAction::RestoreBehaviour { place } => {
+            TimerAction::RestoreBehaviour { place } => {
                 self.send_command(BackendCommand::SetBehaviour(place, BackendBehaviour::Normal));
             }
-            ScheduledAction::WriteConfiguration => self.write_configuration(),
-            ScheduledAction::EndEvacuation { zone } => self.end_evacuation(zone),
+            TimerAction::WriteConfiguration => self.write_configuration(),
+            TimerAction::EndEvacuation { zone } => self.end_evacuation(zone),
         }
         Ok(())
     }
@@ -296,8 +294,8 @@
                 format!("balancer {number} exited: {status}")
             });
             if self.balancer_states[number] != BalancerState::Killed {
-                let action = ScheduledAction::StartBalancer { number, planned };
-                self.scheduled.push((now + RESTART_DELAY, action));
+                let action = TimerAction::StartBalancer { number, planned };
+                self.timers.push((now + RESTART_DELAY, action));
             }
         }
         Ok(())
--- a/crates/valvestage-soak/src/soak_run/fault_effects.rs
+++ b/crates/valvestage-soak/src/soak_run/fault_effects.rs
@@ -4,7 +4,7 @@
 
 use nix::sys::signal::Signal;
 
-use super::{BalancerState, LOOP_INTERVAL, ScheduledAction, SoakRun};
+use super::{BalancerState, LOOP_INTERVAL, SoakRun, TimerAction};
 use crate::backend_manner::BackendBehaviour;
 use crate::backend_servers::BackendCommand;
 use crate::errors::{SoakError, failed_to};
@@ -60,7 +60,7 @@
             FaultKind::BalancerPause => {
                 self.truth.disturb_balancer(number, until, false);
                 self.signal(number, Signal::SIGSTOP)?;
-                self.scheduled.push((until, ScheduledAction::ResumeBalancer(number)));
+                self.timers.push((until, TimerAction::ResumeBalancer(number)));
             }
             FaultKind::BalancerReload => self.reload_balancer(number, fault.target)?,
             FaultKind::ZoneCut => self.cut_zone(LinkScope::ZoneBorder(zone), zone, until),
@@ -82,21 +82,19 @@
                 self.truth.disturb_store(now);
                 self.site.store.forget_history();
             }
-            FaultKind::StoreLinkSilent => {
-                self.set_relay_fault(number, StoreLinkState::Silent, until)
-            }
+            FaultKind::StoreLinkSilent => self.disrupt_relay(number, StoreLinkState::Silent, until),
             FaultKind::StoreLinkReset => {
-                self.set_relay_fault(number, StoreLinkState::Resetting, until);
+                self.disrupt_relay(number, StoreLinkState::Resetting, until);
             }
             FaultKind::StoreRefusesOne => {
-                self.set_relay_fault(number, StoreLinkState::Refusing, until);
+                self.disrupt_relay(number, StoreLinkState::Refusing, until);
             }
             FaultKind::StoreLinkOneWay => {
-                self.set_relay_fault(number, StoreLinkState::AnswersLost, until);
+                self.disrupt_relay(number, StoreLinkState::AnswersLost, until);
             }
             FaultKind::StoreLinksSilent => {
                 for number in 0..self.site.plan.balancers {
-                    self.set_relay_fault(number, StoreLinkState::Silent, until);
+                    self.disrupt_relay(number, StoreLinkState::Silent, until);
                 }
             }
             FaultKind::BackendCrash => self.crash_backend(fault.target, until),
@@ -112,8 +110,8 @@
             FaultKind::Configuration => self.write_configuration(),
             FaultKind::ConfigurationStorm => {
                 for step in 0..STORM_LENGTH {
-                    self.scheduled
-                        .push((now + STORM_INTERVAL * step, ScheduledAction::WriteConfiguration));
+                    self.timers
+                        .push((now + STORM_INTERVAL * step, TimerAction::WriteConfiguration));
                 }
             }
         }
@@ -131,8 +129,8 @@
             self.balancer_states[number] = BalancerState::Killed;
         }
         if self.options.sabotage != Some(Sabotage::LeaveDead) {
-            let action = ScheduledAction::StartBalancer { number, planned: false };
-            self.scheduled.push((until, action));
+            let action = TimerAction::StartBalancer { number, planned: false };
+            self.timers.push((until, action));
         }
         Ok(())
     }
@@ -178,11 +176,11 @@
         self.truth.disturb_balancers(until);
     }
 
-    fn set_relay_fault(&mut self, number: usize, state: StoreLinkState, until: Instant) {
-        self.site.relays[number].set_state(state);
+    fn disrupt_relay(&mut self, number: usize, state: StoreLinkState, until: Instant) {
+        self.site.relays[number].set(state);
 
         self.truth.disturb_balancer(number, until, false);
-        self.scheduled.push((until, ScheduledAction::ReopenRelay(number)));
+        self.timers.push((until, TimerAction::ReopenRelay(number)));
     }
 
     /// Takes the store down. In a long outage, entries of some backend servers expire although
@@ -201,8 +199,8 @@
                 return;
             };
             self.places.reserve(place, until + RESTORE_DELAY);
-            self.scheduled.push((now + ENTRY_EXPIRY, ScheduledAction::DeleteEntry { place }));
-            self.scheduled.push((until + RESTORE_DELAY, ScheduledAction::RestoreEntry { place }));
+            self.timers.push((now + ENTRY_EXPIRY, TimerAction::DeleteEntry { place }));
+            self.timers.push((until + RESTORE_DELAY, TimerAction::RestoreEntry { place }));
         }
     }
 
@@ -216,8 +214,8 @@
 
         // Until its entry expires, the backend server's silence is the only sign of its crash.
         self.stop_backend(place, now);
-        self.scheduled.push((deleted_at, ScheduledAction::DeleteEntry { place }));
-        self.scheduled.push((starts_at, ScheduledAction::StartBackend { place, service }));
+        self.timers.push((deleted_at, TimerAction::DeleteEntry { place }));
+        self.timers.push((starts_at, TimerAction::StartBackend { place, service }));
     }
 
     fn replace_backend(&mut self, target: usize, now: Instant) {
@@ -233,15 +231,15 @@
         if let Some(record) = self.truth.backends.get_mut(&self.places.get(place).instance) {
             record.draining_at = Some(Instant::now());
         }
-        self.scheduled.push((ends_at, ScheduledAction::StopBackend { place }));
-        self.scheduled.push((starts_at, ScheduledAction::StartBackend { place, service }));
+        self.timers.push((ends_at, TimerAction::StopBackend { place }));
+        self.timers.push((starts_at, TimerAction::StartBackend { place, service }));
     }
 
     fn change_behaviour(&mut self, target: usize, behaviour: BackendBehaviour, until: Instant) {
         let Some(place) = self.disturb_backend(target, until) else { return };
 
         self.send_command(BackendCommand::SetBehaviour(place, behaviour));
-        self.scheduled.push((until, ScheduledAction::RestoreBehaviour { place }));
+        self.timers.push((until, TimerAction::RestoreBehaviour { place }));
     }
 
     /// Evacuates a zone as the operator does, unless an evacuation is already in force.
@@ -253,8 +251,7 @@
         self.site.store.evacuate(zone);
         let requested_at = Instant::now();
         self.truth.evacuations.push(EvacuationRecord { zone, requested_at, lifted_at: None });
-        self.scheduled
-            .push((until + EXTRA_EVACUATION_TIME, ScheduledAction::EndEvacuation { zone }));
+        self.timers.push((until + EXTRA_EVACUATION_TIME, TimerAction::EndEvacuation { zone }));
     }
 
     pub(super) fn end_evacuation(&mut self, zone: usize) {
@@ -270,7 +267,7 @@
         let Some(place) = self.disturb_backend(target, until) else { return };
 
         self.delete_entry(place);
-        self.scheduled.push((until, ScheduledAction::RestoreEntry { place }));
+        self.timers.push((until, TimerAction::RestoreEntry { place }));
     }
 
     /// Marks an idle backend server as disturbed and its place as busy until a time. Returns the
--- a/crates/valvestage-soak/src/store_relay.rs
+++ b/crates/valvestage-soak/src/store_relay.rs
@@ -61,7 +61,7 @@
     }
 
     /// Changes the state, also for connections that are open.
-    pub fn set_state(&self, state: StoreLinkState) {
+    pub fn set(&self, state: StoreLinkState) {
         *self.state.lock().unwrap_or_else(PoisonError::into_inner) = state;
     }
 
