--- a/crates/valvestage-soak/src/main.rs
+++ b/crates/valvestage-soak/src/main.rs
@@ -74,7 +74,7 @@
     },
 }
 
-/// Options that all subcommands with runs share.
+/// Options that all runs share.
 #[derive(Debug, Clone, Bpaf)]
 struct Shape {
     /// The balancer's executable
