--- a/crates/valvestage-policy/tests/fault_matrix/world.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/world.rs
@@ -77,7 +77,8 @@
         backend: BackendId,
         reason: RefusalReason,
     },
-    PlatformReply { source: PlatformCallSource,
+    PlatformReply {
+        source: PlatformCallSource,
         reply: PlatformReply,
     },
     Heartbeat {
