--- a/crates/valvestage-balancer/src/metrics/balancer_metrics.rs
+++ b/crates/valvestage-balancer/src/metrics/balancer_metrics.rs
@@ -105,7 +105,7 @@
         r.register("flow_packets", "Flow packets steered", self.flow_packets.clone());
         r.register("relayed", "Packets relayed to other balancers", self.relayed.clone());
         r.register("answers", "Requests answered", self.answers.clone());
-        r.register("dispatches", "Tries sent to backend servers", self.dispatches.clone());
+        r.register("dispatches", "Attempts sent to backend servers", self.dispatches.clone());
         r.register("flows", "Flows in the table", self.flows.clone());
         r.register("flow_table_bytes", "Memory of the table", self.flow_table_bytes.clone());
         r.register("busy_slots", "Slots in use", self.busy_slots.clone());
--- a/crates/valvestage-core/src/ids.rs
+++ b/crates/valvestage-core/src/ids.rs
@@ -53,6 +53,6 @@
 /// store.
 pub type StoreRevision = u64;
 
-/// Number of times that the platform's store has been restored from an older copy, as counted by
-/// the store. Each era assigns revisions anew, so two eras can have the same one.
+/// Number of times that the platform's store has been restored from a backup, as counted by the
+/// store. Each era assigns revisions anew, so two eras can have the same one.
 pub type StoreEra = u64;
--- a/crates/valvestage-core/src/settings/entry.rs
+++ b/crates/valvestage-core/src/settings/entry.rs
@@ -205,7 +205,7 @@
     regions: &BTreeMap<ZoneName, RegionName>,
 ) -> BTreeSet<ZoneName> {
     let Some(own) = regions.get(zone) else { return BTreeSet::new() };
-    let far = regions.iter().filter(|(_, region)| *region != own);
+    let others = regions.iter().filter(|(_, region)| *region != own);
 
-    far.map(|(zone, _)| zone.clone()).collect()
+    others.map(|(zone, _)| zone.clone()).collect()
 }
--- a/crates/valvestage-core/src/store_position.rs
+++ b/crates/valvestage-core/src/store_position.rs
@@ -8,7 +8,7 @@
 
 /// A point in the history of the platform's store, ordered by era, then by revision.
 ///
-/// A store that is restored from an older copy assigns the same revisions again in the next era, so
+/// A store that is restored from a backup assigns the same revisions again in the next era, so
 /// revisions can be compared only within one era.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
--- a/crates/valvestage-entry/src/decision_log.rs
+++ b/crates/valvestage-entry/src/decision_log.rs
@@ -156,8 +156,8 @@
         self.put(name, format!("{:x}", number_digits(instance)));
     }
 
-    /// Puts the instance of a backend server, and its birth, which distinguishes restarts under the
-    /// same name.
+    /// Puts the instance of a backend server, and its incarnation digest, which distinguishes
+    /// restarts under the same name.
     fn put_backend(&mut self, instance: u64) {
         self.put_instance("backend", instance);
         self.put("birth", format!("{:x}", incarnation_digits(instance)));
--- a/crates/valvestage-entry/src/entry_metrics.rs
+++ b/crates/valvestage-entry/src/entry_metrics.rs
@@ -149,7 +149,7 @@
         registry.register("unsent_packets", "Datagrams not sent", self.unsent.clone());
         registry.register(
             "log_lines_left_out",
-            "Log lines left out since the last that told so",
+            "Log lines left out since the last line that reported it",
             self.log_lines_left_out.clone(),
         );
         registry.register("flows", "Flows remembered", self.flows.clone());
--- a/crates/valvestage-entry/tests/process/site.rs
+++ b/crates/valvestage-entry/tests/process/site.rs
@@ -299,11 +299,11 @@
         );
     }
 
-    /// Sends a retransmitted opening packet, which contains the number of copies sent.
-    pub fn send_copy(&self, to: &Balancer, port: u16, copies: u32) {
+    /// Sends a retransmitted opening packet, which contains the number of retransmissions.
+    pub fn send_retransmission(&self, to: &Balancer, port: u16, count: u32) {
         let flags = flags::SYN;
 
-        self.send_packet(to, &FlowPacket { flags, acknowledged: copies, ..self.packet(port) });
+        self.send_packet(to, &FlowPacket { flags, acknowledged: count, ..self.packet(port) });
     }
 
     /// Sends a packet to another port of the service's address.
--- a/crates/valvestage-entry/tests/process/troubleshooting.rs
+++ b/crates/valvestage-entry/tests/process/troubleshooting.rs
@@ -35,7 +35,7 @@
     // Retransmit the opening packet, as callers do, until the flow is moved to the other backend
     // server.
     wait_until("the flow is moved", || {
-        caller.send_copy(&balancer, 40_001, 1);
+        caller.send_retransmission(&balancer, 40_001, 1);
         balancer.metric("valvestage_entry_events_total{event=\"moved\"}").is_some()
     });
 
--- a/crates/valvestage-policy/tests/fault_matrix/caller.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/caller.rs
@@ -38,7 +38,7 @@
     /// An answer; `got_wrong_answer` says whether any was incomplete or not its own.
     Answered,
     /// A refusal that says what is known of the request's execution.
-    Told(Outcome),
+    Refused(Outcome),
 }
 
 /// Request as its caller sees it.
--- a/crates/valvestage-policy/tests/fault_matrix/checks.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/checks.rs
@@ -105,7 +105,7 @@
         for request in self.requests.values() {
             let name =
                 format!("request {:x} (sent at {} ms)", request.id, self.elapsed(request.sent));
-            let not_run = request.has_received(CallerReply::Told(Outcome::NotRun));
+            let not_run = request.has_received(CallerReply::Refused(Outcome::NotRun));
             let answered = request.has_received(CallerReply::Answered);
             let first = request.first_reply();
             let oracle = &mut self.oracle;
--- a/crates/valvestage-policy/tests/fault_matrix/world.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/world.rs
@@ -342,7 +342,7 @@
                 self.log_request_event(id, || {
                     format!("was told {:?} ({})", refusal.outcome, refusal.reason.label())
                 });
-                self.on_caller_reply(id, caller, CallerReply::Told(refusal.outcome));
+                self.on_caller_reply(id, caller, CallerReply::Refused(refusal.outcome));
             }
             Event::Timer(timer) => self.on_timer(timer),
         }
--- a/crates/valvestage-story/src/sentences.rs
+++ b/crates/valvestage-story/src/sentences.rs
@@ -26,7 +26,7 @@
         ),
         "moved" => format!(
             "Backend server {} did not answer the opening packet from {}, nor any other flow since: \
-             its copy went to {} in {}.{}",
+             its retransmission went to {} in {}.{}",
             text("instead_of"),
             text("caller"),
             text("backend"),
@@ -175,7 +175,7 @@
             "all backend servers that take flows are in zones that are evacuated.".to_owned()
         }
         "backends_cold" => "all backend servers that could take it have just started and can take \
-             no more at the moment; another try may meet a balancer that has room."
+             no more at the moment; another attempt may meet a balancer that has room."
             .to_owned(),
         "backend_gone" => format!("its backend server {} has ended.", line.text("backend")),
         "backend_silent" => format!(
@@ -202,7 +202,7 @@
                 .to_owned()
         }
         "no_other" => {
-            "it is a copy of an opening packet whose first one went to a backend server that \
+            "it is a retransmission of an opening packet that went to a backend server that \
              gets no new flows now, and there is no other."
                 .to_owned()
         }
