--- a/crates/valvestage-standins/src/backend.rs
+++ b/crates/valvestage-standins/src/backend.rs
@@ -1,4 +1,4 @@
-//! Backend servers, which record each run.
+//! Backend servers that record each request they run.
 
 mod backend_options;
 mod backend_server;
--- a/crates/valvestage-standins/src/backend/backend_options.rs
+++ b/crates/valvestage-standins/src/backend/backend_options.rs
@@ -4,15 +4,15 @@
 
 use valvestage_core::Backend;
 
-/// `BackendOptions` says who a backend server is and how it behaves.
+/// Identity and behaviour of one backend server.
 #[derive(Debug, Clone)]
 pub struct BackendOptions {
-    /// Its record in the configuration.
+    /// Record of the backend server in the configuration, with its address and its limits.
     pub record: Backend,
-    /// Mean of the run times, which are exponentially distributed.
+    /// Mean run time of a request; run times are exponentially distributed.
     pub mean_run_time: Duration,
-    /// Datagrams of each answer.
+    /// Number of segments of each answer, sent as one datagram each.
     pub answer_segments: u16,
-    /// Of the draws.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
--- a/crates/valvestage-standins/src/backend/backend_server.rs
+++ b/crates/valvestage-standins/src/backend/backend_server.rs
@@ -1,4 +1,5 @@
-//! One backend server: flows that echo, requests that take a slot and a time.
+//! Backend server that echoes the packets of flows, and runs each request in a slot for a random
+//! time.
 
 use std::collections::{BTreeMap, HashSet};
 use std::io;
@@ -16,13 +17,13 @@
 use super::run_log::RunLog;
 use crate::draws::Draws;
 
-/// Longest wait for a packet before the clock and the stop flag are looked at.
+/// Longest wait for a packet before the stop flag is checked.
 const LONGEST_WAIT: Duration = Duration::from_millis(20);
 
-/// Room for any datagram.
+/// Size of the receive buffer; no datagram is longer.
 const BUFFER_BYTES: usize = 2_048;
 
-/// A request that runs.
+/// Request that occupies a slot.
 #[derive(Debug)]
 struct Run {
     id: RequestId,
@@ -32,13 +33,14 @@
     balancer: SocketAddr,
 }
 
-/// `BackendServer` answers on the address of its record.
+/// Backend server with a socket on the address of its record.
 pub struct BackendServer {
     options: BackendOptions,
     log: Arc<RunLog>,
     socket: UdpSocket,
     draws: Draws,
-    /// Running requests by the time they end; at most as many as there are slots.
+    /// Running requests, at most one per slot, by the time they end and a number that makes the key
+    /// unique.
     runs: BTreeMap<(Instant, u64), Run>,
     run_count: u64,
     /// Callers with an open flow.
@@ -47,7 +49,7 @@
 }
 
 impl BackendServer {
-    /// `new` opens the socket.
+    /// Binds the socket.
     pub fn new(options: BackendOptions, log: Arc<RunLog>) -> io::Result<Self> {
         let socket = UdpSocket::bind(options.record.address)?;
         let draws = Draws::new(options.seed);
@@ -64,13 +66,13 @@
         })
     }
 
-    /// `busy` gives a counter of the slots in use, for samples.
+    /// Returns the gauge of the slots in use, which stays up to date while the server runs.
     #[must_use]
     pub fn busy(&self) -> Arc<AtomicU16> {
         self.busy.clone()
     }
 
-    /// `run` answers until told to stop.
+    /// Serves flows and requests until the flag is set.
     pub fn run(mut self, stops: &AtomicBool) -> io::Result<()> {
         let mut buffer = [0; BUFFER_BYTES];
 
@@ -122,7 +124,8 @@
         self.echo(source, envelope);
     }
 
-    /// The echo starts with the backend server's number, so that callers see who answers.
+    /// Sends the payload back after the backend server's id, so that callers see which backend
+    /// server answers.
     fn echo(&self, source: SocketAddr, envelope: &Envelope<'_>) {
         let mut payload = self.options.record.id.to_be_bytes().to_vec();
         payload.extend_from_slice(envelope.payload);
@@ -190,7 +193,8 @@
         }
     }
 
-    /// Each segment starts with the request id, so that callers see whose answer they get.
+    /// Sends the segments of the answer. The payload of each is the request id, so that callers
+    /// detect an answer that belongs to another request.
     fn answer(&self, run: &Run) {
         let count = self.options.answer_segments;
 
@@ -207,7 +211,8 @@
         }
     }
 
-    /// A refusal carries the payload back, so that it can be sent elsewhere.
+    /// Sends a refusal that returns the payload, so that the balancer can send it to another
+    /// backend server.
     fn refuse(&self, source: SocketAddr, envelope: &Envelope<'_>, reason: RefusalReason) {
         let mut header = self.header(PacketKind::Refusal);
         header.request = envelope.header.request;
--- a/crates/valvestage-standins/src/backend/run_log.rs
+++ b/crates/valvestage-standins/src/backend/run_log.rs
@@ -1,4 +1,5 @@
-//! The record of runs: the judge of "at most once".
+//! Record of the requests that ran, by which tests check that non-repeatable requests run at most
+//! once.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
@@ -6,28 +7,29 @@
 use serde::{Deserialize, Serialize};
 use valvestage_core::ids::RequestId;
 
-/// `RunSummary` is what the runs come to.
+/// Counts over all runs, deliveries and refusals of requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct RunSummary {
-    /// Runs of any request.
+    /// Number of runs, of repeatable and non-repeatable requests.
     pub runs: u64,
-    /// Requests that may not be repeated and ran more than once.
+    /// Non-repeatable requests that ran more than once.
     pub repeated: u64,
-    /// Packets that named another service or VM.
+    /// Packets whose target is another service, backend server or incarnation.
     pub misdelivered: u64,
     /// Requests refused because all slots were in use.
     pub shed: u64,
     /// Requests refused because their deadline had passed.
     pub late: u64,
-    /// The most slots in use at once, in percent of the limit.
+    /// Highest share of the slots of one backend server in use at the same time, percent.
     pub peak_slots_percent: u64,
-    /// Samples of 100 ms with at least one busy slot.
+    /// Samples with at least one busy slot; one is taken of each service every 100 ms.
     pub samples: u64,
-    /// Sum over samples of (max - mean) / mean of busy slots, in thousandths.
+    /// Sum over the samples of (max - mean) / mean of the busy slots per backend server,
+    /// thousandths.
     pub imbalance_thousandths: u64,
 }
 
-/// `RunLog` is shared by all backend servers of a process.
+/// Record of runs that all backend servers of a process share.
 #[derive(Debug, Default)]
 pub struct RunLog {
     inner: Mutex<Inner>,
@@ -40,7 +42,7 @@
 }
 
 impl RunLog {
-    /// `record_run` notes that a request starts to run.
+    /// Records that a request starts to run.
     pub fn record_run(&self, id: RequestId, repeatable: bool) {
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
 
@@ -54,24 +56,25 @@
         }
     }
 
-    /// `change` changes the summary.
+    /// Applies a change to the summary, under the lock.
     pub fn change(&self, change: impl FnOnce(&mut RunSummary)) {
         change(&mut self.inner.lock().unwrap_or_else(PoisonError::into_inner).summary);
     }
 
-    /// `summary` gives the present summary.
+    /// Returns a copy of the current summary.
     #[must_use]
     pub fn summary(&self) -> RunSummary {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner).summary
     }
 
-    /// `ran` tells whether a request that may not be repeated ran.
+    /// Reports whether a non-repeatable request ran. Runs of repeatable requests are not recorded
+    /// by id.
     #[must_use]
     pub fn ran(&self, id: RequestId) -> bool {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner).once_only.contains_key(&id)
     }
 
-    /// `once_only_runs` lists the requests that may not be repeated and ran.
+    /// Returns the ids of all non-repeatable requests that ran.
     #[must_use]
     pub fn once_only_runs(&self) -> Vec<RequestId> {
         self.inner
--- a/crates/valvestage-standins/src/bin/standin-backends.rs
+++ b/crates/valvestage-standins/src/bin/standin-backends.rs
@@ -1,4 +1,4 @@
-//! Stands in for all backend servers of a deployment, a thread each.
+//! Stand-in for all backend servers of a deployment, with one thread each.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -15,20 +15,20 @@
 use valvestage_standins::backend::{BackendOptions, BackendServer, RunLog};
 use valvestage_standins::signals::stop_flag;
 
-/// Length of one sample of the occupancy.
+/// Interval between two samples of the busy slots.
 const SAMPLE: Duration = Duration::from_millis(100);
 
-/// Stands in for all backend servers; writes backends.json and ran.txt when stopped
+/// Runs stand-ins for all backend servers; writes backends.json and ran.txt when stopped
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Arguments {
-    /// Folder of the layout
+    /// Folder with the files of the deployment
     #[bpaf(long, argument("FOLDER"))]
     folder: PathBuf,
-    /// Mean run time, milliseconds
+    /// Mean run time of a request, milliseconds
     #[bpaf(long, argument("MS"), fallback(40))]
     mean_run_ms: u64,
-    /// Datagrams of each answer
+    /// Number of segments of each answer, sent as one datagram each
     #[bpaf(long, argument("COUNT"), fallback(3))]
     segments: u16,
 }
@@ -68,7 +68,8 @@
     fs::write(arguments.folder.join("ran.txt"), ran.concat())
 }
 
-/// Samples how evenly the slots of each service are used.
+/// Samples periodically how evenly the busy slots of each service are distributed over its backend
+/// servers.
 fn sample(busy: &BTreeMap<ServiceId, Vec<Arc<AtomicU16>>>, log: &RunLog, stops: &AtomicBool) {
     while !stops.load(Ordering::Relaxed) {
         thread::sleep(SAMPLE);
--- a/crates/valvestage-standins/src/bin/standin-caller.rs
+++ b/crates/valvestage-standins/src/bin/standin-caller.rs
@@ -1,4 +1,4 @@
-//! Stands in for callers.
+//! Stand-in for callers: a load generator of flows and requests.
 
 use std::fs;
 use std::io;
@@ -10,20 +10,20 @@
 use valvestage_standins::caller::{CallerOptions, ServiceLoad, run};
 use valvestage_standins::layout::Layout;
 
-/// Holds flows and sends requests; writes caller.json
+/// Holds flows, sends requests and writes the results into caller.json
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Arguments {
-    /// Folder of the layout
+    /// Folder with the files of the deployment
     #[bpaf(long, argument("FOLDER"))]
     folder: PathBuf,
-    /// Seconds of load
+    /// Duration of the load, seconds
     #[bpaf(long, argument("SECONDS"), fallback(10))]
     seconds: u64,
-    /// Flows to each service
+    /// Number of flows to each service
     #[bpaf(long, argument("COUNT"), fallback(200))]
     flows: usize,
-    /// Share of all slots that the requests keep busy
+    /// Share of all slots that the requests keep busy on average
     #[bpaf(long, argument("SHARE"), fallback(0.5))]
     load: f64,
     /// Mean run time of the backend servers, milliseconds
@@ -32,7 +32,7 @@
     /// Time from a request to its deadline, milliseconds
     #[bpaf(long, argument("MS"), fallback(8_000))]
     patience_ms: u64,
-    /// Seed of the draws
+    /// Seed of the random numbers
     #[bpaf(long, argument("NUMBER"), fallback(7))]
     seed: u64,
 }
--- a/crates/valvestage-standins/src/bin/standin-fabric.rs
+++ b/crates/valvestage-standins/src/bin/standin-fabric.rs
@@ -1,4 +1,4 @@
-//! Stands in for the fabric.
+//! Stand-in for the fabric.
 
 use std::io;
 use std::path::PathBuf;
@@ -8,23 +8,23 @@
 use valvestage_standins::layout::Layout;
 use valvestage_standins::signals::stop_flag;
 
-/// Sprays callers' packets over the balancers that are ready
+/// Sprays the packets of callers over the balancers that are ready
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Arguments {
-    /// Folder of the layout
+    /// Folder with the files of the deployment
     #[bpaf(long, argument("FOLDER"))]
     folder: PathBuf,
-    /// Share of packets lost
+    /// Share of packets dropped
     #[bpaf(long, argument("SHARE"), fallback(0.0))]
     lost: f64,
     /// Share of packets sent twice
     #[bpaf(long, argument("SHARE"), fallback(0.0))]
     doubled: f64,
-    /// Share of packets overtaken by the next
+    /// Share of packets delayed until the next one has been sent
     #[bpaf(long, argument("SHARE"), fallback(0.0))]
     reordered: f64,
-    /// Seed of the draws
+    /// Seed of the random numbers
     #[bpaf(long, argument("NUMBER"), fallback(1))]
     seed: u64,
 }
--- a/crates/valvestage-standins/src/bin/standin-fetch.rs
+++ b/crates/valvestage-standins/src/bin/standin-fetch.rs
@@ -1,4 +1,4 @@
-//! Fetches a page over HTTP from a loopback address, so that scripts need no other program.
+//! Minimal HTTP client, so that scripts need no other program for one.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,17 +7,17 @@
 
 use bpaf::Bpaf;
 
-/// Prints the body of a page; exit code 1 unless the status is 200
+/// Prints the body of an HTTP response; exit code 1 unless the status is 200
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Arguments {
-    /// JSON to post; without it the page is read
+    /// JSON body of a POST request; without it a GET request is sent
     #[bpaf(long, argument("JSON"))]
     post: Option<String>,
-    /// Address
+    /// IP address and port of the server
     #[bpaf(positional("ADDRESS"))]
     address: SocketAddr,
-    /// Path of the page
+    /// Path of the resource
     #[bpaf(positional("PATH"))]
     path: String,
 }
--- a/crates/valvestage-standins/src/bin/standin-layout.rs
+++ b/crates/valvestage-standins/src/bin/standin-layout.rs
@@ -1,4 +1,4 @@
-//! Writes addresses, secrets and settings of a deployment into a folder.
+//! Generator of the addresses, secrets and settings of a deployment.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -6,17 +6,17 @@
 use bpaf::Bpaf;
 use valvestage_standins::layout::{find_plan, write_layout};
 
-/// Writes addresses (free loopback ports), secrets and settings of a deployment
+/// Writes addresses (free loopback ports), secrets and settings of a deployment into a folder
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Arguments {
     /// Folder to write into
     #[bpaf(long, argument("FOLDER"))]
     folder: PathBuf,
-    /// bzh-ouest or rs-sul
+    /// Region of the deployment: bzh-ouest or rs-sul
     #[bpaf(long, argument("REGION"), fallback("bzh-ouest".to_owned()))]
     deployment: String,
-    /// Seed of the secrets
+    /// Seed from which the secrets are derived
     #[bpaf(long, argument("NUMBER"), fallback(1))]
     seed: u64,
 }
@@ -24,7 +24,7 @@
 fn main() -> ExitCode {
     let arguments = arguments().run();
     let Some(plan) = find_plan(&arguments.deployment) else {
-        eprintln!("standin-layout: there is no deployment {}", arguments.deployment);
+        eprintln!("standin-layout: unknown deployment {}", arguments.deployment);
         return ExitCode::from(2);
     };
 
@@ -34,7 +34,7 @@
             ExitCode::SUCCESS
         }
         Err(error) => {
-            eprintln!("standin-layout: {error}");
+            eprintln!("standin-layout: failed to write the deployment: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/valvestage-standins/src/bin/standin-platform.rs
+++ b/crates/valvestage-standins/src/bin/standin-platform.rs
@@ -1,4 +1,4 @@
-//! Stands in for the platform's object API.
+//! Stand-in for the platform's object API.
 
 use std::io;
 use std::net::TcpListener;
@@ -11,11 +11,11 @@
 use valvestage_standins::platform::{PlatformStandin, start};
 use valvestage_standins::signals::stop_flag;
 
-/// Stands in for the platform's object API
+/// Serves a stand-in for the platform's object API until it is stopped by a signal
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Arguments {
-    /// Folder of the layout
+    /// Folder with the files of the deployment
     #[bpaf(long, argument("FOLDER"))]
     folder: PathBuf,
 }
--- a/crates/valvestage-standins/src/bin/standin-report.rs
+++ b/crates/valvestage-standins/src/bin/standin-report.rs
@@ -1,4 +1,5 @@
-//! Judges a demo: reads what the stand-ins saw, prints a table, and fails on a broken promise.
+//! Report of a demo: reads the results of the stand-ins, prints them as a table, and fails if a
+//! guarantee was violated.
 
 use std::collections::HashSet;
 use std::fs;
@@ -11,11 +12,11 @@
 use valvestage_standins::backend::RunSummary;
 use valvestage_standins::caller::CallerSummary;
 
-/// Prints the table of a demo; exit code 1 if a promise was broken
+/// Prints the results of a demo; exit code 1 if a guarantee was violated
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Arguments {
-    /// Folder of the layout
+    /// Folder with the files of the deployment
     #[bpaf(long, argument("FOLDER"))]
     folder: PathBuf,
 }
@@ -26,7 +27,7 @@
     let backends: RunSummary = read(&folder, "backends.json")?;
     let control = control_bytes(&folder)?;
 
-    // "Not run" against the record of runs.
+    // A request that was refused as not run must not stand in the record of runs.
     let ran = fs::read_to_string(folder.join("ran.txt"))?;
     let ran: HashSet<&str> = ran.lines().collect();
     let false_not_run = caller.not_run_ids.iter().filter(|id| ran.contains(id.as_str())).count();
@@ -36,31 +37,28 @@
     println!("flows kept               {}", caller.kept_echoing + caller.kept_silent);
     println!("flows broken             {broken}");
     println!("flows never opened       {}", caller.never_opened);
-    println!(
-        "requests sent            {} ({} copies sent besides)",
-        caller.requests, caller.resent
-    );
+    println!("requests sent            {} (and {} resends)", caller.requests, caller.resent);
     println!("requests answered        {}", caller.answered);
     println!(
-        "requests not run         {} (of these ran all the same: {false_not_run})",
+        "requests not run         {} (false: {false_not_run} ran nevertheless)",
         caller.not_run
     );
     println!(
-        "requests in doubt        {} (told), {} (told nothing)",
+        "requests in doubt        {} (and {} without any result)",
         caller.in_doubt, caller.untold
     );
-    println!("ran twice                {}", backends.repeated);
-    println!("wrong service            {}", backends.misdelivered);
-    println!("answers of others        {}", caller.foreign_answers);
-    println!("contradictions           {}", caller.contradicted);
-    println!("refused at full slots    {}", backends.shed);
-    println!("peak of slots            {}%", backends.peak_slots_percent);
+    println!("ran more than once       {}", backends.repeated);
+    println!("packets misdelivered     {}", backends.misdelivered);
+    println!("foreign answers          {}", caller.foreign_answers);
+    println!("contradictory results    {}", caller.contradicted);
+    println!("refused, slots full      {}", backends.shed);
+    println!("peak slots in use        {}%", backends.peak_slots_percent);
     println!("imbalance (100 ms)       {}", imbalance(&backends));
     println!(
         "time to answer           {:.1} ms median, {:.1} ms p99",
         caller.median_ms, caller.p99_ms
     );
-    println!("control bytes a second   {control}");
+    println!("control bytes/s          {control}");
 
     let is_kept = broken == 0
         && caller.never_opened == 0
@@ -71,7 +69,7 @@
         && caller.contradicted == 0
         && told == caller.requests
         && caller.answered > 0;
-    println!("promises                 {}", if is_kept { "kept" } else { "BROKEN" });
+    println!("guarantees               {}", if is_kept { "held" } else { "VIOLATED" });
     Ok(if is_kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
@@ -91,7 +89,8 @@
     format!("{mean:.2} mean over {} samples", backends.samples)
 }
 
-/// Bytes sent to peers, from two readings of each balancer's metrics.
+/// Formats the rate of bytes that a balancer sends to its peers, from the metrics of each balancer
+/// at the start and the end of the load.
 fn control_bytes(folder: &Path) -> io::Result<String> {
     let start = sent_bytes(folder, "metrics-start")?;
     let end = sent_bytes(folder, "metrics-end")?;
@@ -102,7 +101,7 @@
     let most = rates.iter().copied().fold(0.0, f64::max);
     #[allow(clippy::cast_precision_loss)]
     let mean = rates.iter().sum::<f64>() / rates.len().max(1) as f64;
-    Ok(format!("{mean:.0} mean, {most:.0} most, sent to peers by one balancer"))
+    Ok(format!("{mean:.0} mean, {most:.0} max, sent to peers by one balancer"))
 }
 
 fn sent_bytes(folder: &Path, prefix: &str) -> io::Result<Vec<f64>> {
--- a/crates/valvestage-standins/src/caller.rs
+++ b/crates/valvestage-standins/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers that hold flows and send requests, and judge what they get.
+//! Callers that hold flows, send requests and check the answers.
 
 mod caller_load;
 mod caller_options;
--- a/crates/valvestage-standins/src/caller/caller_load.rs
+++ b/crates/valvestage-standins/src/caller/caller_load.rs
@@ -1,4 +1,4 @@
-//! The load: flows and requests on one socket.
+//! Load generator: the flows and requests of all callers, on one socket.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -17,19 +17,19 @@
 use super::request_caller::{RequestCaller, RequestDraft, RequestEnding};
 use crate::draws::Draws;
 
-/// First of the addresses that callers pretend to have: the range for benchmarks (RFC 2544).
+/// First source address of callers, from the range that RFC 2544 reserves for benchmarks.
 const FIRST_CALLER: u32 = 0xc612_0000;
 
-/// Ports that callers pretend to have, on each address.
+/// Number of source ports used on each address of callers.
 const PORTS: u32 = 50_000;
 
-/// Wait after the end of the load for what is still open.
+/// Time after the end of the load in which packets still under way are received.
 const TAIL: Duration = Duration::from_millis(1_500);
 
-/// Room for any datagram.
+/// Size of the receive buffer; no datagram is longer.
 const BUFFER_BYTES: usize = 2_048;
 
-/// What is due at a time.
+/// Action scheduled for a point in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     SendFlow(usize),
@@ -50,7 +50,7 @@
     end: Instant,
 }
 
-/// `run` offers the load and gives what the callers saw.
+/// Runs the load and returns the results as the callers saw them.
 pub fn run(options: CallerOptions) -> io::Result<CallerSummary> {
     let socket = UdpSocket::bind(("127.0.0.1", 0))?;
     let end = Instant::now() + options.duration;
@@ -74,7 +74,8 @@
 }
 
 impl Load {
-    /// Flows open spread over the first second; requests come at random.
+    /// Schedules the opening of each flow at a random time within the first second, and the first
+    /// request to each service. The others follow at exponentially distributed intervals.
     fn prepare(&mut self) {
         let start = Instant::now();
         let services: Vec<ServiceLoad> = self.options.services.clone();
--- a/crates/valvestage-standins/src/caller/caller_options.rs
+++ b/crates/valvestage-standins/src/caller/caller_options.rs
@@ -1,38 +1,38 @@
-//! Options of the load.
+//! Options of the load generator.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// `ServiceLoad` is the load on one service.
+/// Load on one service.
 #[derive(Debug, Clone, Copy)]
 pub struct ServiceLoad {
-    /// Where callers reach it.
+    /// Address of the service.
     pub address: SocketAddr,
-    /// Flows held open.
+    /// Number of flows held open.
     pub flows: usize,
-    /// Requests a second.
+    /// Mean rate of requests, per second.
     pub requests_per_second: f64,
 }
 
-/// `CallerOptions` is the whole load.
+/// Options of one run of the load generator.
 #[derive(Debug, Clone)]
 pub struct CallerOptions {
-    /// The fabric.
+    /// Address of the fabric to which callers send.
     pub fabric: SocketAddr,
-    /// The services.
+    /// Load on each of the services.
     pub services: Vec<ServiceLoad>,
-    /// How long load is offered; what is open then is waited for.
+    /// How long packets and requests are sent. Answers to open requests are awaited after that.
     pub duration: Duration,
-    /// Pause between two packets of a flow.
+    /// Mean pause between two packets of a flow.
     pub flow_pause: Duration,
-    /// Share of flows that echo the token.
+    /// Share of flows that echo the token, between 0 and 1.
     pub echoing_share: f64,
-    /// Share of requests that may not be repeated.
+    /// Share of requests that are not repeatable, between 0 and 1.
     pub once_only_share: f64,
-    /// Time from a request to its deadline.
+    /// Time from the first send of a request to its deadline.
     pub request_patience: Duration,
-    /// Pause before a request is sent again with the same id.
+    /// Wait for the result of a request before it is resent with the same id.
     pub resend_pause: Duration,
-    /// Of the draws.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
--- a/crates/valvestage-standins/src/caller/caller_summary.rs
+++ b/crates/valvestage-standins/src/caller/caller_summary.rs
@@ -1,51 +1,51 @@
-//! What the callers saw.
+//! Results of a load, as the callers saw them.
 
 use serde::{Deserialize, Serialize};
 
-/// `CallerSummary` counts flows and requests by how they ended.
+/// Counts of flows and requests by their results.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct CallerSummary {
-    /// Flows that echo the token: kept to the end.
+    /// Flows that echo the token and stayed intact to the end.
     pub kept_echoing: u64,
-    /// Flows that don't: kept to the end.
+    /// Flows that do not echo the token and stayed intact to the end.
     pub kept_silent: u64,
-    /// Flows that echo the token: refused, moved or stalled.
+    /// Flows that echo the token and were refused, moved or stalled.
     pub broken_echoing: u64,
-    /// Flows that don't: refused, moved or stalled.
+    /// Flows that do not echo the token and were refused, moved or stalled.
     pub broken_silent: u64,
-    /// Flows that never got an answer to their opening.
+    /// Flows whose opening packets were never answered.
     pub never_opened: u64,
-    /// Packets that flows got back.
+    /// Answer packets received on flows.
     pub flow_answers: u64,
-    /// Requests sent, copies aside.
+    /// Requests sent; resends do not count.
     pub requests: u64,
-    /// Answered whole.
+    /// Requests with a complete answer.
     pub answered: u64,
-    /// Told that it did not run.
+    /// Requests refused as not run.
     pub not_run: u64,
-    /// Told that it may have run.
+    /// Requests refused as in doubt: they may have run.
     pub in_doubt: u64,
-    /// Told nothing until after the deadline.
+    /// Requests that still had no result after their deadline, when the load ended.
     pub untold: u64,
-    /// Told two different things.
+    /// Requests that were both answered and refused as not run.
     pub contradicted: u64,
-    /// Answers that belong to another request.
+    /// Requests that received an answer that belongs to another request.
     pub foreign_answers: u64,
-    /// Copies sent.
+    /// Resends of requests.
     pub resent: u64,
-    /// Median time to the answer, milliseconds.
+    /// Median time from the first send to the complete answer, milliseconds.
     pub median_ms: f64,
-    /// 99th percentile of the time to the answer, milliseconds.
+    /// 99th percentile of the time from the first send to the complete answer, milliseconds.
     pub p99_ms: f64,
-    /// Ids of requests that may not be repeated and were told not to have run.
+    /// Ids of the requests that are not repeatable and were refused as not run.
     pub not_run_ids: NotRunIds,
 }
 
-/// `NotRunIds` is request ids as text.
+/// Request ids as 32 hexadecimal digits each.
 pub type NotRunIds = Vec<String>;
 
 impl CallerSummary {
-    /// `take_times` works out the percentiles.
+    /// Sets the percentiles from the times to the answers.
     pub fn take_times(&mut self, mut times_ms: Vec<f64>) {
         times_ms.sort_by(f64::total_cmp);
         let at = |share: f64| {
--- a/crates/valvestage-standins/src/caller/flow_caller.rs
+++ b/crates/valvestage-standins/src/caller/flow_caller.rs
@@ -1,4 +1,4 @@
-//! One flow, as its caller sees it.
+//! Caller's view of one flow.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -7,29 +7,29 @@
 use valvestage_policy::flows::FlowToken;
 use valvestage_wire::{Envelope, Header};
 
-/// Without an answer for this long a flow has stalled.
+/// Time without an answer after which a flow counts as stalled.
 const STALLED_AFTER: Duration = Duration::from_secs(3);
 
-/// `FlowCaller` opens a flow, sends on it, and notices when it breaks.
+/// Caller of one flow: opens it, sends on it and detects when it breaks.
 #[derive(Debug, Clone)]
 pub struct FlowCaller {
-    /// Its address, as the envelope tells it.
+    /// Address of the caller in the envelope.
     pub caller: SocketAddr,
-    /// The service's address.
+    /// Address of the service.
     pub service: SocketAddr,
-    /// Whether it echoes the token.
+    /// Whether the caller echoes the token that it received last.
     pub echoes: bool,
-    /// Packets that came back.
+    /// Number of answer packets received.
     pub answers: u64,
     token: Option<FlowToken>,
-    /// The backend server that answered the opening packet.
+    /// Id of the backend server that answered the opening packet.
     backend: Option<[u8; 4]>,
     last_heard: Instant,
     is_broken: bool,
 }
 
 impl FlowCaller {
-    /// `new` prepares a flow that is not open yet.
+    /// Creates the caller of a flow that is not open yet.
     #[must_use]
     pub fn new(caller: SocketAddr, service: SocketAddr, echoes: bool, now: Instant) -> Self {
         Self {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// `next_packet` gives the packet to send now.
+    /// Returns the next packet: an opening packet until the flow is open, then one with data.
     #[must_use]
     pub fn next_packet<'a>(&self, payload: &'a [u8]) -> Envelope<'a> {
         let kind = if self.backend.is_some() { PacketKind::Data } else { PacketKind::Open };
@@ -56,9 +56,9 @@
         Envelope { caller: self.caller, service: self.service, header, payload }
     }
 
-    /// `on_packet` takes a packet for this flow in.
+    /// Processes a packet received for this flow.
     pub fn on_packet(&mut self, envelope: &Envelope<'_>, now: Instant) {
-        // A refused opening is tried again; a refusal later breaks the flow.
+        // A refused opening packet is retried; a refusal on the open flow breaks it.
         if envelope.header.kind == PacketKind::Refusal {
             self.is_broken |= self.backend.is_some();
             return;
@@ -78,13 +78,13 @@
         self.last_heard = now;
     }
 
-    /// `is_open` tells whether the opening packet was answered.
+    /// Reports whether the opening packet was answered.
     #[must_use]
     pub fn is_open(&self) -> bool {
         self.backend.is_some()
     }
 
-    /// `is_broken` tells whether the flow was refused, moved or stalled.
+    /// Reports whether the open flow was refused, moved to another backend server, or stalled.
     #[must_use]
     pub fn is_broken(&self, now: Instant) -> bool {
         self.is_broken || (self.is_open() && now - self.last_heard > STALLED_AFTER)
--- a/crates/valvestage-standins/src/caller/request_caller.rs
+++ b/crates/valvestage-standins/src/caller/request_caller.rs
@@ -1,4 +1,4 @@
-//! One request, as its caller sees it.
+//! Caller's view of one request.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -8,59 +8,59 @@
 use valvestage_core::{Outcome, PacketKind, RequestClass, Segment};
 use valvestage_wire::{Envelope, Header};
 
-/// `RequestCaller` sends a request, and the same one again until it is told how it ended.
+/// Caller of one request: sends it, resends it until it has a result, and checks the answer.
 #[derive(Debug, Clone)]
 pub struct RequestCaller {
-    /// Its id.
+    /// Id of the request, the same in all resends.
     pub id: RequestId,
-    /// Its address, as the envelope tells it.
+    /// Address of the caller in the envelope.
     pub caller: SocketAddr,
-    /// The service's address.
+    /// Address of the service.
     pub service: SocketAddr,
-    /// Its deadline.
+    /// Time after which the request must not start to run.
     pub deadline: SystemTime,
-    /// Whether it may be repeated.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Its class.
+    /// Class of the request: bulk if it is repeatable, urgent otherwise.
     pub class: RequestClass,
     /// When it was first sent.
     pub started: Instant,
-    /// Segments that came.
+    /// Indexes of the answer's segments received so far.
     segments: BTreeSet<u16>,
-    /// How it ended; the first word counts.
+    /// Result of the request; the first one received counts. `None` while it is open.
     pub ending: Option<RequestEnding>,
-    /// Whether it was told two different things.
+    /// Whether the request was both answered and refused as not run.
     pub is_contradicted: bool,
-    /// Whether an answer carried another request's id.
+    /// Whether an answer carried the id of another request.
     pub got_foreign: bool,
 }
 
-/// `RequestEnding` is the final answer to a request.
+/// Result of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestEnding {
-    /// The whole answer came.
+    /// All segments of the answer had arrived at this time.
     Answered(Instant),
-    /// It was given up.
+    /// A refusal came with this outcome.
     Refused(Outcome),
 }
 
-/// What is needed to make a request.
+/// Parameters of a new request.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestDraft {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// Its address.
+    /// Address of the caller in the envelope.
     pub caller: SocketAddr,
-    /// The service's address.
+    /// Address of the service.
     pub service: SocketAddr,
-    /// Its deadline.
+    /// Time after which the request must not start to run.
     pub deadline: SystemTime,
-    /// Whether it may be repeated.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
 }
 
 impl RequestCaller {
-    /// `new` prepares a request.
+    /// Creates a request that is first sent at `started`.
     #[must_use]
     pub fn new(draft: RequestDraft, started: Instant) -> Self {
         let class = if draft.repeatable { RequestClass::Bulk } else { RequestClass::Urgent };
@@ -80,7 +80,7 @@
         }
     }
 
-    /// `packet` gives the packet to send; copies are the same.
+    /// Returns the packet to send; resends are identical.
     #[must_use]
     pub fn packet<'a>(&self, payload: &'a [u8]) -> Envelope<'a> {
         let mut header = Header::new(PacketKind::Request);
@@ -92,7 +92,7 @@
         Envelope { caller: self.caller, service: self.service, header, payload }
     }
 
-    /// `on_packet` takes a packet for this request in.
+    /// Processes a packet received for this request.
     pub fn on_packet(&mut self, envelope: &Envelope<'_>, now: Instant) {
         let ending = match (envelope.header.kind, envelope.header.refusal) {
             (PacketKind::Answer, _) => {
@@ -108,7 +108,8 @@
             _ => return,
         };
 
-        // "In doubt" leaves both open; "not run" excludes an answer, and the other way round.
+        // A request in doubt may have run or not, so that any other result agrees with it. Only an
+        // answer and a refusal as not run contradict each other.
         let is_not_run = |e| e == RequestEnding::Refused(Outcome::NotRun);
         let is_answered = |e| matches!(e, RequestEnding::Answered(_));
         match self.ending {
--- a/crates/valvestage-standins/src/draws.rs
+++ b/crates/valvestage-standins/src/draws.rs
@@ -1,10 +1,10 @@
-//! Seeded draws.
+//! Seeded random number generator.
 
 use std::time::Duration;
 
 use valvestage_policy::rendezvous::mix;
 
-/// `Draws` gives the same numbers for the same seed.
+/// Random number generator that yields the same sequence for the same seed.
 #[derive(Debug, Clone)]
 pub struct Draws {
     seed: u64,
@@ -12,27 +12,28 @@
 }
 
 impl Draws {
-    /// `new` starts a sequence.
+    /// Starts the sequence of a seed.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self { seed, count: 0 }
     }
 
-    /// `word` draws 64 bits.
+    /// Returns 64 random bits.
     pub fn word(&mut self) -> u64 {
         self.count += 1;
 
         mix(self.seed, self.count)
     }
 
-    /// `below` draws a number below a bound that is not zero.
+    /// Returns a random number below the bound; 0 if the bound is 0.
     pub fn below(&mut self, bound: usize) -> usize {
         let bound = bound.max(1) as u64;
 
         usize::try_from(self.word() % bound).unwrap_or(0)
     }
 
-    /// `unit` draws a number between 0 and 1.
+    /// Returns a uniformly distributed number between 0 and 1. It is never 0, so that its logarithm
+    /// is finite.
     pub fn unit(&mut self) -> f64 {
         #[allow(clippy::cast_precision_loss)]
         let word = (self.word() >> 11) as f64;
@@ -40,7 +41,7 @@
         (word + 0.5) / 9_007_199_254_740_992.0
     }
 
-    /// `exponential` draws an exponentially distributed time.
+    /// Returns an exponentially distributed time with the given mean.
     pub fn exponential(&mut self, mean: Duration) -> Duration {
         mean.mul_f64(-self.unit().ln())
     }
--- a/crates/valvestage-standins/src/fabric.rs
+++ b/crates/valvestage-standins/src/fabric.rs
@@ -1,4 +1,4 @@
-//! The fabric that sprays packets over the balancers.
+//! Stand-in for the fabric, which sprays packets over the balancers.
 
 mod fabric_options;
 mod ready_list;
--- a/crates/valvestage-standins/src/fabric/fabric_options.rs
+++ b/crates/valvestage-standins/src/fabric/fabric_options.rs
@@ -1,29 +1,29 @@
-//! Options of the fabric.
+//! Options of the fabric stand-in.
 
 use std::net::SocketAddr;
 
-/// `SprayFaults` is the share of packets that something happens to.
+/// Faults injected into packets from callers, each as a share of the packets between 0 and 1.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct SprayFaults {
-    /// Lost.
+    /// Share of packets that are dropped.
     pub lost: f64,
-    /// Sent twice, to two balancers drawn independently.
+    /// Share of packets that are sent twice, to two balancers chosen independently at random.
     pub doubled: f64,
-    /// Held back until the next packet has gone.
+    /// Share of packets that are delayed until the next packet has been sent.
     pub reordered: f64,
 }
 
-/// `FabricOptions` says where the fabric listens and what it sprays over.
+/// Addresses of the fabric and its balancers, and the faults that it injects.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FabricOptions {
-    /// Callers send to it.
+    /// Address to which callers send.
     pub caller_address: SocketAddr,
-    /// Balancers send to it, and get packets from it.
+    /// Address from which balancers receive packets and to which they send.
     pub balancer_address: SocketAddr,
-    /// Data and admin address of each balancer.
+    /// Data address and admin address of each balancer.
     pub balancers: Vec<(SocketAddr, SocketAddr)>,
-    /// What goes wrong.
+    /// Faults injected into packets from callers.
     pub faults: SprayFaults,
-    /// Of the draws.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
--- a/crates/valvestage-standins/src/fabric/ready_list.rs
+++ b/crates/valvestage-standins/src/fabric/ready_list.rs
@@ -1,4 +1,4 @@
-//! Which balancers take packets.
+//! List of the ready balancers, kept up to date by health checks.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,17 +10,17 @@
 /// Pause between two rounds of health checks.
 const CHECK_PAUSE: Duration = Duration::from_millis(200);
 
-/// Longest wait for one health check.
+/// Timeout of the connection and of the answer of one health check.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// `ReadyList` is the data addresses of the balancers that said to be ready.
+/// Data addresses of the balancers that passed the last health check.
 #[derive(Debug, Clone, Default)]
 pub struct ReadyList {
     addresses: Arc<Mutex<Arc<Vec<SocketAddr>>>>,
 }
 
 impl ReadyList {
-    /// `get` gives the present list.
+    /// Returns the current list.
     #[must_use]
     pub fn get(&self) -> Arc<Vec<SocketAddr>> {
         self.addresses.lock().unwrap_or_else(PoisonError::into_inner).clone()
@@ -31,7 +31,7 @@
     }
 }
 
-/// `watch_ready` asks each balancer's `/readyz` in turn until told to stop.
+/// Polls `/readyz` of each balancer in turn and updates the list, until the flag is set.
 pub fn watch_ready(list: &ReadyList, balancers: &[(SocketAddr, SocketAddr)], stops: &AtomicBool) {
     while !stops.load(Ordering::Relaxed) {
         let ready = balancers.iter().filter(|(_, admin)| is_ready(*admin).unwrap_or(false));
--- a/crates/valvestage-standins/src/fabric/spray.rs
+++ b/crates/valvestage-standins/src/fabric/spray.rs
@@ -1,4 +1,4 @@
-//! Passing packets on, each to a balancer drawn at random.
+//! Forwarding of packets, each to a ready balancer chosen at random.
 
 use std::collections::HashMap;
 use std::io;
@@ -14,27 +14,28 @@
 use super::ready_list::{ReadyList, watch_ready};
 use crate::draws::Draws;
 
-/// Wait for a packet before the stop flag is looked at.
+/// Longest wait for a packet before the stop flag is checked.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Room for any datagram.
+/// Size of the receive buffer; no datagram is longer.
 const BUFFER_BYTES: usize = 2_048;
 
-/// `FabricCounts` counts what went through.
+/// Counts of the packets that the fabric received, by what became of them.
 #[derive(Debug, Default)]
 pub struct FabricCounts {
-    /// From callers to balancers.
+    /// Packets forwarded from callers to balancers, duplicates included.
     pub to_balancers: AtomicU64,
-    /// From balancers to callers.
+    /// Packets forwarded from balancers to callers.
     pub to_callers: AtomicU64,
-    /// From callers while no balancer was ready.
+    /// Packets from callers that were dropped because no balancer was ready.
     pub without_balancer: AtomicU64,
 }
 
-/// Where each caller's packets came from: the way back.
+/// Socket address to which answers are sent, by the caller's address in the envelope: the source of
+/// the caller's last packet.
 type ReturnPaths = Mutex<HashMap<SocketAddr, SocketAddr>>;
 
-/// `run` passes packets on until told to stop.
+/// Forwards packets in both directions until the flag is set, and returns the counts.
 pub fn run(options: &FabricOptions, stops: &AtomicBool) -> io::Result<Arc<FabricCounts>> {
     let callers = open(options.caller_address)?;
     let balancers = open(options.balancer_address)?;
--- a/crates/valvestage-standins/src/layout.rs
+++ b/crates/valvestage-standins/src/layout.rs
@@ -1,4 +1,4 @@
-//! Addresses and settings of a whole deployment on one machine.
+//! Addresses and settings files of a whole deployment on the loopback network.
 
 mod addresses;
 mod deployments;
--- a/crates/valvestage-standins/src/layout/addresses.rs
+++ b/crates/valvestage-standins/src/layout/addresses.rs
@@ -1,18 +1,18 @@
-//! Free ports, chosen by the kernel.
+//! Allocation of free loopback addresses, with ports chosen by the kernel.
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Pools that one process may have before their addresses repeat.
+/// Number of pools that a process can create before their IP addresses repeat.
 const POOLS_PER_PROCESS: u32 = 16;
 
-/// `AddressPool` hands out loopback addresses; all stay taken until it is dropped, so that none is
-/// handed out twice.
+/// Allocator of free loopback addresses. It keeps a socket on each until it is dropped, so that it
+/// returns none twice.
 ///
-/// Between its end and the start of the processes that use them the ports are free. Each pool has
-/// an address of its own in 127.0.0.0/8, so that neither another deployment nor the outgoing
-/// connections of the machine, which come from 127.0.0.1, can take them meanwhile.
+/// The ports are free from the drop of the pool until the processes that use them have started.
+/// Each pool has an IP address of its own in 127.0.0.0/8, so that in this time the ports can be
+/// taken neither by another deployment nor by outgoing connections, which come from 127.0.0.1.
 #[derive(Debug)]
 pub struct AddressPool {
     ip: IpAddr,
@@ -21,20 +21,20 @@
 }
 
 impl AddressPool {
-    /// `new` takes a loopback address that no other pool has.
+    /// Creates a pool on an IP address that follows from the process id and the number of the pool.
     #[must_use]
     pub fn new() -> Self {
         static POOLS: AtomicU32 = AtomicU32::new(0);
         let pool = POOLS.fetch_add(1, Ordering::Relaxed) % POOLS_PER_PROCESS;
         let number = std::process::id().wrapping_mul(POOLS_PER_PROCESS) + pool;
 
-        // Not 0 or 255 at the end, and not 127.0.0.1.
+        // The last byte is never 0 or 255, and the second never 0, which excludes 127.0.0.1.
         let [_, high, middle, low] = number.to_be_bytes();
         let ip = Ipv4Addr::new(127, 1 + high % 254, middle, 1 + low % 254);
         Self { ip: ip.into(), udp: Vec::new(), tcp: Vec::new() }
     }
 
-    /// `udp` gives a free UDP address.
+    /// Allocates a free UDP address.
     pub fn udp(&mut self) -> io::Result<SocketAddr> {
         let socket = UdpSocket::bind((self.ip, 0))?;
         let address = socket.local_addr()?;
@@ -43,7 +43,7 @@
         Ok(address)
     }
 
-    /// `tcp` gives a free TCP address.
+    /// Allocates a free TCP address.
     pub fn tcp(&mut self) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind((self.ip, 0))?;
         let address = listener.local_addr()?;
--- a/crates/valvestage-standins/src/layout/deployments.rs
+++ b/crates/valvestage-standins/src/layout/deployments.rs
@@ -1,28 +1,28 @@
-//! The sizes of the two deployments of the brief.
+//! Sizes of the two predefined deployments.
 
-/// `ServicePlan` is the size of one service.
+/// Size of one service.
 #[derive(Debug, Clone, Copy)]
 pub struct ServicePlan {
-    /// Its name.
+    /// Name of the service; the names of its backend servers start with it.
     pub name: &'static str,
-    /// Its backend servers, spread over the zones in turn.
+    /// Number of its backend servers, distributed over the availability zones in turn.
     pub backends: usize,
-    /// Slots of each.
+    /// Number of requests that each backend server runs at the same time.
     pub slots: u16,
-    /// Connections of each.
+    /// Number of flows that each backend server holds open at most.
     pub connections: u16,
 }
 
-/// `DeploymentPlan` is the size of one deployment.
+/// Size of one deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct DeploymentPlan {
-    /// Its region.
+    /// Name of its region.
     pub name: &'static str,
-    /// Its availability zones.
+    /// Names of its availability zones.
     pub zones: &'static [&'static str],
-    /// Its balancers, spread over the zones in turn.
+    /// Number of its balancers, distributed over the availability zones in turn.
     pub balancers: usize,
-    /// Its services.
+    /// Sizes of its services, which are numbered from 1 in this order.
     pub services: &'static [ServicePlan],
 }
 
@@ -47,7 +47,7 @@
     },
 ];
 
-/// `find_plan` gives a deployment by the name of its region.
+/// Returns the predefined deployment of a region, by the region's name.
 #[must_use]
 pub fn find_plan(name: &str) -> Option<&'static DeploymentPlan> {
     PLANS.iter().find(|plan| plan.name == name)
--- a/crates/valvestage-standins/src/layout/settings_files.rs
+++ b/crates/valvestage-standins/src/layout/settings_files.rs
@@ -1,4 +1,4 @@
-//! Writing the settings of all processes.
+//! Settings files of all processes of a deployment.
 
 use std::fmt::Write;
 use std::fs;
@@ -12,8 +12,8 @@
 use super::layout_file::{BalancerLayout, Layout};
 use crate::draws::Draws;
 
-/// `write_layout` writes the addresses, secrets and settings of a deployment into a folder;
-/// `extra` is added to the settings of each balancer.
+/// Allocates the addresses of a deployment, and writes them with its secrets and settings into a
+/// folder. `extra` is put at the head of each balancer's settings.
 pub fn write_layout(
     plan: &DeploymentPlan,
     folder: &Path,
@@ -24,7 +24,7 @@
     let mut pool = AddressPool::new();
     let layout = draw_layout(plan, &mut pool)?;
 
-    // Secrets of a demo on the loopback address: drawn from the seed.
+    // Secrets derived from the seed are predictable, which is acceptable on loopback addresses.
     let mut draws = Draws::new(seed);
     for name in ["peer.key", "admin.token", "operator.token"] {
         fs::write(folder.join(name), format!("{:016x}{:016x}\n", draws.word(), draws.word()))?;
--- a/crates/valvestage-standins/src/lib.rs
+++ b/crates/valvestage-standins/src/lib.rs
@@ -1,15 +1,16 @@
-//! Small stand-ins for the systems around valvestage, for the demo and for tests with processes.
+//! Stand-ins (test doubles) for the systems around valvestage, used by the demo, the soak test, the
+//! experiments and the tests that run real processes.
 //!
 //! | module | stands in for |
 //! |---|---|
-//! | [`platform`] | the platform's object API, with outages and lost answers on demand |
+//! | [`platform`] | the platform's object API, with fault injection |
 //! | [`fabric`] | the fabric that sprays packets over the balancers |
-//! | [`backend`] | backend servers, which record each run |
-//! | [`caller`] | callers that hold flows and send requests, and judge what they get |
-//! | [`packets`] | both ends of flows that only packets show |
-//! | [`layout`] | addresses and settings of a whole deployment on one machine |
-//! | [`draws`] | seeded draws |
-//! | [`signals`] | ending on a signal |
+//! | [`backend`] | backend servers that record each request they run |
+//! | [`caller`] | callers that hold flows, send requests and check the answers |
+//! | [`packets`] | caller and backend server ends of flows in the platform's packet format |
+//! | [`layout`] | addresses and settings files of a whole deployment on the loopback network |
+//! | [`draws`] | seeded random numbers |
+//! | [`signals`] | shutdown on SIGTERM and SIGINT |
 
 pub mod backend;
 pub mod caller;
--- a/crates/valvestage-standins/src/packets.rs
+++ b/crates/valvestage-standins/src/packets.rs
@@ -1,4 +1,4 @@
-//! Stand-ins that speak the platform's packets: both ends of flows.
+//! Both ends of flows, the caller's and the backend server's, in the platform's packet format.
 
 pub mod backend_flow;
 pub mod caller_flow;
@@ -6,5 +6,5 @@
 pub mod packet_request;
 pub mod socket_set;
 
-/// `RequestId` names one request; no two have the same.
+/// Id of a request, unique among all requests of a run.
 pub type RequestId = u64;
--- a/crates/valvestage-standins/src/packets/backend_flow.rs
+++ b/crates/valvestage-standins/src/packets/backend_flow.rs
@@ -1,39 +1,39 @@
-//! One flow at its backend server.
+//! Backend server's end of a flow.
 
 use std::time::{Duration, Instant};
 
 use super::flow_packet::{FlowPacket, flags};
 use super::packet_request::PacketRequest;
 
-/// Data in one packet at most.
+/// Largest amount of data in one packet, bytes.
 const MAX_DATA: usize = 1_200;
 
-/// Wait before the first resend; doubled each time, up to [`LONGEST_RESEND`].
+/// Wait before the first resend; doubled for each further one, up to [`LONGEST_RESEND`].
 const FIRST_RESEND: Duration = Duration::from_millis(200);
 
 /// Longest wait before a resend.
 const LONGEST_RESEND: Duration = Duration::from_millis(1_600);
 
-/// Resends before the flow is given up.
+/// Number of resends of an answer; after these it is sent no more.
 const MAX_RESENDS: u32 = 8;
 
-/// `BackendFlow` is a flow that a backend server holds.
+/// Flow that a backend server holds, with the answer that is being sent on it.
 #[derive(Debug)]
 pub struct BackendFlow {
-    /// Whether the caller has answered the answer to its opening packet.
+    /// Whether the caller has acknowledged the answer to its opening packet; set by the owner.
     pub open: bool,
-    /// The balancer that sent the opening packet.
+    /// Number of the balancer that forwarded the opening packet.
     pub balancer: usize,
-    /// When that packet came.
+    /// When the opening packet arrived.
     pub arrived: Instant,
-    /// The caller's side, as the source of packets.
+    /// Opening packet; its source is the caller and its destination the service.
     opening: FlowPacket,
     token: u32,
-    /// Number after the last byte that was sent and acknowledged.
+    /// Sequence number after the last byte that the caller has acknowledged.
     acknowledged: u32,
-    /// Number of the byte expected next from the caller.
+    /// Sequence number of the byte expected next from the caller.
     expected: u32,
-    /// Sent and not acknowledged.
+    /// Bytes that were sent and are not acknowledged.
     unacknowledged: Vec<u8>,
     resend_at: Option<Instant>,
     resends: u32,
@@ -41,7 +41,8 @@
 }
 
 impl BackendFlow {
-    /// `new` takes an opening packet.
+    /// Creates the flow of an opening packet that a balancer forwarded. `sequence` is the initial
+    /// sequence number of the backend server's side.
     #[must_use]
     pub fn new(opening: FlowPacket, sequence: u32, balancer: usize, now: Instant) -> Self {
         Self {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// `opening_answer` gives the answer to the opening packet.
+    /// Returns the answer to the opening packet, which carries the token.
     #[must_use]
     pub fn opening_answer(&self) -> FlowPacket {
         let sequence = self.acknowledged.wrapping_sub(1);
@@ -67,14 +68,15 @@
         self.packet(flags::SYN | flags::ACK, sequence, Vec::new())
     }
 
-    /// `accepts` tells whether a packet acknowledges this backend server's answer to the opening
-    /// packet, and not that of another one.
+    /// Reports whether a packet acknowledges this backend server's answer to the opening packet, as
+    /// opposed to the answer of another backend server.
     #[must_use]
     pub fn accepts(&self, packet: &FlowPacket) -> bool {
         packet.acknowledged == self.acknowledged
     }
 
-    /// `take` takes a packet of the open flow in, and gives a request that is to be worked on.
+    /// Processes a packet of the open flow, and returns the request that it carries, if any. Data
+    /// out of order is ignored.
     pub fn take(&mut self, packet: &FlowPacket) -> Option<PacketRequest> {
         self.token = packet.token;
         self.take_acknowledgement(packet.acknowledged);
@@ -86,18 +88,19 @@
         PacketRequest::decode(&packet.data)
     }
 
-    /// `acknowledgement` gives the packet that says how much has come.
+    /// Returns a packet without data that acknowledges everything received in order.
     #[must_use]
     pub fn acknowledgement(&self) -> FlowPacket {
         self.packet(flags::ACK, self.acknowledged, Vec::new())
     }
 
-    /// `work_until` starts work on a request.
+    /// Starts to run a request whose answer is ready at `due`.
     pub fn work_until(&mut self, due: Instant, request: PacketRequest) {
         self.work = Some((due, request));
     }
 
-    /// `due_packets` gives what is to be sent now; an answer that is done, or one sent again.
+    /// Returns the packets to send now: those of an answer that has become ready, or the resend of
+    /// one that the caller has not acknowledged in time.
     pub fn due_packets(&mut self, now: Instant) -> Vec<FlowPacket> {
         if let Some((due, request)) = self.work
             && due <= now
@@ -155,7 +158,7 @@
     }
 }
 
-/// Packets have 1,200 bytes of data at most.
+/// Returns the length of a packet's data, which is at most 1,200 bytes.
 fn length_of(data: &[u8]) -> u32 {
     u32::try_from(data.len()).unwrap_or(u32::MAX)
 }
--- a/crates/valvestage-standins/src/packets/caller_flow.rs
+++ b/crates/valvestage-standins/src/packets/caller_flow.rs
@@ -1,4 +1,4 @@
-//! One flow at its caller.
+//! Caller's end of a flow.
 
 use std::time::{Duration, Instant};
 
@@ -7,49 +7,49 @@
 use super::flow_packet::{FlowPacket, flags};
 use super::packet_request::PacketRequest;
 
-/// Times after the opening packet at which copies of it follow.
+/// Times after the opening packet at which copies of it are sent.
 const COPIES_AFTER: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(600)];
 
-/// Longest wait for a flow to open.
+/// Time after which a flow without an answer to its opening packet has failed to open.
 const OPEN_WITHIN: Duration = Duration::from_millis(1_400);
 
-/// Wait before the first resend; doubled each time, up to [`LONGEST_RESEND`].
+/// Wait before the first resend; doubled for each further one, up to [`LONGEST_RESEND`].
 const FIRST_RESEND: Duration = Duration::from_millis(200);
 
 /// Longest wait before a resend.
 const LONGEST_RESEND: Duration = Duration::from_millis(1_600);
 
-/// Where the flow stands.
+/// State of a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum FlowStage {
-    /// The opening packet has been sent, with so many copies.
+    /// The opening packet and `copies` copies of it have been sent.
     Opening { sent_at: Instant, copies: u32 },
-    /// A request is under way.
+    /// A request has been sent and its answer is not complete.
     Asking { resend_at: Instant, resends: u32 },
-    /// The last answer has come.
+    /// The answer to the last request is complete.
     Resting,
 }
 
-/// `FlowProgress` is what a packet, or the time, has brought.
+/// Event that a packet or a timer has caused on a flow.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FlowProgress {
-    /// Nothing.
+    /// No event.
     None,
-    /// An answer has come.
+    /// The answer to the request is complete.
     Answered {
-        /// Whether every byte of it belongs to the request.
+        /// Whether every byte of the answer is the one expected for the request.
         whole: bool,
     },
-    /// The flow did not open in time.
+    /// The opening packet was not answered in time.
     Unopened,
 }
 
-/// `FlowStep` is what a flow does next.
+/// Result of a packet or a timer on a flow.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FlowStep {
     /// Packets to send.
     pub packets: Vec<FlowPacket>,
-    /// What has come of it.
+    /// Event to report to the owner of the flow.
     pub progress: FlowProgress,
 }
 
@@ -63,23 +63,24 @@
     }
 }
 
-/// `CallerFlow` is a flow with the request that is under way on it.
+/// Flow of a caller, with the request that is outstanding on it.
 #[derive(Debug)]
 pub struct CallerFlow {
-    /// Its addresses.
+    /// Addresses of the caller and the service.
     pub flow: FlowAddresses,
     stage: FlowStage,
     request: PacketRequest,
     token: u32,
-    /// Number of the next byte to send.
+    /// Sequence number of the next byte to send.
     sequence: u32,
-    /// Number of the byte expected next.
+    /// Sequence number of the byte expected next.
     expected: u32,
     received: Vec<u8>,
 }
 
 impl CallerFlow {
-    /// `new` is a flow that is about to open for a request.
+    /// Creates a flow that sends the request once it is open. `sequence` is the initial sequence
+    /// number of the caller's side.
     #[must_use]
     pub fn new(flow: FlowAddresses, sequence: u32, request: PacketRequest, now: Instant) -> Self {
         Self {
@@ -93,13 +94,13 @@
         }
     }
 
-    /// `is_open` tells whether the flow has opened.
+    /// Reports whether a backend server has answered the opening packet.
     #[must_use]
     pub fn is_open(&self) -> bool {
         !matches!(self.stage, FlowStage::Opening { .. })
     }
 
-    /// `opening_packet` gives the opening packet, or a copy of it.
+    /// Returns the opening packet, or a copy of it; `copies` is the number of copies sent before.
     #[must_use]
     pub fn opening_packet(&self, copies: u32) -> FlowPacket {
         let mut packet = self.packet(flags::SYN, Vec::new());
@@ -108,7 +109,7 @@
         packet
     }
 
-    /// `ask` sends a further request on the open flow.
+    /// Returns the packet that sends a request on the open flow.
     pub fn ask(&mut self, request: PacketRequest, now: Instant) -> FlowPacket {
         self.request = request;
         self.received.clear();
@@ -117,7 +118,7 @@
         self.packet(flags::ACK, request.encode())
     }
 
-    /// `take` takes a packet of the backend server in, and gives what is to be sent.
+    /// Processes a packet from the backend server, and returns the packets to send.
     pub fn take(&mut self, packet: &FlowPacket, now: Instant) -> FlowStep {
         if packet.has(flags::SYN) {
             return FlowStep::send(self.take_opening_answer(packet, now));
@@ -135,7 +136,7 @@
         FlowStep { packets: vec![self.packet(flags::ACK, Vec::new())], progress }
     }
 
-    /// `on_time` gives what is to be sent again.
+    /// Returns the packets whose resend is due, or the event that the flow failed to open.
     pub fn on_time(&mut self, now: Instant) -> FlowStep {
         match self.stage {
             FlowStage::Opening { sent_at, .. } if now >= sent_at + OPEN_WITHIN => {
@@ -158,14 +159,14 @@
         }
     }
 
-    /// `closing_packet` gives the packet that ends the flow.
+    /// Returns the packet that closes the flow.
     #[must_use]
     pub fn closing_packet(&self) -> FlowPacket {
         self.packet(flags::FIN | flags::ACK, Vec::new())
     }
 
-    /// The first answer decides which backend server has the flow; what another one says is passed
-    /// over.
+    /// Opens the flow at the backend server that answers the opening packet first. An answer of
+    /// another backend server is ignored.
     fn take_opening_answer(&mut self, packet: &FlowPacket, now: Instant) -> Vec<FlowPacket> {
         if self.is_open() {
             return Vec::new();
@@ -201,7 +202,7 @@
     }
 }
 
-/// Packets have 1,200 bytes of data at most.
+/// Returns the length of a packet's data, which is at most 1,200 bytes.
 fn length_of(data: &[u8]) -> u32 {
     u32::try_from(data.len()).unwrap_or(u32::MAX)
 }
--- a/crates/valvestage-standins/src/packets/flow_packet.rs
+++ b/crates/valvestage-standins/src/packets/flow_packet.rs
@@ -1,6 +1,7 @@
-//! Packets as the two ends of a flow write them.
+//! Encoding of packets by the two ends of a flow.
 //!
-//! Only the ends know the key of the sum, so whatever a balancer changes on the way shows.
+//! Only the two ends know the key of the checksum, so they detect whatever a balancer changes in a
+//! packet.
 
 use std::hash::Hasher;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -9,48 +10,49 @@
 use valvestage_platform::packet::HEAD_BYTES;
 use valvestage_policy::steering::FlowAddresses;
 
-/// Bits of the first byte.
+/// Bits of the first byte of a packet.
 pub mod flags {
-    /// Asks to open a flow, or with [`ACK`] answers that.
+    /// Opens a flow, or together with [`ACK`] answers the opening packet.
     pub const SYN: u8 = 2;
-    /// Ends a flow at once.
+    /// Resets a flow.
     pub const RST: u8 = 4;
-    /// Ends what its sender sends.
+    /// Closes the sender's side of a flow.
     pub const FIN: u8 = 16;
-    /// Acknowledges.
+    /// Marks the acknowledgement number as valid.
     pub const ACK: u8 = 32;
 }
 
-/// Offset of the token, which balancers write.
+/// Offset of the token, the only field that balancers may change.
 const TOKEN: usize = 6;
 
-/// Offset of the sum.
+/// Offset of the checksum.
 const SUM: usize = 32;
 
-/// Key of the sum; any number will do.
+/// Key of the checksum; its value is arbitrary.
 const SUM_KEY: u64 = 0x736f_616b;
 
-/// `FlowPacket` is a packet from one end of a flow to the other.
+/// Packet from one end of a flow to the other.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FlowPacket {
-    /// Bits of [`flags`].
+    /// Bits from [`flags`].
     pub flags: u8,
-    /// What balancers steer by.
+    /// Token by which balancers find the backend server of the flow.
     pub token: u32,
-    /// Number of the first byte.
+    /// Sequence number of the first byte of the data.
     pub sequence: u32,
-    /// Number of the byte expected next; on an opening packet the copies sent before.
+    /// Sequence number of the byte expected next. On an opening packet: number of copies of it that
+    /// were sent before.
     pub acknowledged: u32,
-    /// Who sends.
+    /// Address of the sender.
     pub source: SocketAddrV4,
-    /// To whom.
+    /// Address of the receiver.
     pub destination: SocketAddrV4,
-    /// The data.
+    /// Data after the header, at most 1,200 bytes.
     pub data: Vec<u8>,
 }
 
 impl FlowPacket {
-    /// `encode` writes the packet with its sum.
+    /// Encodes the packet with its checksum.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![0; HEAD_BYTES];
@@ -71,7 +73,8 @@
         bytes
     }
 
-    /// `decode` reads a packet; none if it is too short.
+    /// Decodes a packet without checking its checksum. Returns `None` if it is shorter than a
+    /// header.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let word = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?));
@@ -88,38 +91,41 @@
         })
     }
 
-    /// `is_genuine` tells whether the bytes are as one end of a flow wrote them.
+    /// Reports whether the checksum matches, which shows that all covered bytes are as one end of
+    /// the flow wrote them.
     #[must_use]
     pub fn is_genuine(bytes: &[u8]) -> bool {
         bytes.get(SUM..HEAD_BYTES).is_some_and(|sum| sum == sum_of(bytes).to_le_bytes())
     }
 
-    /// `is_from_balancer` tells whether it is a reset that no end of the flow wrote.
+    /// Reports whether the bytes are a reset that a balancer wrote: balancers can't compute the
+    /// checksum and leave it 0.
     #[must_use]
     pub fn is_from_balancer(bytes: &[u8]) -> bool {
         bytes.len() == HEAD_BYTES && bytes[0] == flags::RST && bytes[SUM..HEAD_BYTES] == [0; 4]
     }
 
-    /// `has` tells whether a flag is set.
+    /// Reports whether a bit from [`flags`] is set.
     #[must_use]
     pub fn has(&self, flag: u8) -> bool {
         self.flags & flag != 0
     }
 
-    /// `flow` names the flow, where its caller sent the packet.
+    /// Returns the addresses of the flow of a packet that its caller sent.
     #[must_use]
     pub fn flow(&self) -> FlowAddresses {
         FlowAddresses { caller: self.source, service: self.destination }
     }
 }
 
-/// The sum over all but the token, what stands before it, and itself.
+/// Returns the checksum over the flags, all header fields after the token, and the data. Bytes 1 to
+/// 9, which end with the token, are left out.
 fn sum_of(bytes: &[u8]) -> u32 {
     let mut hasher = SipHasher13::new_with_keys(SUM_KEY, 0);
     hasher.write(&bytes[..1]);
     hasher.write(&bytes[10..SUM]);
     hasher.write(&bytes[HEAD_BYTES..]);
 
-    // Any 32 bits of it.
+    // The upper half of the hash serves as the 32-bit checksum.
     u32::try_from(hasher.finish() >> 32).unwrap_or(u32::MAX)
 }
--- a/crates/valvestage-standins/src/packets/packet_request.rs
+++ b/crates/valvestage-standins/src/packets/packet_request.rs
@@ -1,23 +1,23 @@
-//! Requests and their answers.
+//! Requests that are sent on flows, and their answers.
 
 use super::RequestId;
 
-/// Bytes of a request.
+/// Length of an encoded request.
 const REQUEST_BYTES: usize = 13;
 
-/// `PacketRequest` is what a caller asks.
+/// Request of a caller, sent in the data of one packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PacketRequest {
-    /// Its id.
+    /// Id of the request, from which the bytes of its answer follow.
     pub id: RequestId,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Bytes of its answer; at least 8.
+    /// Length of the answer in bytes. At least 8, so that the answer contains the whole id.
     pub answer_bytes: u32,
 }
 
 impl PacketRequest {
-    /// `encode` writes the request.
+    /// Encodes the request.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = self.id.to_le_bytes().to_vec();
@@ -27,7 +27,7 @@
         bytes
     }
 
-    /// `decode` reads a request; none if the bytes are no request.
+    /// Decodes a request. Returns `None` if the bytes have another length than a request.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         if bytes.len() != REQUEST_BYTES {
@@ -41,7 +41,7 @@
         })
     }
 
-    /// `answer` gives the bytes that answer the request, and no other.
+    /// Returns the bytes of the answer, which differ from those of the answer to any other request.
     #[must_use]
     pub fn answer(&self) -> Vec<u8> {
         let id = self.id.to_le_bytes();
--- a/crates/valvestage-standins/src/packets/socket_set.rs
+++ b/crates/valvestage-standins/src/packets/socket_set.rs
@@ -1,4 +1,4 @@
-//! Many UDP sockets, read by one thread.
+//! Set of UDP sockets that one thread polls.
 
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -7,28 +7,28 @@
 use mio::net::UdpSocket;
 use mio::{Events, Interest, Poll, Token};
 
-/// Longest datagram.
+/// Size of the receive buffer; no datagram is longer.
 const MAX_BYTES: usize = 2_048;
 
-/// `SocketSet` holds sockets by number.
+/// UDP sockets, numbered in the order of their addresses.
 pub struct SocketSet {
     poll: Poll,
     events: Events,
     sockets: Vec<UdpSocket>,
 }
 
-/// `Datagram` is what came in.
+/// Received datagram.
 pub struct Datagram {
-    /// Number of the socket.
+    /// Number of the socket that received it.
     pub socket: usize,
-    /// Who sent it.
+    /// Address of the sender.
     pub sender: SocketAddrV4,
-    /// Its bytes.
+    /// Content of the datagram.
     pub bytes: Vec<u8>,
 }
 
 impl SocketSet {
-    /// `bind` takes the addresses; the sockets are numbered in their order.
+    /// Binds a socket to each of the addresses.
     pub fn bind(addresses: &[SocketAddrV4]) -> io::Result<Self> {
         let poll = Poll::new()?;
         let mut sockets = Vec::with_capacity(addresses.len());
@@ -42,14 +42,16 @@
         Ok(Self { poll, events, sockets })
     }
 
-    /// `send` sends from a socket. One that cannot be sent is like one that is lost.
+    /// Sends a datagram from a socket. An error is logged only: to the receiver it is the loss of
+    /// the datagram.
     pub fn send(&self, socket: usize, to: SocketAddrV4, bytes: &[u8]) {
         if let Err(error) = self.sockets[socket].send_to(bytes, SocketAddr::V4(to)) {
-            log::debug!("send datagram to {to}: {error}");
+            log::debug!("failed to send a datagram to {to}: {error}");
         }
     }
 
-    /// `receive` waits for datagrams, and gives all that are there.
+    /// Waits until a socket is readable or the time has passed, and returns all datagrams that have
+    /// arrived.
     pub fn receive(&mut self, wait: Duration) -> io::Result<Vec<Datagram>> {
         match self.poll.poll(&mut self.events, Some(wait)) {
             Err(error) if error.kind() != io::ErrorKind::Interrupted => return Err(error),
@@ -67,7 +69,7 @@
     fn read_all(&self, socket: usize, datagrams: &mut Vec<Datagram>) {
         let mut bytes = [0; MAX_BYTES];
 
-        // An error of an earlier send may be told here; the next read goes on.
+        // An error of an earlier send may be reported by this read; the next one continues.
         loop {
             match self.sockets[socket].recv_from(&mut bytes) {
                 Ok((length, SocketAddr::V4(sender))) => {
@@ -75,7 +77,7 @@
                 }
                 Ok(_) => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                Err(error) => log::debug!("receive datagram: {error}"),
+                Err(error) => log::debug!("failed to receive a datagram: {error}"),
             }
         }
     }
--- a/crates/valvestage-standins/src/platform.rs
+++ b/crates/valvestage-standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's object API, with outages and lost answers on demand.
+//! In-memory stand-in for the platform's object API, with fault injection.
 
 mod faults;
 mod server;
--- a/crates/valvestage-standins/src/platform/faults.rs
+++ b/crates/valvestage-standins/src/platform/faults.rs
@@ -1,19 +1,19 @@
-//! What goes wrong, on demand.
+//! Faults that the platform stand-in injects.
 
 use serde::{Deserialize, Serialize};
 
-/// `Faults` says how the platform misbehaves until told otherwise.
+/// Faults injected into calls, in force until they are replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Every call fails.
+    /// Whether every call is answered with 503.
     pub down: bool,
-    /// Every call takes this much longer.
+    /// Delay added to every call, milliseconds.
     pub delay_ms: u64,
-    /// So many writes take effect and their answers are lost.
+    /// Number of further writes that take effect although the client is answered with 503.
     pub lose_answers: u32,
-    /// Watches do not show the newest revisions, so many of them.
+    /// Number of the newest revisions that watches do not show yet.
     pub watch_lag: u64,
-    /// Objects in a page of a list; 0 for as many as usual.
+    /// Page size of lists, in objects; 0 for the default.
     pub page: usize,
 }
--- a/crates/valvestage-standins/src/platform/server.rs
+++ b/crates/valvestage-standins/src/platform/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server of the platform stand-in.
+//! HTTP server of the platform stand-in.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -22,16 +22,16 @@
 use super::faults::Faults;
 use super::store::{ObjectStore, WriteRefusal};
 
-/// Longest value.
+/// Largest object value; request bodies may have twice this size.
 const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// Objects in a page of a list.
+/// Page size of lists, in objects, unless the faults set another.
 const PAGE: usize = 500;
 
-/// Longest wait of a watch, milliseconds.
+/// Longest time that a watch may ask to wait for a change, milliseconds.
 const MAX_WAIT_MS: u64 = 30_000;
 
-/// `PlatformStandin` is the state that all connections share.
+/// Object store and faults of the platform stand-in, shared by all connections.
 #[derive(Clone, Default)]
 pub struct PlatformStandin {
     inner: Arc<Inner>,
@@ -45,18 +45,19 @@
 }
 
 impl PlatformStandin {
-    /// `put` writes one of the product's own objects whatever its version, for tests.
+    /// Writes one of valvestage's own objects without a revision check. Its kind follows from the
+    /// key.
     pub fn put(&self, key: &str, value: Value) {
         self.put_object(kind_of(key), key, value);
     }
 
-    /// `get` reads one of the product's own objects, for tests.
+    /// Returns the value of one of valvestage's own objects.
     #[must_use]
     pub fn get(&self, key: &str) -> Option<Value> {
         self.store().read(kind_of(key), key).map(|object| object.spec.clone())
     }
 
-    /// `put_object` writes any object whatever its revision, for tests.
+    /// Creates or replaces an object of any kind without a revision check.
     pub fn put_object(&self, kind: &str, name: &str, value: Value) {
         let mut store = self.store();
 
@@ -69,21 +70,22 @@
         self.inner.written.notify_waiters();
     }
 
-    /// `delete_object` removes an object, for tests.
+    /// Deletes an object of any kind, if there is one.
     pub fn delete_object(&self, kind: &str, name: &str) {
         self.store().delete(kind, name);
 
         self.inner.written.notify_waiters();
     }
 
-    /// `forget_history` makes watches that began before fail.
+    /// Drops the history of changes, so that watches from an older revision are answered with 410.
     pub fn forget_history(&self) {
         self.store().forget_history();
 
         self.inner.written.notify_waiters();
     }
 
-    /// Goes back to what there was so many changes ago, in the next era of the store.
+    /// Restores the state before the last `lost_changes` changes and starts the next era of the
+    /// store.
     pub fn restore(&self, lost_changes: u64) {
         let mut store = self.store();
         let revision = store.revision().saturating_sub(lost_changes);
@@ -93,7 +95,7 @@
         self.inner.written.notify_waiters();
     }
 
-    /// `misbehave` sets the faults.
+    /// Replaces the faults that are injected.
     pub fn misbehave(&self, faults: Faults) {
         *self.faults() = faults;
     }
@@ -106,7 +108,7 @@
         self.inner.faults.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits as long as the faults say; none if the call is to fail.
+    /// Waits for the injected delay. Returns `None` if the call has to fail.
     async fn admit(&self) -> Option<()> {
         let faults = *self.faults();
         if faults.delay_ms > 0 {
@@ -116,7 +118,8 @@
         (!faults.down).then_some(())
     }
 
-    /// Answers a write that was done or refused; the answer of one that was done may be lost.
+    /// Answers a write. A write that took effect is answered with 503 while the faults ask for lost
+    /// answers.
     fn answer_write(&self, result: Result<WireObject, WriteRefusal>) -> HttpResponse {
         let object = match result {
             Ok(object) => object,
@@ -134,7 +137,8 @@
     }
 }
 
-/// `start` serves on a listener; the address of the listener is known before.
+/// Builds the server on a bound listener and returns it with its address. The server runs once its
+/// future is polled.
 pub fn start(listener: TcpListener, standin: PlatformStandin) -> io::Result<(SocketAddr, Server)> {
     let address = listener.local_addr()?;
     let data = Data::new(standin);
@@ -159,7 +163,7 @@
     Ok((address, server))
 }
 
-/// Says in each answer how often the store was restored.
+/// Adds the store's era to each answer, so that clients notice that the store was restored.
 async fn name_era(
     request: ServiceRequest,
     next: Next<impl MessageBody>,
@@ -214,7 +218,8 @@
             return unavailable();
         }
 
-        // Listen before looking, so that no write falls between.
+        // The notification is created before the store is read: a write between the two would
+        // otherwise be missed.
         let written = standin.inner.written.notified();
         let lag = standin.faults().watch_lag;
         let Some(page) = standin.store().changes(kind, after, lag) else {
--- a/crates/valvestage-standins/src/platform/site_objects.rs
+++ b/crates/valvestage-standins/src/platform/site_objects.rs
@@ -1,10 +1,10 @@
-//! Objects as the platform's operator and backend servers write them.
+//! Values of the objects that the platform's operator and the backend servers write.
 
 use std::net::SocketAddrV4;
 
 use serde_json::{Value, json};
 
-/// `configuration_object` gives the value of a configuration that leads addresses to services.
+/// Returns the value of a configuration object that routes addresses to services.
 #[must_use]
 pub fn configuration_object<'a>(
     version: u64,
@@ -23,23 +23,23 @@
         "limits": {"idle_timeout_ms": idle_timeout_ms}})
 }
 
-/// `BackendObject` is what a backend server writes of itself.
+/// Entry that a backend server publishes about itself.
 #[derive(Debug, Clone, Copy)]
 pub struct BackendObject<'a> {
-    /// The service that it runs.
+    /// Name of the service that it runs.
     pub service: &'a str,
-    /// Where it takes packets.
+    /// Address on which it receives packets.
     pub address: SocketAddrV4,
     /// Availability zone of its VM.
     pub zone: &'a str,
-    /// Requests that it works on at once.
+    /// Number of requests that it runs at the same time.
     pub slots: u32,
-    /// Whether it is about to leave.
+    /// Whether it is draining, and takes no new work.
     pub is_draining: bool,
 }
 
 impl BackendObject<'_> {
-    /// `value` gives the value of its entry.
+    /// Returns the entry as the value of an object.
     #[must_use]
     pub fn value(&self) -> Value {
         let state = if self.is_draining { "draining" } else { "ready" };
--- a/crates/valvestage-standins/src/platform/store.rs
+++ b/crates/valvestage-standins/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! Objects by kind and name, with a history of changes, in memory.
+//! In-memory store of objects by kind and name, with a history of changes.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -7,36 +7,37 @@
 use valvestage_core::ids::{StoreEra, StoreRevision};
 use valvestage_platform::messages::{ListPage, ObjectMeta, WatchPage, WireEvent, WireObject};
 
-/// `WriteRefusal` says why nothing was written.
+/// Reason why a write had no effect.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WriteRefusal {
     /// There is no such object.
     Missing,
-    /// The object is as given, not as the condition says.
+    /// The object exists already, or has another revision than expected. Carries the object.
     Conflict(Box<WireObject>),
 }
 
-/// `ObjectStore` holds objects; each change of any object raises the revision.
+/// Versioned object store with one revision counter, raised by each change of any object.
 #[derive(Debug, Default)]
 pub struct ObjectStore {
-    /// How often it was restored from an older copy.
+    /// Number of times that the store was restored from an older copy.
     era: StoreEra,
     revision: StoreRevision,
     objects: BTreeMap<(String, String), WireObject>,
-    /// All changes in order, with their kinds; those that are forgotten are not shown.
+    /// All changes in order, with the kinds of their objects. Compacted changes stay here for
+    /// `restore`, but watches do not see them.
     history: Vec<(StoreRevision, String, WireEvent)>,
-    /// Changes up to this revision are forgotten.
+    /// Last compacted revision: a watch can't start before it.
     forgotten: StoreRevision,
 }
 
 impl ObjectStore {
-    /// `read` gives an object.
+    /// Returns an object.
     #[must_use]
     pub fn read(&self, kind: &str, name: &str) -> Option<&WireObject> {
         self.objects.get(&(kind.to_owned(), name.to_owned()))
     }
 
-    /// `create` makes an object.
+    /// Creates an object, unless one of this kind and name exists.
     pub fn create(
         &mut self,
         kind: &str,
@@ -50,7 +51,8 @@
         Ok(self.store(kind, name, value))
     }
 
-    /// `replace` replaces the value of an object, if its revision is the one given where one is.
+    /// Replaces the value of an object. If an expected revision is given, the object has to be at
+    /// that revision. An equal value leaves the object and its revision unchanged.
     pub fn replace(
         &mut self,
         kind: &str,
@@ -69,7 +71,7 @@
         Ok(self.store(kind, name, value))
     }
 
-    /// `delete` removes an object.
+    /// Deletes an object and returns it with the revision of the deletion.
     pub fn delete(&mut self, kind: &str, name: &str) -> Option<WireObject> {
         let mut object = self.objects.remove(&(kind.to_owned(), name.to_owned()))?;
 
@@ -91,7 +93,7 @@
         object
     }
 
-    /// `list` gives a page of a kind's objects.
+    /// Returns a page of a kind's objects by name, from the first one after the name `after`.
     #[must_use]
     pub fn list(&self, kind: &str, after: Option<&str>, page: usize) -> ListPage {
         let start = match after {
@@ -105,8 +107,8 @@
         ListPage { items, more: of_kind.next().is_some(), revision: self.revision }
     }
 
-    /// `changes` gives a kind's changes after a revision, as of `lag` revisions ago; none if they
-    /// are forgotten.
+    /// Returns a kind's changes after a revision, without those of the last `lag` revisions.
+    /// Returns `None` if the revision is compacted or not reached yet.
     #[must_use]
     pub fn changes(&self, kind: &str, after: StoreRevision, lag: u64) -> Option<WatchPage> {
         if after < self.forgotten || after > self.revision {
@@ -121,7 +123,7 @@
         Some(WatchPage { events: events.collect(), revision: until.max(after) })
     }
 
-    /// Returns how often the store was restored from an older copy.
+    /// Returns the number of times that the store was restored from an older copy.
     #[must_use]
     pub fn era(&self) -> StoreEra {
         self.era
@@ -133,8 +135,8 @@
         self.revision
     }
 
-    /// Goes back to what there was at a revision, with its history, as a store that is restored from a copy. Revisions after it
-    /// are given out again, in the next era.
+    /// Restores the objects and the history of a revision, like a store that is restored from a
+    /// backup. Revisions after it are assigned again, in the next era.
     pub fn restore(&mut self, revision: StoreRevision) {
         let revision = revision.clamp(self.forgotten, self.revision);
 
@@ -152,7 +154,7 @@
         }
     }
 
-    /// Forgets all changes so far.
+    /// Compacts all changes so far: watches from an older revision fail.
     pub fn forget_history(&mut self) {
         self.forgotten = self.revision;
     }
--- a/crates/valvestage-standins/src/signals.rs
+++ b/crates/valvestage-standins/src/signals.rs
@@ -1,4 +1,4 @@
-//! Ending on a signal.
+//! Shutdown on a signal.
 
 use std::io;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 
 use signal_hook::consts::{SIGINT, SIGTERM};
 
-/// `stop_flag` gives a flag that SIGTERM and SIGINT set.
+/// Registers handlers for SIGTERM and SIGINT, and returns the flag that they set.
 pub fn stop_flag() -> io::Result<Arc<AtomicBool>> {
     let flag = Arc::new(AtomicBool::new(false));
 
--- a/crates/valvestage-standins/tests/addresses.rs
+++ b/crates/valvestage-standins/tests/addresses.rs
@@ -1,4 +1,4 @@
-//! Addresses of deployments that run side by side.
+//! Tests that the addresses of deployments that run at the same time do not collide.
 
 use std::collections::BTreeSet;
 use std::net::UdpSocket;
@@ -11,7 +11,8 @@
     let released = first.udp().unwrap();
     drop(first);
 
-    // Many others, on other addresses: the released one is still free.
+    // Neither another pool nor outgoing sockets take ports on the address of the released one, even
+    // when there are many of them.
     let mut second = AddressPool::new();
     let others: BTreeSet<_> = (0..500).map(|_| second.udp().unwrap()).collect();
     let outgoing: Vec<_> = (0..500).map(|_| UdpSocket::bind(("127.0.0.1", 0)).unwrap()).collect();
--- a/crates/valvestage-standins/tests/packets.rs
+++ b/crates/valvestage-standins/tests/packets.rs
@@ -1,4 +1,4 @@
-//! Packets and answers of the stand-ins.
+//! Tests of the encoding of packets, requests and answers.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
