--- a/crates/valvestage-standins/src/backend/backend_server.rs
+++ b/crates/valvestage-standins/src/backend/backend_server.rs
@@ -18,7 +18,7 @@
 use crate::draws::Draws;
 
 /// Longest wait for a packet before the stop flag is checked.
-const LONGEST_WAIT: Duration = Duration::from_millis(20);
+const MAX_WAIT: Duration = Duration::from_millis(20);
 
 /// Size of the receive buffer; no datagram is longer.
 const BUFFER_BYTES: usize = 2_048;
@@ -38,50 +38,50 @@
     options: BackendOptions,
     log: Arc<RunLog>,
     socket: UdpSocket,
-    draws: Draws,
+    rng: Draws,
     /// Running requests, at most one per slot, by the time they end and a number that makes the key
     /// unique.
     runs: BTreeMap<(Instant, u64), Run>,
     run_count: u64,
     /// Callers with an open flow.
     flows: HashSet<SocketAddr>,
-    busy: Arc<AtomicU16>,
+    busy_slots: Arc<AtomicU16>,
 }
 
 impl BackendServer {
     /// Binds the socket.
     pub fn new(options: BackendOptions, log: Arc<RunLog>) -> io::Result<Self> {
         let socket = UdpSocket::bind(options.record.address)?;
-        let draws = Draws::new(options.seed);
+        let rng = Draws::new(options.seed);
 
         Ok(Self {
             options,
             log,
             socket,
-            draws,
+            rng,
             runs: BTreeMap::new(),
             run_count: 0,
             flows: HashSet::new(),
-            busy: Arc::default(),
+            busy_slots: Arc::default(),
         })
     }
 
     /// Returns the gauge of the slots in use, which stays up to date while the server runs.
     #[must_use]
-    pub fn busy(&self) -> Arc<AtomicU16> {
-        self.busy.clone()
+    pub fn busy_slots(&self) -> Arc<AtomicU16> {
+        self.busy_slots.clone()
     }
 
     /// Serves flows and requests until the flag is set.
-    pub fn run(mut self, stops: &AtomicBool) -> io::Result<()> {
+    pub fn run(mut self, stop: &AtomicBool) -> io::Result<()> {
         let mut buffer = [0; BUFFER_BYTES];
 
-        while !stops.load(Ordering::Relaxed) {
+        while !stop.load(Ordering::Relaxed) {
             let now = Instant::now();
-            self.finish_due(now);
+            self.finish_due_runs(now);
 
             let next = self.runs.first_key_value().map(|((end, _), _)| *end - now);
-            let wait = next.unwrap_or(LONGEST_WAIT).clamp(Duration::from_micros(100), LONGEST_WAIT);
+            let wait = next.unwrap_or(MAX_WAIT).clamp(Duration::from_micros(100), MAX_WAIT);
             self.socket.set_read_timeout(Some(wait))?;
             if let Ok((length, source)) = self.socket.recv_from(&mut buffer) {
                 self.on_packet(source, &buffer[..length]);
@@ -95,7 +95,7 @@
             return;
         };
         if envelope.header.target != Some(self.target()) {
-            self.log.change(|summary| summary.misdelivered += 1);
+            self.log.update_summary(|summary| summary.misdelivered += 1);
             self.refuse(source, &envelope, RefusalReason::BackendMismatch);
             return;
         }
@@ -143,18 +143,18 @@
         };
 
         if deadline <= SystemTime::now() {
-            self.log.change(|summary| summary.late += 1);
+            self.log.update_summary(|summary| summary.late += 1);
             self.refuse(source, envelope, RefusalReason::BackendDeadline);
             return;
         }
         if self.runs.len() >= usize::from(self.options.record.slots) {
-            self.log.change(|summary| summary.shed += 1);
+            self.log.update_summary(|summary| summary.shed += 1);
             self.refuse(source, envelope, RefusalReason::BackendShedding);
             return;
         }
 
         self.log.record_run(id, header.repeatable);
-        let end = Instant::now() + self.draws.exponential(self.options.mean_run_time);
+        let end = Instant::now() + self.rng.exponential(self.options.mean_run_time);
         let run = Run {
             id,
             attempt,
@@ -164,7 +164,7 @@
         };
         self.run_count += 1;
         self.runs.insert((end, self.run_count), run);
-        self.note_busy();
+        self.publish_busy_slots();
     }
 
     fn on_cancel(&mut self, source: SocketAddr, envelope: &Envelope<'_>) {
@@ -177,18 +177,18 @@
         };
 
         self.runs.remove(&key);
-        self.note_busy();
+        self.publish_busy_slots();
         self.refuse(source, envelope, RefusalReason::Cancelled);
     }
 
-    fn finish_due(&mut self, now: Instant) {
+    fn finish_due_runs(&mut self, now: Instant) {
         while let Some(entry) = self.runs.first_entry() {
             if entry.key().0 > now {
                 return;
             }
 
             let run = entry.remove();
-            self.note_busy();
+            self.publish_busy_slots();
             self.answer(&run);
         }
     }
@@ -239,12 +239,12 @@
         Target { service: record.service, backend: record.id, incarnation: record.incarnation }
     }
 
-    fn note_busy(&self) {
-        let busy = u16::try_from(self.runs.len()).unwrap_or(u16::MAX);
-        self.busy.store(busy, Ordering::Relaxed);
+    fn publish_busy_slots(&self) {
+        let busy_slots = u16::try_from(self.runs.len()).unwrap_or(u16::MAX);
+        self.busy_slots.store(busy_slots, Ordering::Relaxed);
 
-        let percent = u64::from(busy) * 100 / u64::from(self.options.record.slots);
-        self.log.change(|summary| {
+        let percent = u64::from(busy_slots) * 100 / u64::from(self.options.record.slots);
+        self.log.update_summary(|summary| {
             summary.peak_slots_percent = summary.peak_slots_percent.max(percent);
         });
     }
--- a/crates/valvestage-standins/src/backend/run_log.rs
+++ b/crates/valvestage-standins/src/backend/run_log.rs
@@ -38,7 +38,7 @@
 #[derive(Debug, Default)]
 struct Inner {
     summary: RunSummary,
-    once_only: HashMap<RequestId, u32>,
+    non_repeatable_runs: HashMap<RequestId, u32>,
 }
 
 impl RunLog {
@@ -48,7 +48,7 @@
 
         inner.summary.runs += 1;
         if !repeatable {
-            let runs = inner.once_only.entry(id).or_insert(0);
+            let runs = inner.non_repeatable_runs.entry(id).or_insert(0);
             *runs += 1;
             if *runs == 2 {
                 inner.summary.repeated += 1;
@@ -57,7 +57,7 @@
     }
 
     /// Applies a change to the summary, under the lock.
-    pub fn change(&self, change: impl FnOnce(&mut RunSummary)) {
+    pub fn update_summary(&self, change: impl FnOnce(&mut RunSummary)) {
         change(&mut self.inner.lock().unwrap_or_else(PoisonError::into_inner).summary);
     }
 
@@ -71,16 +71,20 @@
     /// by id.
     #[must_use]
     pub fn ran(&self, id: RequestId) -> bool {
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner).once_only.contains_key(&id)
+        self.inner
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .non_repeatable_runs
+            .contains_key(&id)
     }
 
     /// Returns the ids of all non-repeatable requests that ran.
     #[must_use]
-    pub fn once_only_runs(&self) -> Vec<RequestId> {
+    pub fn non_repeatable_run_ids(&self) -> Vec<RequestId> {
         self.inner
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .once_only
+            .non_repeatable_runs
             .keys()
             .copied()
             .collect()
--- a/crates/valvestage-standins/src/bin/standin-backends.rs
+++ b/crates/valvestage-standins/src/bin/standin-backends.rs
@@ -16,7 +16,7 @@
 use valvestage_standins::signals::stop_flag;
 
 /// Interval between two samples of the busy slots.
-const SAMPLE: Duration = Duration::from_millis(100);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Runs stand-ins for all backend servers; writes backends.json and ran.txt when stopped
 #[derive(Debug, Clone, Bpaf)]
@@ -35,12 +35,12 @@
 
 fn main() -> io::Result<()> {
     let arguments = arguments().run();
-    let stops = stop_flag()?;
+    let stop = stop_flag()?;
     let settings = DeploymentSettings::read(&arguments.folder.join("deployment.toml"))
         .map_err(io::Error::other)?;
     let log = Arc::new(RunLog::default());
 
-    let mut busy: BTreeMap<ServiceId, Vec<Arc<AtomicU16>>> = BTreeMap::new();
+    let mut busy_slots: BTreeMap<ServiceId, Vec<Arc<AtomicU16>>> = BTreeMap::new();
     let mut servers = Vec::new();
     for record in settings.to_configuration("standin").backends {
         let service = record.service;
@@ -51,30 +51,35 @@
             answer_segments: arguments.segments,
         };
         let server = BackendServer::new(options, log.clone())?;
-        busy.entry(service).or_default().push(server.busy());
+        busy_slots.entry(service).or_default().push(server.busy_slots());
         servers.push(server);
     }
 
     thread::scope(|scope| {
         for server in servers {
-            scope.spawn(|| server.run(&stops));
+            scope.spawn(|| server.run(&stop));
         }
-        sample(&busy, &log, &stops);
+        sample_busy_slots(&busy_slots, &log, &stop);
     });
 
     let summary = serde_json::to_string_pretty(&log.summary()).map_err(io::Error::other)?;
     fs::write(arguments.folder.join("backends.json"), summary)?;
-    let ran: Vec<_> = log.once_only_runs().iter().map(|id| format!("{id:032x}\n")).collect();
+    let ran: Vec<_> =
+        log.non_repeatable_run_ids().iter().map(|id| format!("{id:032x}\n")).collect();
     fs::write(arguments.folder.join("ran.txt"), ran.concat())
 }
 
 /// Samples periodically how evenly the busy slots of each service are distributed over its backend
 /// servers.
-fn sample(busy: &BTreeMap<ServiceId, Vec<Arc<AtomicU16>>>, log: &RunLog, stops: &AtomicBool) {
-    while !stops.load(Ordering::Relaxed) {
-        thread::sleep(SAMPLE);
+fn sample_busy_slots(
+    busy_slots: &BTreeMap<ServiceId, Vec<Arc<AtomicU16>>>,
+    log: &RunLog,
+    stop: &AtomicBool,
+) {
+    while !stop.load(Ordering::Relaxed) {
+        thread::sleep(SAMPLE_INTERVAL);
 
-        for counters in busy.values() {
+        for counters in busy_slots.values() {
             let counts: Vec<_> =
                 counters.iter().map(|c| u64::from(c.load(Ordering::Relaxed))).collect();
             let sum: u64 = counts.iter().sum();
@@ -85,7 +90,7 @@
 
             // (max - mean) / mean, in thousandths, with mean = sum / count.
             let imbalance = (max * counts.len() as u64 - sum) * 1_000 / sum;
-            log.change(|summary| {
+            log.update_summary(|summary| {
                 summary.samples += 1;
                 summary.imbalance_thousandths += imbalance;
             });
--- a/crates/valvestage-standins/src/bin/standin-fabric.rs
+++ b/crates/valvestage-standins/src/bin/standin-fabric.rs
@@ -32,7 +32,7 @@
 fn main() -> io::Result<()> {
     let arguments = arguments().run();
     let layout = Layout::read(&arguments.folder)?;
-    let stops = stop_flag()?;
+    let stop = stop_flag()?;
 
     let options = FabricOptions {
         caller_address: layout.fabric_callers,
@@ -45,6 +45,6 @@
         },
         seed: arguments.seed,
     };
-    run(&options, &stops)?;
+    run(&options, &stop)?;
     Ok(())
 }
--- a/crates/valvestage-standins/src/bin/standin-platform.rs
+++ b/crates/valvestage-standins/src/bin/standin-platform.rs
@@ -24,11 +24,11 @@
 async fn main() -> io::Result<()> {
     let arguments = arguments().run();
     let layout = Layout::read(&arguments.folder)?;
-    let stops = stop_flag()?;
+    let stop = stop_flag()?;
 
     let (_, server) = start(TcpListener::bind(layout.platform)?, PlatformStandin::default())?;
     actix_rt::spawn(server);
-    while !stops.load(Ordering::Relaxed) {
+    while !stop.load(Ordering::Relaxed) {
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
     Ok(())
--- a/crates/valvestage-standins/src/bin/standin-report.rs
+++ b/crates/valvestage-standins/src/bin/standin-report.rs
@@ -25,7 +25,7 @@
     let folder = arguments().run().folder;
     let caller: CallerSummary = read(&folder, "caller.json")?;
     let backends: RunSummary = read(&folder, "backends.json")?;
-    let control = control_bytes(&folder)?;
+    let control_rate = control_bytes_per_second(&folder)?;
 
     // A request that was refused as not run must not stand in the record of runs.
     let ran = fs::read_to_string(folder.join("ran.txt"))?;
@@ -33,7 +33,7 @@
     let false_not_run = caller.not_run_ids.iter().filter(|id| ran.contains(id.as_str())).count();
 
     let broken = caller.broken_echoing + caller.broken_silent;
-    let told = caller.answered + caller.not_run + caller.in_doubt + caller.untold;
+    let classified = caller.answered + caller.not_run + caller.in_doubt + caller.untold;
     println!("flows kept               {}", caller.kept_echoing + caller.kept_silent);
     println!("flows broken             {broken}");
     println!("flows never opened       {}", caller.never_opened);
@@ -58,19 +58,19 @@
         "time to answer           {:.1} ms median, {:.1} ms p99",
         caller.median_ms, caller.p99_ms
     );
-    println!("control bytes/s          {control}");
+    println!("control bytes/s          {control_rate}");
 
-    let is_kept = broken == 0
+    let has_passed = broken == 0
         && caller.never_opened == 0
         && false_not_run == 0
         && backends.repeated == 0
         && backends.misdelivered == 0
         && caller.foreign_answers == 0
         && caller.contradicted == 0
-        && told == caller.requests
+        && classified == caller.requests
         && caller.answered > 0;
-    println!("guarantees               {}", if is_kept { "held" } else { "VIOLATED" });
-    Ok(if is_kept { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    println!("guarantees               {}", if has_passed { "held" } else { "VIOLATED" });
+    Ok(if has_passed { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
 fn read<T: DeserializeOwned>(folder: &Path, name: &str) -> io::Result<T> {
@@ -91,28 +91,28 @@
 
 /// Formats the rate of bytes that a balancer sends to its peers, from the metrics of each balancer
 /// at the start and the end of the load.
-fn control_bytes(folder: &Path) -> io::Result<String> {
+fn control_bytes_per_second(folder: &Path) -> io::Result<String> {
     let start = sent_bytes(folder, "metrics-start")?;
     let end = sent_bytes(folder, "metrics-end")?;
     let seconds: f64 =
         fs::read_to_string(folder.join("metrics-seconds"))?.trim().parse().unwrap_or(1.0);
 
     let rates: Vec<f64> = start.iter().zip(&end).map(|(s, e)| (e - s) / seconds).collect();
-    let most = rates.iter().copied().fold(0.0, f64::max);
+    let peak = rates.iter().copied().fold(0.0, f64::max);
     #[allow(clippy::cast_precision_loss)]
     let mean = rates.iter().sum::<f64>() / rates.len().max(1) as f64;
-    Ok(format!("{mean:.0} mean, {most:.0} max, sent to peers by one balancer"))
+    Ok(format!("{mean:.0} mean, {peak:.0} max, sent to peers by one balancer"))
 }
 
 fn sent_bytes(folder: &Path, prefix: &str) -> io::Result<Vec<f64>> {
-    const NAME: &str = "valvestage_control_bytes{direction=\"sent\"} ";
+    const METRIC_PREFIX: &str = "valvestage_control_bytes{direction=\"sent\"} ";
     let mut sent = Vec::new();
 
     for id in 1.. {
         let Ok(text) = fs::read_to_string(folder.join(format!("{prefix}-{id}.txt"))) else {
             break;
         };
-        let line = text.lines().find_map(|line| line.strip_prefix(NAME));
+        let line = text.lines().find_map(|line| line.strip_prefix(METRIC_PREFIX));
         sent.push(line.and_then(|value| value.trim().parse().ok()).unwrap_or(0.0));
     }
     Ok(sent)
--- a/crates/valvestage-standins/src/caller/caller_load.rs
+++ b/crates/valvestage-standins/src/caller/caller_load.rs
@@ -14,38 +14,38 @@
 use super::caller_options::{CallerOptions, ServiceLoad};
 use super::caller_summary::CallerSummary;
 use super::flow_caller::FlowCaller;
-use super::request_caller::{RequestCaller, RequestDraft, RequestEnding};
+use super::request_caller::{RequestCaller, RequestParameters, RequestResult};
 use crate::draws::Draws;
 
 /// First source address of callers, from the range that RFC 2544 reserves for benchmarks.
-const FIRST_CALLER: u32 = 0xc612_0000;
+const FIRST_CALLER_ADDRESS: u32 = 0xc612_0000;
 
 /// Number of source ports used on each address of callers.
-const PORTS: u32 = 50_000;
+const PORTS_PER_ADDRESS: u32 = 50_000;
 
 /// Time after the end of the load in which packets still under way are received.
-const TAIL: Duration = Duration::from_millis(1_500);
+const GRACE_PERIOD: Duration = Duration::from_millis(1_500);
 
 /// Size of the receive buffer; no datagram is longer.
 const BUFFER_BYTES: usize = 2_048;
 
 /// Action scheduled for a point in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum ScheduledAction {
     SendFlow(usize),
-    NewRequest(usize),
+    SendRequest(usize),
     ResendRequest(RequestId),
 }
 
-struct Load {
+struct LoadGenerator {
     options: CallerOptions,
     socket: UdpSocket,
-    draws: Draws,
-    due: BinaryHeap<Reverse<(Instant, Due)>>,
+    rng: Draws,
+    schedule: BinaryHeap<Reverse<(Instant, ScheduledAction)>>,
     flows: Vec<FlowCaller>,
     flow_by_caller: HashMap<SocketAddr, usize>,
     requests: HashMap<RequestId, RequestCaller>,
-    callers: u32,
+    caller_count: u32,
     resent: u64,
     end: Instant,
 }
@@ -54,69 +54,72 @@
 pub fn run(options: CallerOptions) -> io::Result<CallerSummary> {
     let socket = UdpSocket::bind(("127.0.0.1", 0))?;
     let end = Instant::now() + options.duration;
-    let draws = Draws::new(options.seed);
-    let mut load = Load {
+    let rng = Draws::new(options.seed);
+    let mut generator = LoadGenerator {
         options,
         socket,
-        draws,
-        due: BinaryHeap::new(),
+        rng,
+        schedule: BinaryHeap::new(),
         flows: Vec::new(),
         flow_by_caller: HashMap::new(),
         requests: HashMap::new(),
-        callers: 0,
+        caller_count: 0,
         resent: 0,
         end,
     };
 
-    load.prepare();
-    load.offer()?;
-    Ok(load.summary())
+    generator.schedule_initial_actions();
+    generator.run_until_done()?;
+    Ok(generator.summary())
 }
 
-impl Load {
+impl LoadGenerator {
     /// Schedules the opening of each flow at a random time within the first second, and the first
     /// request to each service. The others follow at exponentially distributed intervals.
-    fn prepare(&mut self) {
+    fn schedule_initial_actions(&mut self) {
         let start = Instant::now();
         let services: Vec<ServiceLoad> = self.options.services.clone();
 
         for (index, service) in services.iter().enumerate() {
             for _ in 0..service.flows {
-                let caller = self.next_caller();
-                let echoes = self.draws.unit() < self.options.echoing_share;
-                let at = start + Duration::from_secs(1).mul_f64(self.draws.unit());
-                let flow = FlowCaller::new(caller, service.address, echoes, at);
+                let caller = self.next_caller_address();
+                let echoes_token = self.rng.unit() < self.options.echoing_share;
+                let at = start + Duration::from_secs(1).mul_f64(self.rng.unit());
+                let flow = FlowCaller::new(caller, service.address, echoes_token, at);
                 self.flow_by_caller.insert(caller, self.flows.len());
-                self.due.push(Reverse((at, Due::SendFlow(self.flows.len()))));
+                self.schedule.push(Reverse((at, ScheduledAction::SendFlow(self.flows.len()))));
                 self.flows.push(flow);
             }
             if service.requests_per_second > 0.0 {
-                self.due.push(Reverse((start, Due::NewRequest(index))));
+                self.schedule.push(Reverse((start, ScheduledAction::SendRequest(index))));
             }
         }
     }
 
-    fn next_caller(&mut self) -> SocketAddr {
-        let number = self.callers;
-        self.callers += 1;
-        let port = u16::try_from(number % PORTS).unwrap_or(0) + 1_024;
+    fn next_caller_address(&mut self) -> SocketAddr {
+        let number = self.caller_count;
+        self.caller_count += 1;
+        let port = u16::try_from(number % PORTS_PER_ADDRESS).unwrap_or(0) + 1_024;
 
-        SocketAddr::new(Ipv4Addr::from(FIRST_CALLER + number / PORTS).into(), port)
+        SocketAddr::new(
+            Ipv4Addr::from(FIRST_CALLER_ADDRESS + number / PORTS_PER_ADDRESS).into(),
+            port,
+        )
     }
 
-    fn offer(&mut self) -> io::Result<()> {
+    fn run_until_done(&mut self) -> io::Result<()> {
         let mut buffer = [0; BUFFER_BYTES];
 
-        while Instant::now() < self.end + TAIL + self.options.request_patience {
+        while Instant::now() < self.end + GRACE_PERIOD + self.options.request_patience {
             self.send_due();
-            if Instant::now() > self.end + TAIL
-                && self.requests.values().all(|r| r.ending.is_some())
+            if Instant::now() > self.end + GRACE_PERIOD
+                && self.requests.values().all(|r| r.result.is_some())
             {
                 break;
             }
 
-            let next = self.due.peek().map(|Reverse((at, _))| *at - Instant::now().min(*at));
-            let wait = next.unwrap_or(TAIL / 10);
+            let next = self.schedule.peek().map(|Reverse((at, _))| *at - Instant::now().min(*at));
+            let wait = next.unwrap_or(GRACE_PERIOD / 10);
             let wait = wait.clamp(Duration::from_micros(50), Duration::from_millis(20));
             self.socket.set_read_timeout(Some(wait))?;
             if let Ok((length, _)) = self.socket.recv_from(&mut buffer) {
@@ -129,15 +132,15 @@
     fn send_due(&mut self) {
         let now = Instant::now();
 
-        while let Some(Reverse((at, due))) = self.due.peek().copied() {
+        while let Some(Reverse((at, action))) = self.schedule.peek().copied() {
             if at > now {
                 return;
             }
-            self.due.pop();
-            match due {
-                Due::SendFlow(index) => self.send_flow(now, index),
-                Due::NewRequest(index) => self.new_request(now, index),
-                Due::ResendRequest(id) => self.resend_request(now, id),
+            self.schedule.pop();
+            match action {
+                ScheduledAction::SendFlow(index) => self.send_flow(now, index),
+                ScheduledAction::SendRequest(index) => self.send_request(now, index),
+                ScheduledAction::ResendRequest(id) => self.resend_request(now, id),
             }
         }
     }
@@ -148,44 +151,48 @@
         }
 
         self.send(&self.flows[index].next_packet(b"feed"));
-        let at = now + self.options.flow_pause.mul_f64(0.5 + self.draws.unit());
-        self.due.push(Reverse((at, Due::SendFlow(index))));
+        let at = now + self.options.flow_pause.mul_f64(0.5 + self.rng.unit());
+        self.schedule.push(Reverse((at, ScheduledAction::SendFlow(index))));
     }
 
-    fn new_request(&mut self, now: Instant, index: usize) {
+    fn send_request(&mut self, now: Instant, index: usize) {
         if now >= self.end {
             return;
         }
 
         let service = self.options.services[index];
-        let draft = RequestDraft {
-            id: u128::from(self.draws.word()) << 64 | u128::from(self.draws.word()),
-            caller: self.next_caller(),
+        let parameters = RequestParameters {
+            id: u128::from(self.rng.word()) << 64 | u128::from(self.rng.word()),
+            caller: self.next_caller_address(),
             service: service.address,
             deadline: SystemTime::now() + self.options.request_patience,
-            repeatable: self.draws.unit() >= self.options.once_only_share,
+            repeatable: self.rng.unit() >= self.options.once_only_share,
         };
-        let request = RequestCaller::new(draft, now);
+        let request = RequestCaller::new(parameters, now);
         self.send(&request.packet(b"request"));
-        self.due.push(Reverse((now + self.options.resend_pause, Due::ResendRequest(draft.id))));
-        self.requests.insert(draft.id, request);
+        self.schedule.push(Reverse((
+            now + self.options.resend_pause,
+            ScheduledAction::ResendRequest(parameters.id),
+        )));
+        self.requests.insert(parameters.id, request);
 
         let mean = Duration::from_secs(1).div_f64(service.requests_per_second);
-        let at = now + self.draws.exponential(mean);
-        self.due.push(Reverse((at, Due::NewRequest(index))));
+        let at = now + self.rng.exponential(mean);
+        self.schedule.push(Reverse((at, ScheduledAction::SendRequest(index))));
     }
 
     fn resend_request(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        if request.ending.is_some() || request.deadline <= SystemTime::now() {
+        if request.result.is_some() || request.deadline <= SystemTime::now() {
             return;
         }
 
         self.send(&request.packet(b"request"));
         self.resent += 1;
-        self.due.push(Reverse((now + self.options.resend_pause, Due::ResendRequest(id))));
+        self.schedule
+            .push(Reverse((now + self.options.resend_pause, ScheduledAction::ResendRequest(id))));
     }
 
     fn send(&self, envelope: &Envelope<'_>) {
@@ -219,7 +226,7 @@
         for request in self.requests.values() {
             count_request(&mut summary, request, &mut times);
         }
-        summary.take_times(times);
+        summary.set_percentiles(times);
         summary
     }
 }
@@ -227,7 +234,7 @@
 fn count_flow(summary: &mut CallerSummary, flow: &FlowCaller, end: Instant) {
     summary.flow_answers += flow.answers;
 
-    match (flow.is_open(), flow.is_broken(end), flow.echoes) {
+    match (flow.is_open(), flow.is_broken(end), flow.echoes_token) {
         (false, ..) => summary.never_opened += 1,
         (true, false, true) => summary.kept_echoing += 1,
         (true, false, false) => summary.kept_silent += 1,
@@ -238,21 +245,21 @@
 
 fn count_request(summary: &mut CallerSummary, request: &RequestCaller, times: &mut Vec<f64>) {
     summary.requests += 1;
-    summary.contradicted += u64::from(request.is_contradicted);
-    summary.foreign_answers += u64::from(request.got_foreign);
+    summary.contradicted += u64::from(request.has_contradiction);
+    summary.foreign_answers += u64::from(request.has_foreign_answer);
 
-    match request.ending {
-        Some(RequestEnding::Answered(at)) => {
+    match request.result {
+        Some(RequestResult::Answered(at)) => {
             summary.answered += 1;
             times.push((at - request.started).as_secs_f64() * 1_000.0);
         }
-        Some(RequestEnding::Refused(Outcome::NotRun)) => {
+        Some(RequestResult::Refused(Outcome::NotRun)) => {
             summary.not_run += 1;
             if !request.repeatable {
                 summary.not_run_ids.push(format!("{:032x}", request.id));
             }
         }
-        Some(RequestEnding::Refused(Outcome::InDoubt)) => summary.in_doubt += 1,
+        Some(RequestResult::Refused(Outcome::InDoubt)) => summary.in_doubt += 1,
         None => summary.untold += 1,
     }
 }
--- a/crates/valvestage-standins/src/caller/caller_summary.rs
+++ b/crates/valvestage-standins/src/caller/caller_summary.rs
@@ -46,19 +46,19 @@
 
 impl CallerSummary {
     /// Sets the percentiles from the times to the answers.
-    pub fn take_times(&mut self, mut times_ms: Vec<f64>) {
+    pub fn set_percentiles(&mut self, mut times_ms: Vec<f64>) {
         times_ms.sort_by(f64::total_cmp);
-        let at = |share: f64| {
+        let percentile = |share: f64| {
             #[allow(
                 clippy::cast_precision_loss,
                 clippy::cast_possible_truncation,
                 clippy::cast_sign_loss
             )]
-            let place = (times_ms.len() as f64 * share) as usize;
-            times_ms.get(place.min(times_ms.len().saturating_sub(1))).copied().unwrap_or(0.0)
+            let index = (times_ms.len() as f64 * share) as usize;
+            times_ms.get(index.min(times_ms.len().saturating_sub(1))).copied().unwrap_or(0.0)
         };
 
-        self.median_ms = at(0.5);
-        self.p99_ms = at(0.99);
+        self.median_ms = percentile(0.5);
+        self.p99_ms = percentile(0.99);
     }
 }
--- a/crates/valvestage-standins/src/caller/flow_caller.rs
+++ b/crates/valvestage-standins/src/caller/flow_caller.rs
@@ -8,7 +8,7 @@
 use valvestage_wire::{Envelope, Header};
 
 /// Time without an answer after which a flow counts as stalled.
-const STALLED_AFTER: Duration = Duration::from_secs(3);
+const STALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Caller of one flow: opens it, sends on it and detects when it breaks.
 #[derive(Debug, Clone)]
@@ -18,28 +18,28 @@
     /// Address of the service.
     pub service: SocketAddr,
     /// Whether the caller echoes the token that it received last.
-    pub echoes: bool,
+    pub echoes_token: bool,
     /// Number of answer packets received.
     pub answers: u64,
     token: Option<FlowToken>,
     /// Id of the backend server that answered the opening packet.
     backend: Option<[u8; 4]>,
-    last_heard: Instant,
+    last_received_at: Instant,
     is_broken: bool,
 }
 
 impl FlowCaller {
     /// Creates the caller of a flow that is not open yet.
     #[must_use]
-    pub fn new(caller: SocketAddr, service: SocketAddr, echoes: bool, now: Instant) -> Self {
+    pub fn new(caller: SocketAddr, service: SocketAddr, echoes_token: bool, now: Instant) -> Self {
         Self {
             caller,
             service,
-            echoes,
+            echoes_token,
             answers: 0,
             token: None,
             backend: None,
-            last_heard: now,
+            last_received_at: now,
             is_broken: false,
         }
     }
@@ -50,7 +50,7 @@
         let kind = if self.backend.is_some() { PacketKind::Data } else { PacketKind::Open };
         let mut header = Header::new(kind);
 
-        if self.echoes {
+        if self.echoes_token {
             header.token = self.token;
         }
         Envelope { caller: self.caller, service: self.service, header, payload }
@@ -64,18 +64,18 @@
             return;
         }
 
-        let Some(answering) = envelope.payload.first_chunk::<4>() else {
+        let Some(answering_backend) = envelope.payload.first_chunk::<4>() else {
             return;
         };
         match self.backend {
-            None => self.backend = Some(*answering),
-            Some(backend) => self.is_broken |= backend != *answering,
+            None => self.backend = Some(*answering_backend),
+            Some(backend) => self.is_broken |= backend != *answering_backend,
         }
         if let Some(token) = envelope.header.token {
             self.token = Some(token);
         }
         self.answers += 1;
-        self.last_heard = now;
+        self.last_received_at = now;
     }
 
     /// Reports whether the opening packet was answered.
@@ -87,6 +87,6 @@
     /// Reports whether the open flow was refused, moved to another backend server, or stalled.
     #[must_use]
     pub fn is_broken(&self, now: Instant) -> bool {
-        self.is_broken || (self.is_open() && now - self.last_heard > STALLED_AFTER)
+        self.is_broken || (self.is_open() && now - self.last_received_at > STALL_TIMEOUT)
     }
 }
--- a/crates/valvestage-standins/src/caller/request_caller.rs
+++ b/crates/valvestage-standins/src/caller/request_caller.rs
@@ -28,16 +28,16 @@
     /// Indexes of the answer's segments received so far.
     segments: BTreeSet<u16>,
     /// Result of the request; the first one received counts. `None` while it is open.
-    pub ending: Option<RequestEnding>,
+    pub result: Option<RequestResult>,
     /// Whether the request was both answered and refused as not run.
-    pub is_contradicted: bool,
+    pub has_contradiction: bool,
     /// Whether an answer carried the id of another request.
-    pub got_foreign: bool,
+    pub has_foreign_answer: bool,
 }
 
 /// Result of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RequestEnding {
+pub enum RequestResult {
     /// All segments of the answer had arrived at this time.
     Answered(Instant),
     /// A refusal came with this outcome.
@@ -46,7 +46,7 @@
 
 /// Parameters of a new request.
 #[derive(Debug, Clone, Copy)]
-pub struct RequestDraft {
+pub struct RequestParameters {
     /// Id of the request.
     pub id: RequestId,
     /// Address of the caller in the envelope.
@@ -62,21 +62,21 @@
 impl RequestCaller {
     /// Creates a request that is first sent at `started`.
     #[must_use]
-    pub fn new(draft: RequestDraft, started: Instant) -> Self {
-        let class = if draft.repeatable { RequestClass::Bulk } else { RequestClass::Urgent };
+    pub fn new(parameters: RequestParameters, started: Instant) -> Self {
+        let class = if parameters.repeatable { RequestClass::Bulk } else { RequestClass::Urgent };
 
         Self {
-            id: draft.id,
-            caller: draft.caller,
-            service: draft.service,
-            deadline: draft.deadline,
-            repeatable: draft.repeatable,
+            id: parameters.id,
+            caller: parameters.caller,
+            service: parameters.service,
+            deadline: parameters.deadline,
+            repeatable: parameters.repeatable,
             class,
             started,
             segments: BTreeSet::new(),
-            ending: None,
-            is_contradicted: false,
-            got_foreign: false,
+            result: None,
+            has_contradiction: false,
+            has_foreign_answer: false,
         }
     }
 
@@ -94,29 +94,29 @@
 
     /// Processes a packet received for this request.
     pub fn on_packet(&mut self, envelope: &Envelope<'_>, now: Instant) {
-        let ending = match (envelope.header.kind, envelope.header.refusal) {
+        let result = match (envelope.header.kind, envelope.header.refusal) {
             (PacketKind::Answer, _) => {
-                let place = envelope.header.segment.unwrap_or(Segment::WHOLE);
-                self.got_foreign |= envelope.payload != self.id.to_be_bytes();
-                self.segments.insert(place.index);
-                if self.segments.len() < usize::from(place.count) {
+                let position = envelope.header.segment.unwrap_or(Segment::WHOLE);
+                self.has_foreign_answer |= envelope.payload != self.id.to_be_bytes();
+                self.segments.insert(position.index);
+                if self.segments.len() < usize::from(position.count) {
                     return;
                 }
-                RequestEnding::Answered(now)
+                RequestResult::Answered(now)
             }
-            (PacketKind::Refusal, Some((outcome, _))) => RequestEnding::Refused(outcome),
+            (PacketKind::Refusal, Some((outcome, _))) => RequestResult::Refused(outcome),
             _ => return,
         };
 
         // A request in doubt may have run or not, so that any other result agrees with it. Only an
         // answer and a refusal as not run contradict each other.
-        let is_not_run = |e| e == RequestEnding::Refused(Outcome::NotRun);
-        let is_answered = |e| matches!(e, RequestEnding::Answered(_));
-        match self.ending {
-            None => self.ending = Some(ending),
+        let is_not_run = |e| e == RequestResult::Refused(Outcome::NotRun);
+        let is_answered = |e| matches!(e, RequestResult::Answered(_));
+        match self.result {
+            None => self.result = Some(result),
             Some(first) => {
-                self.is_contradicted |= (is_not_run(first) && is_answered(ending))
-                    || (is_answered(first) && is_not_run(ending));
+                self.has_contradiction |= (is_not_run(first) && is_answered(result))
+                    || (is_answered(first) && is_not_run(result));
             }
         }
     }
--- a/crates/valvestage-standins/src/fabric.rs
+++ b/crates/valvestage-standins/src/fabric.rs
@@ -5,5 +5,5 @@
 mod spray;
 
 pub use fabric_options::{FabricOptions, SprayFaults};
-pub use ready_list::{ReadyList, watch_ready};
+pub use ready_list::{ReadyList, poll_readiness};
 pub use spray::{FabricCounts, run};
--- a/crates/valvestage-standins/src/fabric/ready_list.rs
+++ b/crates/valvestage-standins/src/fabric/ready_list.rs
@@ -32,8 +32,8 @@
 }
 
 /// Polls `/readyz` of each balancer in turn and updates the list, until the flag is set.
-pub fn watch_ready(list: &ReadyList, balancers: &[(SocketAddr, SocketAddr)], stops: &AtomicBool) {
-    while !stops.load(Ordering::Relaxed) {
+pub fn poll_readiness(list: &ReadyList, balancers: &[(SocketAddr, SocketAddr)], stop: &AtomicBool) {
+    while !stop.load(Ordering::Relaxed) {
         let ready = balancers.iter().filter(|(_, admin)| is_ready(*admin).unwrap_or(false));
 
         list.set(ready.map(|(data, _)| *data).collect());
@@ -46,7 +46,7 @@
     stream.set_read_timeout(Some(CHECK_TIMEOUT))?;
     stream.write_all(b"GET /readyz HTTP/1.1\r\nHost: balancer\r\nConnection: close\r\n\r\n")?;
 
-    let mut start = [0; 12];
-    stream.read_exact(&mut start)?;
-    Ok(start.ends_with(b"200"))
+    let mut status = [0; 12];
+    stream.read_exact(&mut status)?;
+    Ok(status.ends_with(b"200"))
 }
--- a/crates/valvestage-standins/src/fabric/spray.rs
+++ b/crates/valvestage-standins/src/fabric/spray.rs
@@ -11,7 +11,7 @@
 use valvestage_wire::envelope::decode;
 
 use super::fabric_options::FabricOptions;
-use super::ready_list::{ReadyList, watch_ready};
+use super::ready_list::{ReadyList, poll_readiness};
 use crate::draws::Draws;
 
 /// Longest wait for a packet before the stop flag is checked.
@@ -28,7 +28,7 @@
     /// Packets forwarded from balancers to callers.
     pub to_callers: AtomicU64,
     /// Packets from callers that were dropped because no balancer was ready.
-    pub without_balancer: AtomicU64,
+    pub dropped_without_balancer: AtomicU64,
 }
 
 /// Socket address to which answers are sent, by the caller's address in the envelope: the source of
@@ -36,99 +36,105 @@
 type ReturnPaths = Mutex<HashMap<SocketAddr, SocketAddr>>;
 
 /// Forwards packets in both directions until the flag is set, and returns the counts.
-pub fn run(options: &FabricOptions, stops: &AtomicBool) -> io::Result<Arc<FabricCounts>> {
-    let callers = open(options.caller_address)?;
-    let balancers = open(options.balancer_address)?;
+pub fn run(options: &FabricOptions, stop: &AtomicBool) -> io::Result<Arc<FabricCounts>> {
+    let callers = open_socket(options.caller_address)?;
+    let balancers = open_socket(options.balancer_address)?;
     let counts = Arc::new(FabricCounts::default());
-    let paths = ReturnPaths::default();
+    let return_paths = ReturnPaths::default();
     let ready = ReadyList::default();
 
     thread::scope(|scope| {
-        scope.spawn(|| watch_ready(&ready, &options.balancers, stops));
-        scope.spawn(|| back(&balancers, &callers, &paths, &counts, stops));
-        forth(options, &callers, &balancers, &ready, &paths, &counts, stops);
+        scope.spawn(|| poll_readiness(&ready, &options.balancers, stop));
+        scope.spawn(|| forward_to_callers(&balancers, &callers, &return_paths, &counts, stop));
+        forward_to_balancers(options, &callers, &balancers, &ready, &return_paths, &counts, stop);
     });
     Ok(counts)
 }
 
-fn open(address: SocketAddr) -> io::Result<UdpSocket> {
+fn open_socket(address: SocketAddr) -> io::Result<UdpSocket> {
     let socket = UdpSocket::bind(address)?;
 
     socket.set_read_timeout(Some(RECEIVE_TIMEOUT))?;
     Ok(socket)
 }
 
-fn forth(
+fn forward_to_balancers(
     options: &FabricOptions,
     callers: &UdpSocket,
     balancers: &UdpSocket,
     ready: &ReadyList,
-    paths: &ReturnPaths,
+    return_paths: &ReturnPaths,
     counts: &FabricCounts,
-    stops: &AtomicBool,
+    stop: &AtomicBool,
 ) {
-    let mut draws = Draws::new(options.seed);
+    let mut rng = Draws::new(options.seed);
     let mut buffer = [0; BUFFER_BYTES];
-    let mut held: Option<Vec<u8>> = None;
+    let mut delayed_packet: Option<Vec<u8>> = None;
 
-    while !stops.load(Ordering::Relaxed) {
+    while !stop.load(Ordering::Relaxed) {
         let Ok((length, source)) = callers.recv_from(&mut buffer) else {
             continue;
         };
         let packet = &buffer[..length];
         if let Ok(envelope) = decode(packet) {
-            paths.lock().unwrap_or_else(PoisonError::into_inner).insert(envelope.caller, source);
+            return_paths
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .insert(envelope.caller, source);
         }
 
-        let list = ready.get();
-        if list.is_empty() {
-            counts.without_balancer.fetch_add(1, Ordering::Relaxed);
+        let addresses = ready.get();
+        if addresses.is_empty() {
+            counts.dropped_without_balancer.fetch_add(1, Ordering::Relaxed);
             continue;
         }
-        let pass = |packet: &[u8], draws: &mut Draws| {
+        let forward = |packet: &[u8], rng: &mut Draws| {
             counts.to_balancers.fetch_add(1, Ordering::Relaxed);
-            let _ = balancers.send_to(packet, list[draws.below(list.len())]);
+            let _ = balancers.send_to(packet, addresses[rng.below(addresses.len())]);
         };
 
-        if draws.unit() < options.faults.lost {
+        if rng.unit() < options.faults.lost {
             continue;
         }
-        if held.is_none() && draws.unit() < options.faults.reordered {
-            held = Some(packet.to_vec());
+        if delayed_packet.is_none() && rng.unit() < options.faults.reordered {
+            delayed_packet = Some(packet.to_vec());
             continue;
         }
-        pass(packet, &mut draws);
-        if draws.unit() < options.faults.doubled {
-            pass(packet, &mut draws);
+        forward(packet, &mut rng);
+        if rng.unit() < options.faults.doubled {
+            forward(packet, &mut rng);
         }
-        if let Some(late) = held.take() {
-            pass(&late, &mut draws);
+        if let Some(delayed) = delayed_packet.take() {
+            forward(&delayed, &mut rng);
         }
     }
 }
 
-fn back(
+fn forward_to_callers(
     balancers: &UdpSocket,
     callers: &UdpSocket,
-    paths: &ReturnPaths,
+    return_paths: &ReturnPaths,
     counts: &FabricCounts,
-    stops: &AtomicBool,
+    stop: &AtomicBool,
 ) {
     let mut buffer = [0; BUFFER_BYTES];
 
-    while !stops.load(Ordering::Relaxed) {
+    while !stop.load(Ordering::Relaxed) {
         let Ok((length, _)) = balancers.recv_from(&mut buffer) else {
             continue;
         };
         let Ok(envelope) = decode(&buffer[..length]) else {
             continue;
         };
-        let path =
-            paths.lock().unwrap_or_else(PoisonError::into_inner).get(&envelope.caller).copied();
+        let return_path = return_paths
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .get(&envelope.caller)
+            .copied();
 
-        if let Some(path) = path {
+        if let Some(return_path) = return_path {
             counts.to_callers.fetch_add(1, Ordering::Relaxed);
-            let _ = callers.send_to(&buffer[..length], path);
+            let _ = callers.send_to(&buffer[..length], return_path);
         }
     }
 }
--- a/crates/valvestage-standins/src/layout/addresses.rs
+++ b/crates/valvestage-standins/src/layout/addresses.rs
@@ -24,8 +24,8 @@
     /// Creates a pool on an IP address that follows from the process id and the number of the pool.
     #[must_use]
     pub fn new() -> Self {
-        static POOLS: AtomicU32 = AtomicU32::new(0);
-        let pool = POOLS.fetch_add(1, Ordering::Relaxed) % POOLS_PER_PROCESS;
+        static POOL_COUNT: AtomicU32 = AtomicU32::new(0);
+        let pool = POOL_COUNT.fetch_add(1, Ordering::Relaxed) % POOLS_PER_PROCESS;
         let number = std::process::id().wrapping_mul(POOLS_PER_PROCESS) + pool;
 
         // The last byte is never 0 or 255, and the second never 0, which excludes 127.0.0.1.
--- a/crates/valvestage-standins/src/layout/settings_files.rs
+++ b/crates/valvestage-standins/src/layout/settings_files.rs
@@ -22,12 +22,12 @@
 ) -> io::Result<Layout> {
     fs::create_dir_all(folder)?;
     let mut pool = AddressPool::new();
-    let layout = draw_layout(plan, &mut pool)?;
+    let layout = allocate_layout(plan, &mut pool)?;
 
     // Secrets derived from the seed are predictable, which is acceptable on loopback addresses.
-    let mut draws = Draws::new(seed);
+    let mut rng = Draws::new(seed);
     for name in ["peer.key", "admin.token", "operator.token"] {
-        fs::write(folder.join(name), format!("{:016x}{:016x}\n", draws.word(), draws.word()))?;
+        fs::write(folder.join(name), format!("{:016x}{:016x}\n", rng.word(), rng.word()))?;
     }
 
     for balancer in &layout.balancers {
@@ -36,7 +36,7 @@
     }
     fs::write(folder.join("operator.toml"), operator_settings(&layout, folder))?;
 
-    let deployment = draw_deployment(plan, &mut pool)?;
+    let deployment = allocate_deployment(plan, &mut pool)?;
     let text = toml::to_string_pretty(&deployment).map_err(io::Error::other)?;
     fs::write(folder.join("deployment.toml"), text)?;
 
@@ -44,7 +44,7 @@
     Ok(layout)
 }
 
-fn draw_layout(plan: &DeploymentPlan, pool: &mut AddressPool) -> io::Result<Layout> {
+fn allocate_layout(plan: &DeploymentPlan, pool: &mut AddressPool) -> io::Result<Layout> {
     let zones = plan.zones.iter().cycle();
     let balancers = (1u32..).zip(zones).take(plan.balancers);
     let balancers = balancers.map(|(id, zone)| {
@@ -67,7 +67,7 @@
     })
 }
 
-fn draw_deployment(
+fn allocate_deployment(
     plan: &DeploymentPlan,
     pool: &mut AddressPool,
 ) -> io::Result<DeploymentSettings> {
@@ -78,7 +78,7 @@
             address: pool.udp()?,
             slots: service.slots,
             connections: service.connections,
-            backends: draw_backends(plan, service, pool)?,
+            backends: allocate_backends(plan, service, pool)?,
         })
     });
 
@@ -86,7 +86,7 @@
     Ok(DeploymentSettings { name: plan.name.to_owned(), services })
 }
 
-fn draw_backends(
+fn allocate_backends(
     plan: &DeploymentPlan,
     service: &ServicePlan,
     pool: &mut AddressPool,
@@ -132,7 +132,8 @@
 
 fn operator_settings(layout: &Layout, folder: &Path) -> String {
     let folder = folder.display();
-    let admins: Vec<_> = layout.balancers.iter().map(|b| format!("\"{}\"", b.admin)).collect();
+    let admin_addresses: Vec<_> =
+        layout.balancers.iter().map(|b| format!("\"{}\"", b.admin)).collect();
 
     format!(
         "listen_address = \"{}\"\noperator_token_file = \"{folder}/operator.token\"\n\
@@ -140,6 +141,6 @@
          balancer_admin_addresses = [{}]\n",
         layout.operator,
         layout.platform,
-        admins.join(", ")
+        admin_addresses.join(", ")
     )
 }
--- a/crates/valvestage-standins/src/packets/backend_flow.rs
+++ b/crates/valvestage-standins/src/packets/backend_flow.rs
@@ -6,13 +6,13 @@
 use super::packet_request::PacketRequest;
 
 /// Largest amount of data in one packet, bytes.
-const MAX_DATA: usize = 1_200;
+const MAX_DATA_BYTES: usize = 1_200;
 
-/// Wait before the first resend; doubled for each further one, up to [`LONGEST_RESEND`].
-const FIRST_RESEND: Duration = Duration::from_millis(200);
+/// Wait before the first resend; doubled for each further one, up to [`MAX_RESEND_WAIT`].
+const INITIAL_RESEND_WAIT: Duration = Duration::from_millis(200);
 
 /// Longest wait before a resend.
-const LONGEST_RESEND: Duration = Duration::from_millis(1_600);
+const MAX_RESEND_WAIT: Duration = Duration::from_millis(1_600);
 
 /// Number of resends of an answer; after these it is sent no more.
 const MAX_RESENDS: u32 = 8;
@@ -37,7 +37,7 @@
     unacknowledged: Vec<u8>,
     resend_at: Option<Instant>,
     resends: u32,
-    work: Option<(Instant, PacketRequest)>,
+    running_request: Option<(Instant, PacketRequest)>,
 }
 
 impl BackendFlow {
@@ -56,7 +56,7 @@
             unacknowledged: Vec::new(),
             resend_at: None,
             resends: 0,
-            work: None,
+            running_request: None,
         }
     }
 
@@ -79,12 +79,12 @@
     /// out of order is ignored.
     pub fn take(&mut self, packet: &FlowPacket) -> Option<PacketRequest> {
         self.token = packet.token;
-        self.take_acknowledgement(packet.acknowledged);
+        self.apply_acknowledgement(packet.acknowledged);
         if packet.data.is_empty() || packet.sequence != self.expected {
             return None;
         }
 
-        self.expected = self.expected.wrapping_add(length_of(&packet.data));
+        self.expected = self.expected.wrapping_add(data_length(&packet.data));
         PacketRequest::decode(&packet.data)
     }
 
@@ -96,19 +96,19 @@
 
     /// Starts to run a request whose answer is ready at `due`.
     pub fn work_until(&mut self, due: Instant, request: PacketRequest) {
-        self.work = Some((due, request));
+        self.running_request = Some((due, request));
     }
 
     /// Returns the packets to send now: those of an answer that has become ready, or the resend of
     /// one that the caller has not acknowledged in time.
     pub fn due_packets(&mut self, now: Instant) -> Vec<FlowPacket> {
-        if let Some((due, request)) = self.work
+        if let Some((due, request)) = self.running_request
             && due <= now
         {
-            self.work = None;
+            self.running_request = None;
             self.unacknowledged = request.answer();
             self.resends = 0;
-            self.resend_at = Some(now + FIRST_RESEND);
+            self.resend_at = Some(now + INITIAL_RESEND_WAIT);
             return self.answer_packets();
         }
         if self.resend_at.is_none_or(|at| at > now) || self.resends >= MAX_RESENDS {
@@ -116,8 +116,8 @@
         }
 
         self.resends += 1;
-        let wait = FIRST_RESEND.saturating_mul(1 << self.resends.min(MAX_RESENDS));
-        self.resend_at = Some(now + wait.min(LONGEST_RESEND));
+        let wait = INITIAL_RESEND_WAIT.saturating_mul(1 << self.resends.min(MAX_RESENDS));
+        self.resend_at = Some(now + wait.min(MAX_RESEND_WAIT));
         self.answer_packets()
     }
 
@@ -125,14 +125,14 @@
         let mut sequence = self.acknowledged;
         let mut packets = Vec::new();
 
-        for data in self.unacknowledged.chunks(MAX_DATA) {
+        for data in self.unacknowledged.chunks(MAX_DATA_BYTES) {
             packets.push(self.packet(flags::ACK, sequence, data.to_vec()));
-            sequence = sequence.wrapping_add(length_of(data));
+            sequence = sequence.wrapping_add(data_length(data));
         }
         packets
     }
 
-    fn take_acknowledgement(&mut self, until: u32) {
+    fn apply_acknowledgement(&mut self, until: u32) {
         let bytes = until.wrapping_sub(self.acknowledged) as usize;
         if bytes == 0 || bytes > self.unacknowledged.len() {
             return;
@@ -159,6 +159,6 @@
 }
 
 /// Returns the length of a packet's data, which is at most 1,200 bytes.
-fn length_of(data: &[u8]) -> u32 {
+fn data_length(data: &[u8]) -> u32 {
     u32::try_from(data.len()).unwrap_or(u32::MAX)
 }
--- a/crates/valvestage-standins/src/packets/caller_flow.rs
+++ b/crates/valvestage-standins/src/packets/caller_flow.rs
@@ -8,26 +8,26 @@
 use super::packet_request::PacketRequest;
 
 /// Times after the opening packet at which copies of it are sent.
-const COPIES_AFTER: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(600)];
+const OPENING_COPY_DELAYS: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(600)];
 
 /// Time after which a flow without an answer to its opening packet has failed to open.
-const OPEN_WITHIN: Duration = Duration::from_millis(1_400);
+const OPEN_TIMEOUT: Duration = Duration::from_millis(1_400);
 
-/// Wait before the first resend; doubled for each further one, up to [`LONGEST_RESEND`].
-const FIRST_RESEND: Duration = Duration::from_millis(200);
+/// Wait before the first resend; doubled for each further one, up to [`MAX_RESEND_WAIT`].
+const INITIAL_RESEND_WAIT: Duration = Duration::from_millis(200);
 
 /// Longest wait before a resend.
-const LONGEST_RESEND: Duration = Duration::from_millis(1_600);
+const MAX_RESEND_WAIT: Duration = Duration::from_millis(1_600);
 
 /// State of a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum FlowStage {
+enum FlowState {
     /// The opening packet and `copies` copies of it have been sent.
     Opening { sent_at: Instant, copies: u32 },
     /// A request has been sent and its answer is not complete.
-    Asking { resend_at: Instant, resends: u32 },
+    AwaitingAnswer { resend_at: Instant, resends: u32 },
     /// The answer to the last request is complete.
-    Resting,
+    Idle,
 }
 
 /// Event that a packet or a timer has caused on a flow.
@@ -54,11 +54,11 @@
 }
 
 impl FlowStep {
-    fn nothing() -> Self {
-        Self::send(Vec::new())
+    fn empty() -> Self {
+        Self::with_packets(Vec::new())
     }
 
-    fn send(packets: Vec<FlowPacket>) -> Self {
+    fn with_packets(packets: Vec<FlowPacket>) -> Self {
         Self { packets, progress: FlowProgress::None }
     }
 }
@@ -68,7 +68,7 @@
 pub struct CallerFlow {
     /// Addresses of the caller and the service.
     pub flow: FlowAddresses,
-    stage: FlowStage,
+    state: FlowState,
     request: PacketRequest,
     token: u32,
     /// Sequence number of the next byte to send.
@@ -85,7 +85,7 @@
     pub fn new(flow: FlowAddresses, sequence: u32, request: PacketRequest, now: Instant) -> Self {
         Self {
             flow,
-            stage: FlowStage::Opening { sent_at: now, copies: 0 },
+            state: FlowState::Opening { sent_at: now, copies: 0 },
             request,
             token: 0,
             sequence,
@@ -97,7 +97,7 @@
     /// Reports whether a backend server has answered the opening packet.
     #[must_use]
     pub fn is_open(&self) -> bool {
-        !matches!(self.stage, FlowStage::Opening { .. })
+        !matches!(self.state, FlowState::Opening { .. })
     }
 
     /// Returns the opening packet, or a copy of it; `copies` is the number of copies sent before.
@@ -113,7 +113,7 @@
     pub fn ask(&mut self, request: PacketRequest, now: Instant) -> FlowPacket {
         self.request = request;
         self.received.clear();
-        self.stage = FlowStage::Asking { resend_at: now + FIRST_RESEND, resends: 0 };
+        self.state = FlowState::AwaitingAnswer { resend_at: now + INITIAL_RESEND_WAIT, resends: 0 };
 
         self.packet(flags::ACK, request.encode())
     }
@@ -121,41 +121,43 @@
     /// Processes a packet from the backend server, and returns the packets to send.
     pub fn take(&mut self, packet: &FlowPacket, now: Instant) -> FlowStep {
         if packet.has(flags::SYN) {
-            return FlowStep::send(self.take_opening_answer(packet, now));
+            return FlowStep::with_packets(self.handle_opening_answer(packet, now));
         }
         if !self.is_open() || packet.data.is_empty() {
-            return FlowStep::nothing();
+            return FlowStep::empty();
         }
 
         self.token = packet.token;
         if packet.sequence == self.expected {
-            self.expected = self.expected.wrapping_add(length_of(&packet.data));
+            self.expected = self.expected.wrapping_add(data_length(&packet.data));
             self.received.extend_from_slice(&packet.data);
         }
-        let progress = self.check_answer();
+        let progress = self.finish_answer();
         FlowStep { packets: vec![self.packet(flags::ACK, Vec::new())], progress }
     }
 
     /// Returns the packets whose resend is due, or the event that the flow failed to open.
     pub fn on_time(&mut self, now: Instant) -> FlowStep {
-        match self.stage {
-            FlowStage::Opening { sent_at, .. } if now >= sent_at + OPEN_WITHIN => {
+        match self.state {
+            FlowState::Opening { sent_at, .. } if now >= sent_at + OPEN_TIMEOUT => {
                 FlowStep { packets: Vec::new(), progress: FlowProgress::Unopened }
             }
-            FlowStage::Opening { sent_at, copies } => {
-                let due = COPIES_AFTER.get(copies as usize).map(|after| sent_at + *after);
+            FlowState::Opening { sent_at, copies } => {
+                let due = OPENING_COPY_DELAYS.get(copies as usize).map(|delay| sent_at + *delay);
                 if due.is_none_or(|due| due > now) {
-                    return FlowStep::nothing();
+                    return FlowStep::empty();
                 }
-                self.stage = FlowStage::Opening { sent_at, copies: copies + 1 };
-                FlowStep::send(vec![self.opening_packet(copies + 1)])
+                self.state = FlowState::Opening { sent_at, copies: copies + 1 };
+                FlowStep::with_packets(vec![self.opening_packet(copies + 1)])
             }
-            FlowStage::Asking { resend_at, resends } if resend_at <= now => {
-                let wait = FIRST_RESEND.saturating_mul(2 << resends.min(8)).min(LONGEST_RESEND);
-                self.stage = FlowStage::Asking { resend_at: now + wait, resends: resends + 1 };
-                FlowStep::send(vec![self.packet(flags::ACK, self.request.encode())])
+            FlowState::AwaitingAnswer { resend_at, resends } if resend_at <= now => {
+                let wait =
+                    INITIAL_RESEND_WAIT.saturating_mul(2 << resends.min(8)).min(MAX_RESEND_WAIT);
+                self.state =
+                    FlowState::AwaitingAnswer { resend_at: now + wait, resends: resends + 1 };
+                FlowStep::with_packets(vec![self.packet(flags::ACK, self.request.encode())])
             }
-            _ => FlowStep::nothing(),
+            _ => FlowStep::empty(),
         }
     }
 
@@ -167,7 +169,7 @@
 
     /// Opens the flow at the backend server that answers the opening packet first. An answer of
     /// another backend server is ignored.
-    fn take_opening_answer(&mut self, packet: &FlowPacket, now: Instant) -> Vec<FlowPacket> {
+    fn handle_opening_answer(&mut self, packet: &FlowPacket, now: Instant) -> Vec<FlowPacket> {
         if self.is_open() {
             return Vec::new();
         }
@@ -178,14 +180,14 @@
         vec![self.ask(self.request, now)]
     }
 
-    fn check_answer(&mut self) -> FlowProgress {
-        let is_asking = matches!(self.stage, FlowStage::Asking { .. });
-        if !is_asking || self.received.len() < self.request.answer_bytes as usize {
+    fn finish_answer(&mut self) -> FlowProgress {
+        let is_awaiting_answer = matches!(self.state, FlowState::AwaitingAnswer { .. });
+        if !is_awaiting_answer || self.received.len() < self.request.answer_bytes as usize {
             return FlowProgress::None;
         }
 
-        self.stage = FlowStage::Resting;
-        self.sequence = self.sequence.wrapping_add(length_of(&self.request.encode()));
+        self.state = FlowState::Idle;
+        self.sequence = self.sequence.wrapping_add(data_length(&self.request.encode()));
         FlowProgress::Answered { whole: self.received == self.request.answer() }
     }
 
@@ -203,6 +205,6 @@
 }
 
 /// Returns the length of a packet's data, which is at most 1,200 bytes.
-fn length_of(data: &[u8]) -> u32 {
+fn data_length(data: &[u8]) -> u32 {
     u32::try_from(data.len()).unwrap_or(u32::MAX)
 }
--- a/crates/valvestage-standins/src/packets/flow_packet.rs
+++ b/crates/valvestage-standins/src/packets/flow_packet.rs
@@ -23,13 +23,13 @@
 }
 
 /// Offset of the token, the only field that balancers may change.
-const TOKEN: usize = 6;
+const TOKEN_OFFSET: usize = 6;
 
 /// Offset of the checksum.
-const SUM: usize = 32;
+const CHECKSUM_OFFSET: usize = 32;
 
 /// Key of the checksum; its value is arbitrary.
-const SUM_KEY: u64 = 0x736f_616b;
+const CHECKSUM_KEY: u64 = 0x736f_616b;
 
 /// Packet from one end of a flow to the other.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -58,7 +58,7 @@
         let mut bytes = vec![0; HEAD_BYTES];
 
         bytes[0] = self.flags;
-        bytes[TOKEN..10].copy_from_slice(&self.token.to_le_bytes());
+        bytes[TOKEN_OFFSET..10].copy_from_slice(&self.token.to_le_bytes());
         let length = u16::try_from(self.data.len()).unwrap_or(u16::MAX);
         bytes[10..12].copy_from_slice(&length.to_le_bytes());
         bytes[12..16].copy_from_slice(&self.sequence.to_le_bytes());
@@ -68,8 +68,8 @@
         bytes[26..30].copy_from_slice(&u32::from(*self.destination.ip()).to_le_bytes());
         bytes[30..32].copy_from_slice(&self.destination.port().to_le_bytes());
         bytes.extend_from_slice(&self.data);
-        let sum = sum_of(&bytes);
-        bytes[SUM..HEAD_BYTES].copy_from_slice(&sum.to_le_bytes());
+        let checksum = compute_checksum(&bytes);
+        bytes[CHECKSUM_OFFSET..HEAD_BYTES].copy_from_slice(&checksum.to_le_bytes());
         bytes
     }
 
@@ -77,16 +77,18 @@
     /// header.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<Self> {
-        let word = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?));
-        let port = |at: usize| Some(u16::from_le_bytes(bytes.get(at..at + 2)?.try_into().ok()?));
+        let read_u32 =
+            |at: usize| Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?));
+        let read_u16 =
+            |at: usize| Some(u16::from_le_bytes(bytes.get(at..at + 2)?.try_into().ok()?));
 
         Some(Self {
             flags: *bytes.first()?,
-            token: word(TOKEN)?,
-            sequence: word(12)?,
-            acknowledged: word(16)?,
-            source: SocketAddrV4::new(Ipv4Addr::from(word(22)?), port(20)?),
-            destination: SocketAddrV4::new(Ipv4Addr::from(word(26)?), port(30)?),
+            token: read_u32(TOKEN_OFFSET)?,
+            sequence: read_u32(12)?,
+            acknowledged: read_u32(16)?,
+            source: SocketAddrV4::new(Ipv4Addr::from(read_u32(22)?), read_u16(20)?),
+            destination: SocketAddrV4::new(Ipv4Addr::from(read_u32(26)?), read_u16(30)?),
             data: bytes.get(HEAD_BYTES..)?.to_vec(),
         })
     }
@@ -95,14 +97,18 @@
     /// the flow wrote them.
     #[must_use]
     pub fn is_genuine(bytes: &[u8]) -> bool {
-        bytes.get(SUM..HEAD_BYTES).is_some_and(|sum| sum == sum_of(bytes).to_le_bytes())
+        bytes
+            .get(CHECKSUM_OFFSET..HEAD_BYTES)
+            .is_some_and(|checksum| checksum == compute_checksum(bytes).to_le_bytes())
     }
 
     /// Reports whether the bytes are a reset that a balancer wrote: balancers can't compute the
     /// checksum and leave it 0.
     #[must_use]
     pub fn is_from_balancer(bytes: &[u8]) -> bool {
-        bytes.len() == HEAD_BYTES && bytes[0] == flags::RST && bytes[SUM..HEAD_BYTES] == [0; 4]
+        bytes.len() == HEAD_BYTES
+            && bytes[0] == flags::RST
+            && bytes[CHECKSUM_OFFSET..HEAD_BYTES] == [0; 4]
     }
 
     /// Reports whether a bit from [`flags`] is set.
@@ -120,10 +126,10 @@
 
 /// Returns the checksum over the flags, all header fields after the token, and the data. Bytes 1 to
 /// 9, which end with the token, are left out.
-fn sum_of(bytes: &[u8]) -> u32 {
-    let mut hasher = SipHasher13::new_with_keys(SUM_KEY, 0);
+fn compute_checksum(bytes: &[u8]) -> u32 {
+    let mut hasher = SipHasher13::new_with_keys(CHECKSUM_KEY, 0);
     hasher.write(&bytes[..1]);
-    hasher.write(&bytes[10..SUM]);
+    hasher.write(&bytes[10..CHECKSUM_OFFSET]);
     hasher.write(&bytes[HEAD_BYTES..]);
 
     // The upper half of the hash serves as the 32-bit checksum.
--- a/crates/valvestage-standins/src/packets/socket_set.rs
+++ b/crates/valvestage-standins/src/packets/socket_set.rs
@@ -8,7 +8,7 @@
 use mio::{Events, Interest, Poll, Token};
 
 /// Size of the receive buffer; no datagram is longer.
-const MAX_BYTES: usize = 2_048;
+const MAX_DATAGRAM_BYTES: usize = 2_048;
 
 /// UDP sockets, numbered in the order of their addresses.
 pub struct SocketSet {
@@ -52,22 +52,22 @@
 
     /// Waits until a socket is readable or the time has passed, and returns all datagrams that have
     /// arrived.
-    pub fn receive(&mut self, wait: Duration) -> io::Result<Vec<Datagram>> {
-        match self.poll.poll(&mut self.events, Some(wait)) {
+    pub fn receive(&mut self, timeout: Duration) -> io::Result<Vec<Datagram>> {
+        match self.poll.poll(&mut self.events, Some(timeout)) {
             Err(error) if error.kind() != io::ErrorKind::Interrupted => return Err(error),
             _ => {}
         }
 
-        let ready: Vec<usize> = self.events.iter().map(|event| event.token().0).collect();
+        let readable: Vec<usize> = self.events.iter().map(|event| event.token().0).collect();
         let mut datagrams = Vec::new();
-        for socket in ready {
-            self.read_all(socket, &mut datagrams);
+        for socket in readable {
+            self.receive_all(socket, &mut datagrams);
         }
         Ok(datagrams)
     }
 
-    fn read_all(&self, socket: usize, datagrams: &mut Vec<Datagram>) {
-        let mut bytes = [0; MAX_BYTES];
+    fn receive_all(&self, socket: usize, datagrams: &mut Vec<Datagram>) {
+        let mut bytes = [0; MAX_DATAGRAM_BYTES];
 
         // An error of an earlier send may be reported by this read; the next one continues.
         loop {
--- a/crates/valvestage-standins/src/platform.rs
+++ b/crates/valvestage-standins/src/platform.rs
@@ -7,4 +7,4 @@
 
 pub use faults::Faults;
 pub use server::{PlatformStandin, start};
-pub use store::{ObjectStore, WriteRefusal};
+pub use store::{ObjectStore, WriteError};
--- a/crates/valvestage-standins/src/platform/server.rs
+++ b/crates/valvestage-standins/src/platform/server.rs
@@ -20,13 +20,13 @@
 use valvestage_platform::objects::kind_of;
 
 use super::faults::Faults;
-use super::store::{ObjectStore, WriteRefusal};
+use super::store::{ObjectStore, WriteError};
 
 /// Largest object value; request bodies may have twice this size.
 const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// Page size of lists, in objects, unless the faults set another.
-const PAGE: usize = 500;
+const DEFAULT_PAGE_SIZE: usize = 500;
 
 /// Longest time that a watch may ask to wait for a change, milliseconds.
 const MAX_WAIT_MS: u64 = 30_000;
@@ -41,7 +41,7 @@
 struct Inner {
     store: Mutex<ObjectStore>,
     faults: Mutex<Faults>,
-    written: Notify,
+    write_notify: Notify,
 }
 
 impl PlatformStandin {
@@ -67,21 +67,21 @@
             let _ = store.create(kind, name, value);
         }
         drop(store);
-        self.inner.written.notify_waiters();
+        self.inner.write_notify.notify_waiters();
     }
 
     /// Deletes an object of any kind, if there is one.
     pub fn delete_object(&self, kind: &str, name: &str) {
         self.store().delete(kind, name);
 
-        self.inner.written.notify_waiters();
+        self.inner.write_notify.notify_waiters();
     }
 
     /// Drops the history of changes, so that watches from an older revision are answered with 410.
     pub fn forget_history(&self) {
         self.store().forget_history();
 
-        self.inner.written.notify_waiters();
+        self.inner.write_notify.notify_waiters();
     }
 
     /// Restores the state before the last `lost_changes` changes and starts the next era of the
@@ -92,7 +92,7 @@
         store.restore(revision);
         drop(store);
 
-        self.inner.written.notify_waiters();
+        self.inner.write_notify.notify_waiters();
     }
 
     /// Replaces the faults that are injected.
@@ -109,7 +109,7 @@
     }
 
     /// Waits for the injected delay. Returns `None` if the call has to fail.
-    async fn admit(&self) -> Option<()> {
+    async fn apply_faults(&self) -> Option<()> {
         let faults = *self.faults();
         if faults.delay_ms > 0 {
             sleep(Duration::from_millis(faults.delay_ms)).await;
@@ -120,13 +120,13 @@
 
     /// Answers a write. A write that took effect is answered with 503 while the faults ask for lost
     /// answers.
-    fn answer_write(&self, result: Result<WireObject, WriteRefusal>) -> HttpResponse {
+    fn answer_write(&self, result: Result<WireObject, WriteError>) -> HttpResponse {
         let object = match result {
             Ok(object) => object,
-            Err(WriteRefusal::Missing) => return HttpResponse::NotFound().finish(),
-            Err(WriteRefusal::Conflict(object)) => return HttpResponse::Conflict().json(object),
+            Err(WriteError::Missing) => return HttpResponse::NotFound().finish(),
+            Err(WriteError::Conflict(object)) => return HttpResponse::Conflict().json(object),
         };
-        self.inner.written.notify_waiters();
+        self.inner.write_notify.notify_waiters();
 
         let mut faults = self.faults();
         if faults.lose_answers > 0 {
@@ -145,7 +145,7 @@
 
     let server = HttpServer::new(move || {
         App::new()
-            .wrap(from_fn(name_era))
+            .wrap(from_fn(add_era_header))
             .app_data(data.clone())
             .app_data(PayloadConfig::new(2 * MAX_VALUE_BYTES))
             .app_data(JsonConfig::default().limit(2 * MAX_VALUE_BYTES))
@@ -164,7 +164,7 @@
 }
 
 /// Adds the store's era to each answer, so that clients notice that the store was restored.
-async fn name_era(
+async fn add_era_header(
     request: ServiceRequest,
     next: Next<impl MessageBody>,
 ) -> Result<ServiceResponse<impl MessageBody>, actix_web::Error> {
@@ -194,15 +194,15 @@
     if let Some(after) = query.watch {
         return watch(&standin, &kind, after, query.wait_ms.min(MAX_WAIT_MS)).await;
     }
-    if standin.admit().await.is_none() {
+    if standin.apply_faults().await.is_none() {
         return unavailable();
     }
 
-    let page = match standin.faults().page {
-        0 => PAGE,
-        page => page,
+    let page_size = match standin.faults().page {
+        0 => DEFAULT_PAGE_SIZE,
+        page_size => page_size,
     };
-    HttpResponse::Ok().json(standin.store().list(&kind, query.after.as_deref(), page))
+    HttpResponse::Ok().json(standin.store().list(&kind, query.after.as_deref(), page_size))
 }
 
 async fn watch(
@@ -214,13 +214,13 @@
     let deadline = Instant::now() + Duration::from_millis(wait_ms);
 
     loop {
-        if standin.admit().await.is_none() {
+        if standin.apply_faults().await.is_none() {
             return unavailable();
         }
 
         // The notification is created before the store is read: a write between the two would
         // otherwise be missed.
-        let written = standin.inner.written.notified();
+        let next_write = standin.inner.write_notify.notified();
         let lag = standin.faults().watch_lag;
         let Some(page) = standin.store().changes(kind, after, lag) else {
             return HttpResponse::Gone().finish();
@@ -228,12 +228,12 @@
         if !page.events.is_empty() || Instant::now() >= deadline {
             return HttpResponse::Ok().json(page);
         }
-        let _ = timeout_at(deadline, written).await;
+        let _ = timeout_at(deadline, next_write).await;
     }
 }
 
 async fn read(standin: Data<PlatformStandin>, path: Path<(String, String)>) -> HttpResponse {
-    if standin.admit().await.is_none() {
+    if standin.apply_faults().await.is_none() {
         return unavailable();
     }
 
@@ -248,7 +248,7 @@
     kind: Path<String>,
     object: Json<WireObject>,
 ) -> HttpResponse {
-    if standin.admit().await.is_none() {
+    if standin.apply_faults().await.is_none() {
         return unavailable();
     }
 
@@ -262,7 +262,7 @@
     path: Path<(String, String)>,
     object: Json<WireObject>,
 ) -> HttpResponse {
-    if standin.admit().await.is_none() {
+    if standin.apply_faults().await.is_none() {
         return unavailable();
     }
 
@@ -273,12 +273,12 @@
 }
 
 async fn remove(standin: Data<PlatformStandin>, path: Path<(String, String)>) -> HttpResponse {
-    if standin.admit().await.is_none() {
+    if standin.apply_faults().await.is_none() {
         return unavailable();
     }
 
     let removed = standin.store().delete(&path.0, &path.1);
-    standin.answer_write(removed.ok_or(WriteRefusal::Missing))
+    standin.answer_write(removed.ok_or(WriteError::Missing))
 }
 
 async fn set_faults(standin: Data<PlatformStandin>, faults: Json<Faults>) -> HttpResponse {
--- a/crates/valvestage-standins/src/platform/store.rs
+++ b/crates/valvestage-standins/src/platform/store.rs
@@ -9,7 +9,7 @@
 
 /// Reason why a write had no effect.
 #[derive(Debug, Clone, PartialEq)]
-pub enum WriteRefusal {
+pub enum WriteError {
     /// There is no such object.
     Missing,
     /// The object exists already, or has another revision than expected. Carries the object.
@@ -27,7 +27,7 @@
     /// `restore`, but watches do not see them.
     history: Vec<(StoreRevision, String, WireEvent)>,
     /// Last compacted revision: a watch can't start before it.
-    forgotten: StoreRevision,
+    compacted_revision: StoreRevision,
 }
 
 impl ObjectStore {
@@ -43,12 +43,12 @@
         kind: &str,
         name: &str,
         value: Value,
-    ) -> Result<WireObject, WriteRefusal> {
-        if let Some(known) = self.read(kind, name) {
-            return Err(WriteRefusal::Conflict(Box::new(known.clone())));
+    ) -> Result<WireObject, WriteError> {
+        if let Some(existing) = self.read(kind, name) {
+            return Err(WriteError::Conflict(Box::new(existing.clone())));
         }
 
-        Ok(self.store(kind, name, value))
+        Ok(self.write(kind, name, value))
     }
 
     /// Replaces the value of an object. If an expected revision is given, the object has to be at
@@ -59,16 +59,16 @@
         name: &str,
         expected: Option<StoreRevision>,
         value: Value,
-    ) -> Result<WireObject, WriteRefusal> {
-        let known = self.read(kind, name).ok_or(WriteRefusal::Missing)?;
-        if expected.is_some_and(|expected| expected != known.meta.revision) {
-            return Err(WriteRefusal::Conflict(Box::new(known.clone())));
+    ) -> Result<WireObject, WriteError> {
+        let existing = self.read(kind, name).ok_or(WriteError::Missing)?;
+        if expected.is_some_and(|expected| expected != existing.meta.revision) {
+            return Err(WriteError::Conflict(Box::new(existing.clone())));
         }
-        if known.spec == value {
-            return Ok(known.clone());
+        if existing.spec == value {
+            return Ok(existing.clone());
         }
 
-        Ok(self.store(kind, name, value))
+        Ok(self.write(kind, name, value))
     }
 
     /// Deletes an object and returns it with the revision of the deletion.
@@ -82,7 +82,7 @@
         Some(object)
     }
 
-    fn store(&mut self, kind: &str, name: &str, value: Value) -> WireObject {
+    fn write(&mut self, kind: &str, name: &str, value: Value) -> WireObject {
         self.revision += 1;
         let meta = ObjectMeta { name: name.to_owned(), revision: self.revision };
         let object = WireObject { meta, spec: value, status: Value::Null };
@@ -95,31 +95,33 @@
 
     /// Returns a page of a kind's objects by name, from the first one after the name `after`.
     #[must_use]
-    pub fn list(&self, kind: &str, after: Option<&str>, page: usize) -> ListPage {
+    pub fn list(&self, kind: &str, after: Option<&str>, page_size: usize) -> ListPage {
         let start = match after {
             Some(name) => Bound::Excluded((kind.to_owned(), name.to_owned())),
             None => Bound::Included((kind.to_owned(), String::new())),
         };
-        let of_kind = self.objects.range((start, Bound::Unbounded));
-        let mut of_kind = of_kind.take_while(|((other, _), _)| other == kind);
+        let objects_of_kind = self.objects.range((start, Bound::Unbounded));
+        let mut objects_of_kind =
+            objects_of_kind.take_while(|((object_kind, _), _)| object_kind == kind);
 
-        let items = of_kind.by_ref().take(page).map(|(_, object)| object.clone()).collect();
-        ListPage { items, more: of_kind.next().is_some(), revision: self.revision }
+        let items =
+            objects_of_kind.by_ref().take(page_size).map(|(_, object)| object.clone()).collect();
+        ListPage { items, more: objects_of_kind.next().is_some(), revision: self.revision }
     }
 
     /// Returns a kind's changes after a revision, without those of the last `lag` revisions.
     /// Returns `None` if the revision is compacted or not reached yet.
     #[must_use]
     pub fn changes(&self, kind: &str, after: StoreRevision, lag: u64) -> Option<WatchPage> {
-        if after < self.forgotten || after > self.revision {
+        if after < self.compacted_revision || after > self.revision {
             return None;
         }
 
         let until = self.revision.saturating_sub(lag);
-        let is_asked = |(revision, other, _): &&(StoreRevision, String, WireEvent)| {
-            *revision > after && *revision <= until && other == kind
+        let is_selected = |(revision, object_kind, _): &&(StoreRevision, String, WireEvent)| {
+            *revision > after && *revision <= until && object_kind == kind
         };
-        let events = self.history.iter().filter(is_asked).map(|(_, _, event)| event.clone());
+        let events = self.history.iter().filter(is_selected).map(|(_, _, event)| event.clone());
         Some(WatchPage { events: events.collect(), revision: until.max(after) })
     }
 
@@ -138,7 +140,7 @@
     /// Restores the objects and the history of a revision, like a store that is restored from a
     /// backup. Revisions after it are assigned again, in the next era.
     pub fn restore(&mut self, revision: StoreRevision) {
-        let revision = revision.clamp(self.forgotten, self.revision);
+        let revision = revision.clamp(self.compacted_revision, self.revision);
 
         self.era += 1;
         self.revision = revision;
@@ -156,6 +158,6 @@
 
     /// Compacts all changes so far: watches from an older revision fail.
     pub fn forget_history(&mut self) {
-        self.forgotten = self.revision;
+        self.compacted_revision = self.revision;
     }
 }
--- a/crates/valvestage-standins/tests/addresses.rs
+++ b/crates/valvestage-standins/tests/addresses.rs
@@ -6,7 +6,7 @@
 use valvestage_standins::layout::AddressPool;
 
 #[test]
-fn ports_that_a_pool_has_released_are_not_taken_by_other_pools_or_outgoing_sockets() {
+fn released_ports_are_not_taken_by_other_pools_or_outgoing_sockets() {
     let mut first = AddressPool::new();
     let released = first.udp().unwrap();
     drop(first);
@@ -19,6 +19,6 @@
 
     assert!(released.ip().is_loopback());
     assert!(others.iter().all(|other| other.ip() != released.ip()));
-    assert!(outgoing.iter().all(|o| o.local_addr().unwrap().ip() != released.ip()));
+    assert!(outgoing.iter().all(|socket| socket.local_addr().unwrap().ip() != released.ip()));
     UdpSocket::bind(released).unwrap();
 }
--- a/crates/valvestage-standins/tests/packets.rs
+++ b/crates/valvestage-standins/tests/packets.rs
@@ -6,7 +6,7 @@
 use valvestage_standins::packets::flow_packet::{FlowPacket, flags};
 use valvestage_standins::packets::packet_request::PacketRequest;
 
-fn sample() -> FlowPacket {
+fn sample_packet() -> FlowPacket {
     FlowPacket {
         flags: flags::ACK,
         token: 7,
@@ -19,16 +19,16 @@
 }
 
 #[test]
-fn a_packet_reads_as_it_was_written() {
-    let bytes = sample().encode();
+fn decoding_returns_the_encoded_packet() {
+    let bytes = sample_packet().encode();
 
-    assert_eq!(FlowPacket::decode(&bytes), Some(sample()));
+    assert_eq!(FlowPacket::decode(&bytes), Some(sample_packet()));
     assert!(FlowPacket::is_genuine(&bytes));
 }
 
 #[test]
-fn a_balancer_reads_the_same_and_changes_the_token_only() {
-    let bytes = sample().encode();
+fn checksum_stays_valid_when_a_balancer_changes_the_token() {
+    let bytes = sample_packet().encode();
     let read = packet::decode(&bytes).unwrap();
     assert_eq!((read.sequence, read.acknowledged, read.token), (1_001, 501, 7));
 
@@ -40,8 +40,8 @@
 }
 
 #[test]
-fn any_other_change_shows() {
-    let bytes = sample().encode();
+fn checksum_detects_changes_outside_the_token() {
+    let bytes = sample_packet().encode();
 
     for at in (0..bytes.len()).filter(|at| !(1..10).contains(at)) {
         let mut changed = bytes.clone();
