--- a/crates/valvestage-standins/src/layout/addresses.rs
+++ b/crates/valvestage-standins/src/layout/addresses.rs
@@ -16,8 +16,8 @@
 #[derive(Debug)]
 pub struct AddressPool {
     ip: IpAddr,
-    udp: Vec<UdpSocket>,
-    tcp: Vec<TcpListener>,
+    udp_sockets: Vec<UdpSocket>,
+    tcp_listeners: Vec<TcpListener>,
 }
 
 impl AddressPool {
@@ -31,24 +31,24 @@
         // The last byte is never 0 or 255, and the second never 0, which excludes 127.0.0.1.
         let [_, high, middle, low] = number.to_be_bytes();
         let ip = Ipv4Addr::new(127, 1 + high % 254, middle, 1 + low % 254);
-        Self { ip: ip.into(), udp: Vec::new(), tcp: Vec::new() }
+        Self { ip: ip.into(), udp_sockets: Vec::new(), tcp_listeners: Vec::new() }
     }
 
     /// Allocates a free UDP address.
-    pub fn udp(&mut self) -> io::Result<SocketAddr> {
+    pub fn allocate_udp(&mut self) -> io::Result<SocketAddr> {
         let socket = UdpSocket::bind((self.ip, 0))?;
         let address = socket.local_addr()?;
 
-        self.udp.push(socket);
+        self.udp_sockets.push(socket);
         Ok(address)
     }
 
     /// Allocates a free TCP address.
-    pub fn tcp(&mut self) -> io::Result<SocketAddr> {
+    pub fn allocate_tcp(&mut self) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind((self.ip, 0))?;
         let address = listener.local_addr()?;
 
-        self.tcp.push(listener);
+        self.tcp_listeners.push(listener);
         Ok(address)
     }
 }
--- a/crates/valvestage-standins/src/layout/settings_files.rs
+++ b/crates/valvestage-standins/src/layout/settings_files.rs
@@ -51,18 +51,18 @@
         Ok(BalancerLayout {
             id,
             zone: (*zone).to_owned(),
-            data: pool.udp()?,
-            peer: pool.tcp()?,
-            admin: pool.tcp()?,
+            data: pool.allocate_udp()?,
+            peer: pool.allocate_tcp()?,
+            admin: pool.allocate_tcp()?,
         })
     });
 
     let balancers = balancers.collect::<io::Result<Vec<_>>>()?;
     Ok(Layout {
-        fabric_callers: pool.udp()?,
-        fabric_balancers: pool.udp()?,
-        platform: pool.tcp()?,
-        operator: pool.tcp()?,
+        fabric_callers: pool.allocate_udp()?,
+        fabric_balancers: pool.allocate_udp()?,
+        platform: pool.allocate_tcp()?,
+        operator: pool.allocate_tcp()?,
         balancers,
     })
 }
@@ -75,7 +75,7 @@
         Ok(ServiceSettings {
             id,
             name: service.name.to_owned(),
-            address: pool.udp()?,
+            address: pool.allocate_udp()?,
             slots: service.slots,
             connections: service.connections,
             backends: allocate_backends(plan, service, pool)?,
@@ -99,7 +99,7 @@
             Ok(BackendSettings {
                 name: format!("{}-{number:02}", service.name),
                 zone: (*zone).to_owned(),
-                address: pool.udp()?,
+                address: pool.allocate_udp()?,
             })
         })
         .collect()
--- a/crates/valvestage-standins/src/platform/server.rs
+++ b/crates/valvestage-standins/src/platform/server.rs
@@ -79,7 +79,7 @@
 
     /// Drops the history of changes, so that watches from an older revision are answered with 410.
     pub fn forget_history(&self) {
-        self.store().forget_history();
+        self.store().compact_history();
 
         self.inner.write_notify.notify_waiters();
     }
--- a/crates/valvestage-standins/src/platform/store.rs
+++ b/crates/valvestage-standins/src/platform/store.rs
@@ -157,7 +157,7 @@
     }
 
     /// Compacts all changes so far: watches from an older revision fail.
-    pub fn forget_history(&mut self) {
+    pub fn compact_history(&mut self) {
         self.compacted_revision = self.revision;
     }
 }
