--- a/crates/valvestage-standins/src/bin/standin-fabric.rs
+++ b/crates/valvestage-standins/src/bin/standin-fabric.rs
@@ -39,9 +39,9 @@
         balancer_address: layout.fabric_balancers,
         balancers: layout.balancers.iter().map(|b| (b.data, b.admin)).collect(),
         faults: SprayFaults {
-            lost: arguments.lost,
-            doubled: arguments.doubled,
-            reordered: arguments.reordered,
+            loss_rate: arguments.lost,
+            duplication_rate: arguments.doubled,
+            reordering_rate: arguments.reordered,
         },
         seed: arguments.seed,
     };
--- a/crates/valvestage-standins/src/fabric/fabric_options.rs
+++ b/crates/valvestage-standins/src/fabric/fabric_options.rs
@@ -6,11 +6,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct SprayFaults {
     /// Share of packets that are dropped.
-    pub lost: f64,
+    pub loss_rate: f64,
     /// Share of packets that are sent twice, to two balancers chosen independently at random.
-    pub doubled: f64,
+    pub duplication_rate: f64,
     /// Share of packets that are delayed until the next packet has been sent.
-    pub reordered: f64,
+    pub reordering_rate: f64,
 }
 
 /// Addresses of the fabric and its balancers, and the faults that it injects.
--- a/crates/valvestage-standins/src/fabric/spray.rs
+++ b/crates/valvestage-standins/src/fabric/spray.rs
@@ -93,15 +93,15 @@
             let _ = balancers.send_to(packet, addresses[rng.below(addresses.len())]);
         };
 
-        if rng.unit() < options.faults.lost {
+        if rng.unit() < options.faults.loss_rate {
             continue;
         }
-        if delayed_packet.is_none() && rng.unit() < options.faults.reordered {
+        if delayed_packet.is_none() && rng.unit() < options.faults.reordering_rate {
             delayed_packet = Some(packet.to_vec());
             continue;
         }
         forward(packet, &mut rng);
-        if rng.unit() < options.faults.doubled {
+        if rng.unit() < options.faults.duplication_rate {
             forward(packet, &mut rng);
         }
         if let Some(delayed) = delayed_packet.take() {
