--- a/crates/valvestage-standins/src/caller/caller_load.rs
+++ b/crates/valvestage-standins/src/caller/caller_load.rs
@@ -75,7 +75,8 @@
 
 impl LoadGenerator {
     /// Schedules the opening of each flow at a random time within the first second, and the first
-    /// request to each service. The others follow at exponentially distributed intervals.
+    /// request to each service at once. Each request schedules the next after an exponentially
+    /// distributed time.
     fn schedule_initial_actions(&mut self) {
         let start = Instant::now();
         let services: Vec<ServiceLoad> = self.options.services.clone();
