--- a/crates/valvestage-standins/src/bin/standin-platform.rs
+++ b/crates/valvestage-standins/src/bin/standin-platform.rs
@@ -1,4 +1,4 @@
-//! Stands in for the platform's object API.
+//! Stand-in for the platform's object API.
 
 use std::io;
 use std::net::TcpListener;
@@ -11,11 +11,11 @@
 use valvestage_standins::platform::{PlatformStandin, start};
 use valvestage_standins::signals::stop_flag;
 
-/// Stands in for the platform's object API
+/// Serves a stand-in for the platform's object API until it is stopped by a signal
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Arguments {
-    /// Folder of the layout
+    /// Folder with the files of the deployment
     #[bpaf(long, argument("FOLDER"))]
     folder: PathBuf,
 }
@@ -24,11 +24,11 @@
 async fn main() -> io::Result<()> {
     let arguments = arguments().run();
     let layout = Layout::read(&arguments.folder)?;
-    let stops = stop_flag()?;
+    let stop = stop_flag()?;
 
     let (_, server) = start(TcpListener::bind(layout.platform)?, PlatformStandin::default())?;
     actix_rt::spawn(server);
-    while !stops.load(Ordering::Relaxed) {
+    while !stop.load(Ordering::Relaxed) {
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
     Ok(())
--- a/crates/valvestage-standins/src/layout/settings_files.rs
+++ b/crates/valvestage-standins/src/layout/settings_files.rs
@@ -1,4 +1,4 @@
-//! Writing the settings of all processes.
+//! Settings files of all processes of a deployment.
 
 use std::fmt::Write;
 use std::fs;
@@ -12,8 +12,8 @@
 use super::layout_file::{BalancerLayout, Layout};
 use crate::draws::Draws;
 
-/// `write_layout` writes the addresses, secrets and settings of a deployment into a folder;
-/// `extra` is added to the settings of each balancer.
+/// Allocates the addresses of a deployment, and writes them with its secrets and settings into a
+/// folder. `extra` is put at the head of each balancer's settings.
 pub fn write_layout(
     plan: &DeploymentPlan,
     folder: &Path,
@@ -22,12 +22,12 @@
 ) -> io::Result<Layout> {
     fs::create_dir_all(folder)?;
     let mut pool = AddressPool::new();
-    let layout = draw_layout(plan, &mut pool)?;
+    let layout = allocate_layout(plan, &mut pool)?;
 
-    // Secrets of a demo on the loopback address: drawn from the seed.
-    let mut draws = Draws::new(seed);
+    // Secrets derived from the seed are predictable, which is acceptable on loopback addresses.
+    let mut rng = Draws::new(seed);
     for name in ["peer.key", "admin.token", "operator.token"] {
-        fs::write(folder.join(name), format!("{:016x}{:016x}\n", draws.word(), draws.word()))?;
+        fs::write(folder.join(name), format!("{:016x}{:016x}\n", rng.word(), rng.word()))?;
     }
 
     for balancer in &layout.balancers {
@@ -36,7 +36,7 @@
     }
     fs::write(folder.join("operator.toml"), operator_settings(&layout, folder))?;
 
-    let deployment = draw_deployment(plan, &mut pool)?;
+    let deployment = allocate_deployment(plan, &mut pool)?;
     let text = toml::to_string_pretty(&deployment).map_err(io::Error::other)?;
     fs::write(folder.join("deployment.toml"), text)?;
 
@@ -44,30 +44,30 @@
     Ok(layout)
 }
 
-fn draw_layout(plan: &DeploymentPlan, pool: &mut AddressPool) -> io::Result<Layout> {
+fn allocate_layout(plan: &DeploymentPlan, pool: &mut AddressPool) -> io::Result<Layout> {
     let zones = plan.zones.iter().cycle();
     let balancers = (1u32..).zip(zones).take(plan.balancers);
     let balancers = balancers.map(|(id, zone)| {
         Ok(BalancerLayout {
             id,
             zone: (*zone).to_owned(),
-            data: pool.udp()?,
-            peer: pool.tcp()?,
-            admin: pool.tcp()?,
+            data: pool.allocate_udp()?,
+            peer: pool.allocate_tcp()?,
+            admin: pool.allocate_tcp()?,
         })
     });
 
     let balancers = balancers.collect::<io::Result<Vec<_>>>()?;
     Ok(Layout {
-        fabric_callers: pool.udp()?,
-        fabric_balancers: pool.udp()?,
-        platform: pool.tcp()?,
-        operator: pool.tcp()?,
+        fabric_callers: pool.allocate_udp()?,
+        fabric_balancers: pool.allocate_udp()?,
+        platform: pool.allocate_tcp()?,
+        operator: pool.allocate_tcp()?,
         balancers,
     })
 }
 
-fn draw_deployment(
+fn allocate_deployment(
     plan: &DeploymentPlan,
     pool: &mut AddressPool,
 ) -> io::Result<DeploymentSettings> {
@@ -75,10 +75,10 @@
         Ok(ServiceSettings {
             id,
             name: service.name.to_owned(),
-            address: pool.udp()?,
+            address: pool.allocate_udp()?,
             slots: service.slots,
             connections: service.connections,
-            backends: draw_backends(plan, service, pool)?,
+            backends: allocate_backends(plan, service, pool)?,
         })
     });
 
@@ -86,7 +86,7 @@
     Ok(DeploymentSettings { name: plan.name.to_owned(), services })
 }
 
-fn draw_backends(
+fn allocate_backends(
     plan: &DeploymentPlan,
     service: &ServicePlan,
     pool: &mut AddressPool,
@@ -99,7 +99,7 @@
             Ok(BackendSettings {
                 name: format!("{}-{number:02}", service.name),
                 zone: (*zone).to_owned(),
-                address: pool.udp()?,
+                address: pool.allocate_udp()?,
             })
         })
         .collect()
@@ -132,7 +132,8 @@
 
 fn operator_settings(layout: &Layout, folder: &Path) -> String {
     let folder = folder.display();
-    let admins: Vec<_> = layout.balancers.iter().map(|b| format!("\"{}\"", b.admin)).collect();
+    let admin_addresses: Vec<_> =
+        layout.balancers.iter().map(|b| format!("\"{}\"", b.admin)).collect();
 
     format!(
         "listen_address = \"{}\"\noperator_token_file = \"{folder}/operator.token\"\n\
@@ -140,6 +141,6 @@
          balancer_admin_addresses = [{}]\n",
         layout.operator,
         layout.platform,
-        admins.join(", ")
+        admin_addresses.join(", ")
     )
 }
--- a/crates/valvestage-standins/src/packets/backend_flow.rs
+++ b/crates/valvestage-standins/src/packets/backend_flow.rs
@@ -1,47 +1,48 @@
-//! One flow at its backend server.
+//! Backend server's end of a flow.
 
 use std::time::{Duration, Instant};
 
 use super::flow_packet::{FlowPacket, flags};
 use super::packet_request::PacketRequest;
 
-/// Data in one packet at most.
-const MAX_DATA: usize = 1_200;
+/// Largest amount of data in one packet, bytes.
+const MAX_DATA_BYTES: usize = 1_200;
 
-/// Wait before the first resend; doubled each time, up to [`LONGEST_RESEND`].
-const FIRST_RESEND: Duration = Duration::from_millis(200);
+/// Wait before the first resend; doubled for each further one, up to [`MAX_RESEND_WAIT`].
+const INITIAL_RESEND_WAIT: Duration = Duration::from_millis(200);
 
 /// Longest wait before a resend.
-const LONGEST_RESEND: Duration = Duration::from_millis(1_600);
+const MAX_RESEND_WAIT: Duration = Duration::from_millis(1_600);
 
-/// Resends before the flow is given up.
+/// Number of resends of an answer; after these it is sent no more.
 const MAX_RESENDS: u32 = 8;
 
-/// `BackendFlow` is a flow that a backend server holds.
+/// Flow that a backend server holds, with the answer that is being sent on it.
 #[derive(Debug)]
 pub struct BackendFlow {
-    /// Whether the caller has answered the answer to its opening packet.
+    /// Whether the caller has acknowledged the answer to its opening packet; set by the owner.
     pub open: bool,
-    /// The balancer that sent the opening packet.
+    /// Number of the balancer that forwarded the opening packet.
     pub balancer: usize,
-    /// When that packet came.
+    /// When the opening packet arrived.
     pub arrived: Instant,
-    /// The caller's side, as the source of packets.
+    /// Opening packet; its source is the caller and its destination the service.
     opening: FlowPacket,
     token: u32,
-    /// Number after the last byte that was sent and acknowledged.
+    /// Sequence number after the last byte that the caller has acknowledged.
     acknowledged: u32,
-    /// Number of the byte expected next from the caller.
+    /// Sequence number of the byte expected next from the caller.
     expected: u32,
-    /// Sent and not acknowledged.
+    /// Bytes that were sent and are not acknowledged.
     unacknowledged: Vec<u8>,
     resend_at: Option<Instant>,
     resends: u32,
-    work: Option<(Instant, PacketRequest)>,
+    running_request: Option<(Instant, PacketRequest)>,
 }
 
 impl BackendFlow {
-    /// `new` takes an opening packet.
+    /// Creates the flow of an opening packet that a balancer forwarded. `sequence` is the initial
+    /// sequence number of the backend server's side.
     #[must_use]
     pub fn new(opening: FlowPacket, sequence: u32, balancer: usize, now: Instant) -> Self {
         Self {
@@ -55,11 +56,11 @@
             unacknowledged: Vec::new(),
             resend_at: None,
             resends: 0,
-            work: None,
+            running_request: None,
         }
     }
 
-    /// `opening_answer` gives the answer to the opening packet.
+    /// Returns the answer to the opening packet, which carries the token.
     #[must_use]
     pub fn opening_answer(&self) -> FlowPacket {
         let sequence = self.acknowledged.wrapping_sub(1);
@@ -67,45 +68,47 @@
         self.packet(flags::SYN | flags::ACK, sequence, Vec::new())
     }
 
-    /// `accepts` tells whether a packet acknowledges this backend server's answer to the opening
-    /// packet, and not that of another one.
+    /// Reports whether a packet acknowledges this backend server's answer to the opening packet, as
+    /// opposed to the answer of another backend server.
     #[must_use]
     pub fn accepts(&self, packet: &FlowPacket) -> bool {
         packet.acknowledged == self.acknowledged
     }
 
-    /// `take` takes a packet of the open flow in, and gives a request that is to be worked on.
+    /// Processes a packet of the open flow, and returns the request that it carries, if any. Data
+    /// out of order is ignored.
     pub fn take(&mut self, packet: &FlowPacket) -> Option<PacketRequest> {
         self.token = packet.token;
-        self.take_acknowledgement(packet.acknowledged);
+        self.apply_acknowledgement(packet.acknowledged);
         if packet.data.is_empty() || packet.sequence != self.expected {
             return None;
         }
 
-        self.expected = self.expected.wrapping_add(length_of(&packet.data));
+        self.expected = self.expected.wrapping_add(data_length(&packet.data));
         PacketRequest::decode(&packet.data)
     }
 
-    /// `acknowledgement` gives the packet that says how much has come.
+    /// Returns a packet without data that acknowledges everything received in order.
     #[must_use]
     pub fn acknowledgement(&self) -> FlowPacket {
         self.packet(flags::ACK, self.acknowledged, Vec::new())
     }
 
-    /// `work_until` starts work on a request.
+    /// Starts to run a request whose answer is ready at `due`.
     pub fn work_until(&mut self, due: Instant, request: PacketRequest) {
-        self.work = Some((due, request));
+        self.running_request = Some((due, request));
     }
 
-    /// `due_packets` gives what is to be sent now; an answer that is done, or one sent again.
+    /// Returns the packets to send now: those of an answer that has become ready, or the resend of
+    /// one that the caller has not acknowledged in time.
     pub fn due_packets(&mut self, now: Instant) -> Vec<FlowPacket> {
-        if let Some((due, request)) = self.work
+        if let Some((due, request)) = self.running_request
             && due <= now
         {
-            self.work = None;
+            self.running_request = None;
             self.unacknowledged = request.answer();
             self.resends = 0;
-            self.resend_at = Some(now + FIRST_RESEND);
+            self.resend_at = Some(now + INITIAL_RESEND_WAIT);
             return self.answer_packets();
         }
         if self.resend_at.is_none_or(|at| at > now) || self.resends >= MAX_RESENDS {
@@ -113,8 +116,8 @@
         }
 
         self.resends += 1;
-        let wait = FIRST_RESEND.saturating_mul(1 << self.resends.min(MAX_RESENDS));
-        self.resend_at = Some(now + wait.min(LONGEST_RESEND));
+        let wait = INITIAL_RESEND_WAIT.saturating_mul(1 << self.resends.min(MAX_RESENDS));
+        self.resend_at = Some(now + wait.min(MAX_RESEND_WAIT));
         self.answer_packets()
     }
 
@@ -122,14 +125,14 @@
         let mut sequence = self.acknowledged;
         let mut packets = Vec::new();
 
-        for data in self.unacknowledged.chunks(MAX_DATA) {
+        for data in self.unacknowledged.chunks(MAX_DATA_BYTES) {
             packets.push(self.packet(flags::ACK, sequence, data.to_vec()));
-            sequence = sequence.wrapping_add(length_of(data));
+            sequence = sequence.wrapping_add(data_length(data));
         }
         packets
     }
 
-    fn take_acknowledgement(&mut self, until: u32) {
+    fn apply_acknowledgement(&mut self, until: u32) {
         let bytes = until.wrapping_sub(self.acknowledged) as usize;
         if bytes == 0 || bytes > self.unacknowledged.len() {
             return;
@@ -155,7 +158,7 @@
     }
 }
 
-/// Packets have 1,200 bytes of data at most.
-fn length_of(data: &[u8]) -> u32 {
+/// Returns the length of a packet's data, which is at most 1,200 bytes.
+fn data_length(data: &[u8]) -> u32 {
     u32::try_from(data.len()).unwrap_or(u32::MAX)
 }
--- a/crates/valvestage-standins/src/platform.rs
+++ b/crates/valvestage-standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's object API, with outages and lost answers on demand.
+//! In-memory stand-in for the platform's object API, with fault injection.
 
 mod faults;
 mod server;
@@ -7,4 +7,4 @@
 
 pub use faults::Faults;
 pub use server::{PlatformStandin, start};
-pub use store::{ObjectStore, WriteRefusal};
+pub use store::{ObjectStore, WriteError};
--- a/crates/valvestage-standins/src/platform/server.rs
+++ b/crates/valvestage-standins/src/platform/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server of the platform stand-in.
+//! HTTP server of the platform stand-in.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -20,18 +20,18 @@
 use valvestage_platform::objects::kind_of;
 
 use super::faults::Faults;
-use super::store::{ObjectStore, WriteRefusal};
+use super::store::{ObjectStore, WriteError};
 
-/// Longest value.
+/// Largest object value; request bodies may have twice this size.
 const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// Objects in a page of a list.
-const PAGE: usize = 500;
+/// Page size of lists, in objects, unless the faults set another.
+const DEFAULT_PAGE_SIZE: usize = 500;
 
-/// Longest wait of a watch, milliseconds.
+/// Longest time that a watch may ask to wait for a change, milliseconds.
 const MAX_WAIT_MS: u64 = 30_000;
 
-/// `PlatformStandin` is the state that all connections share.
+/// Object store and faults of the platform stand-in, shared by all connections.
 #[derive(Clone, Default)]
 pub struct PlatformStandin {
     inner: Arc<Inner>,
@@ -41,22 +41,23 @@
 struct Inner {
     store: Mutex<ObjectStore>,
     faults: Mutex<Faults>,
-    written: Notify,
+    write_notify: Notify,
 }
 
 impl PlatformStandin {
-    /// `put` writes one of the product's own objects whatever its version, for tests.
+    /// Writes one of valvestage's own objects without a revision check. Its kind follows from the
+    /// key.
     pub fn put(&self, key: &str, value: Value) {
         self.put_object(kind_of(key), key, value);
     }
 
-    /// `get` reads one of the product's own objects, for tests.
+    /// Returns the value of one of valvestage's own objects.
     #[must_use]
     pub fn get(&self, key: &str) -> Option<Value> {
         self.store().read(kind_of(key), key).map(|object| object.spec.clone())
     }
 
-    /// `put_object` writes any object whatever its revision, for tests.
+    /// Creates or replaces an object of any kind without a revision check.
     pub fn put_object(&self, kind: &str, name: &str, value: Value) {
         let mut store = self.store();
 
@@ -66,34 +67,35 @@
             let _ = store.create(kind, name, value);
         }
         drop(store);
-        self.inner.written.notify_waiters();
+        self.inner.write_notify.notify_waiters();
     }
 
-    /// `delete_object` removes an object, for tests.
+    /// Deletes an object of any kind, if there is one.
     pub fn delete_object(&self, kind: &str, name: &str) {
         self.store().delete(kind, name);
 
-        self.inner.written.notify_waiters();
+        self.inner.write_notify.notify_waiters();
     }
 
-    /// `forget_history` makes watches that began before fail.
+    /// Drops the history of changes, so that watches from an older revision are answered with 410.
     pub fn forget_history(&self) {
-        self.store().forget_history();
+        self.store().compact_history();
 
-        self.inner.written.notify_waiters();
+        self.inner.write_notify.notify_waiters();
     }
 
-    /// Goes back to what there was so many changes ago, in the next era of the store.
+    /// Restores the state before the last `lost_changes` changes and starts the next era of the
+    /// store.
     pub fn restore(&self, lost_changes: u64) {
         let mut store = self.store();
         let revision = store.revision().saturating_sub(lost_changes);
         store.restore(revision);
         drop(store);
 
-        self.inner.written.notify_waiters();
+        self.inner.write_notify.notify_waiters();
     }
 
-    /// `misbehave` sets the faults.
+    /// Replaces the faults that are injected.
     pub fn misbehave(&self, faults: Faults) {
         *self.faults() = faults;
     }
@@ -106,8 +108,8 @@
         self.inner.faults.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits as long as the faults say; none if the call is to fail.
-    async fn admit(&self) -> Option<()> {
+    /// Waits for the injected delay. Returns `None` if the call has to fail.
+    async fn apply_faults(&self) -> Option<()> {
         let faults = *self.faults();
         if faults.delay_ms > 0 {
             sleep(Duration::from_millis(faults.delay_ms)).await;
@@ -116,14 +118,15 @@
         (!faults.down).then_some(())
     }
 
-    /// Answers a write that was done or refused; the answer of one that was done may be lost.
-    fn answer_write(&self, result: Result<WireObject, WriteRefusal>) -> HttpResponse {
+    /// Answers a write. A write that took effect is answered with 503 while the faults ask for lost
+    /// answers.
+    fn answer_write(&self, result: Result<WireObject, WriteError>) -> HttpResponse {
         let object = match result {
             Ok(object) => object,
-            Err(WriteRefusal::Missing) => return HttpResponse::NotFound().finish(),
-            Err(WriteRefusal::Conflict(object)) => return HttpResponse::Conflict().json(object),
+            Err(WriteError::Missing) => return HttpResponse::NotFound().finish(),
+            Err(WriteError::Conflict(object)) => return HttpResponse::Conflict().json(object),
         };
-        self.inner.written.notify_waiters();
+        self.inner.write_notify.notify_waiters();
 
         let mut faults = self.faults();
         if faults.lose_answers > 0 {
@@ -134,14 +137,15 @@
     }
 }
 
-/// `start` serves on a listener; the address of the listener is known before.
+/// Builds the server on a bound listener and returns it with its address. The server runs once its
+/// future is polled.
 pub fn start(listener: TcpListener, standin: PlatformStandin) -> io::Result<(SocketAddr, Server)> {
     let address = listener.local_addr()?;
     let data = Data::new(standin);
 
     let server = HttpServer::new(move || {
         App::new()
-            .wrap(from_fn(name_era))
+            .wrap(from_fn(add_era_header))
             .app_data(data.clone())
             .app_data(PayloadConfig::new(2 * MAX_VALUE_BYTES))
             .app_data(JsonConfig::default().limit(2 * MAX_VALUE_BYTES))
@@ -159,8 +163,8 @@
     Ok((address, server))
 }
 
-/// Says in each answer how often the store was restored.
-async fn name_era(
+/// Adds the store's era to each answer, so that clients notice that the store was restored.
+async fn add_era_header(
     request: ServiceRequest,
     next: Next<impl MessageBody>,
 ) -> Result<ServiceResponse<impl MessageBody>, actix_web::Error> {
@@ -190,15 +194,15 @@
     if let Some(after) = query.watch {
         return watch(&standin, &kind, after, query.wait_ms.min(MAX_WAIT_MS)).await;
     }
-    if standin.admit().await.is_none() {
+    if standin.apply_faults().await.is_none() {
         return unavailable();
     }
 
-    let page = match standin.faults().page {
-        0 => PAGE,
-        page => page,
+    let page_size = match standin.faults().page {
+        0 => DEFAULT_PAGE_SIZE,
+        page_size => page_size,
     };
-    HttpResponse::Ok().json(standin.store().list(&kind, query.after.as_deref(), page))
+    HttpResponse::Ok().json(standin.store().list(&kind, query.after.as_deref(), page_size))
 }
 
 async fn watch(
@@ -210,12 +214,13 @@
     let deadline = Instant::now() + Duration::from_millis(wait_ms);
 
     loop {
-        if standin.admit().await.is_none() {
+        if standin.apply_faults().await.is_none() {
             return unavailable();
         }
 
-        // Listen before looking, so that no write falls between.
-        let written = standin.inner.written.notified();
+        // The notification is created before the store is read: a write between the two would
+        // otherwise be missed.
+        let next_write = standin.inner.write_notify.notified();
         let lag = standin.faults().watch_lag;
         let Some(page) = standin.store().changes(kind, after, lag) else {
             return HttpResponse::Gone().finish();
@@ -223,12 +228,12 @@
         if !page.events.is_empty() || Instant::now() >= deadline {
             return HttpResponse::Ok().json(page);
         }
-        let _ = timeout_at(deadline, written).await;
+        let _ = timeout_at(deadline, next_write).await;
     }
 }
 
 async fn read(standin: Data<PlatformStandin>, path: Path<(String, String)>) -> HttpResponse {
-    if standin.admit().await.is_none() {
+    if standin.apply_faults().await.is_none() {
         return unavailable();
     }
 
@@ -243,7 +248,7 @@
     kind: Path<String>,
     object: Json<WireObject>,
 ) -> HttpResponse {
-    if standin.admit().await.is_none() {
+    if standin.apply_faults().await.is_none() {
         return unavailable();
     }
 
@@ -257,7 +262,7 @@
     path: Path<(String, String)>,
     object: Json<WireObject>,
 ) -> HttpResponse {
-    if standin.admit().await.is_none() {
+    if standin.apply_faults().await.is_none() {
         return unavailable();
     }
 
@@ -268,12 +273,12 @@
 }
 
 async fn remove(standin: Data<PlatformStandin>, path: Path<(String, String)>) -> HttpResponse {
-    if standin.admit().await.is_none() {
+    if standin.apply_faults().await.is_none() {
         return unavailable();
     }
 
     let removed = standin.store().delete(&path.0, &path.1);
-    standin.answer_write(removed.ok_or(WriteRefusal::Missing))
+    standin.answer_write(removed.ok_or(WriteError::Missing))
 }
 
 async fn set_faults(standin: Data<PlatformStandin>, faults: Json<Faults>) -> HttpResponse {
