--- a/crates/valvectl/src/arguments.rs
+++ b/crates/valvectl/src/arguments.rs
@@ -5,7 +5,7 @@
 
 use bpaf::Bpaf;
 use valvestage_policy::operations::{Intent, NewBackend};
-use valvestage_story::StoryQuery;
+use valvestage_story::LogQuery;
 
 /// Plans and confirms changes, shows status, explains decisions.
 ///
@@ -220,7 +220,7 @@
     Version(#[bpaf(long("version"), argument("VERSION"))] u64),
 }
 
-impl From<LogSubject> for StoryQuery {
+impl From<LogSubject> for LogQuery {
     fn from(subject: LogSubject) -> Self {
         match subject {
             LogSubject::Caller(address) => Self::Flow(address),
--- a/crates/valvectl/src/calls.rs
+++ b/crates/valvectl/src/calls.rs
@@ -9,7 +9,7 @@
 use valvestage_core::settings::DeploymentSettings;
 use valvestage_policy::operations::{Intent, Plan};
 use valvestage_process::secrets::read_token;
-use valvestage_wire::operators::{ApiProblem, ConfirmResult, StatusReport, Story};
+use valvestage_wire::operators::{ApiProblem, ConfirmResult, Explanation, StatusReport};
 
 use crate::arguments::Question;
 use crate::errors::CtlError;
@@ -60,7 +60,7 @@
         self.call(self.client.get(self.url("status")), None::<&()>).await
     }
 
-    pub async fn why(&self, question: &Question) -> Result<Story, CtlError> {
+    pub async fn why(&self, question: &Question) -> Result<Explanation, CtlError> {
         let url = self.url(&format!("why?{}", question.query()));
 
         self.call(self.client.get(url), None::<&()>).await
--- a/crates/valvectl/src/log_events.rs
+++ b/crates/valvectl/src/log_events.rs
@@ -6,7 +6,7 @@
 
 use valvestage_process::exit_codes;
 use valvestage_story::sentences::sentence;
-use valvestage_story::{LogLine, StoryQuery, tell as select_lines};
+use valvestage_story::{LogLine, LogQuery, select_lines};
 
 use crate::arguments::LogSubject;
 use crate::errors::CtlError;
@@ -17,7 +17,7 @@
     let text = read(files)?;
     let lines = text.lines().filter_map(|line| LogLine::try_from(line).ok()).collect();
 
-    let selected = select_lines(lines, &StoryQuery::from(subject));
+    let selected = select_lines(lines, &LogQuery::from(subject));
     for line in &selected {
         println!("{} {} {}", line.time_ms, line.vm, sentence(line));
     }
--- a/crates/valvectl/src/sentences.rs
+++ b/crates/valvectl/src/sentences.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use valvestage_policy::operations::Plan;
-use valvestage_wire::operators::{ConfirmResult, StatusReport, Story};
+use valvestage_wire::operators::{ConfirmResult, Explanation, StatusReport};
 use valvestage_wire::status::BalancerStatus;
 
 /// Appends a formatted line to a string. The result is ignored because writing to a string cannot
@@ -128,7 +128,7 @@
 }
 
 /// Describes the decisions about a subject.
-pub fn explanation(explanation: &Story) -> String {
+pub fn explanation(explanation: &Explanation) -> String {
     let mut text = String::new();
 
     if explanation.sentences.is_empty() {
--- a/crates/valvestage-balancer/src/control/admin_server.rs
+++ b/crates/valvestage-balancer/src/control/admin_server.rs
@@ -11,7 +11,7 @@
 use valvestage_core::time::to_unix_millis;
 use valvestage_policy::membership::{PeerRecord, PeerState};
 use valvestage_policy::operations::Subject;
-use valvestage_process::secrets::same_token;
+use valvestage_process::secrets::tokens_match;
 use valvestage_wire::status::{BalancerStatus, PeerStatus, ServiceStatus};
 
 use super::control_state::ControlState;
@@ -110,7 +110,7 @@
 
     header
         .and_then(|value| value.strip_prefix("Bearer "))
-        .is_some_and(|given| same_token(given, token))
+        .is_some_and(|given| tokens_match(given, token))
 }
 
 fn unauthorised() -> HttpResponse {
--- a/crates/valvestage-balancer/src/control/stop_task.rs
+++ b/crates/valvestage-balancer/src/control/stop_task.rs
@@ -32,7 +32,7 @@
     peers: &PeerClients,
     platform: &PlatformDriver,
 ) {
-    let deadline = SystemTime::now() + state.settings.stop_within;
+    let deadline = SystemTime::now() + state.settings.stop_timeout;
     log::info!("stopping: taking no new work, handing services over");
 
     // From now on `/readyz` reports not ready to the fabric, and heartbeats report to the peers
--- a/crates/valvestage-balancer/src/data_path/data_handler.rs
+++ b/crates/valvestage-balancer/src/data_path/data_handler.rs
@@ -31,7 +31,7 @@
     /// Identity of this balancer, and options of its policy.
     pub policy: BalancerOptions,
     /// Addresses of the fabric, from which caller packets are accepted; not empty.
-    pub fabrics: Vec<SocketAddr>,
+    pub fabric_addresses: Vec<SocketAddr>,
 }
 
 /// Handler that turns each received datagram into the datagrams that follow from it.
@@ -39,7 +39,7 @@
 pub struct DataHandler {
     pub(super) policy: BalancerPolicy<Payload>,
     pub(super) metrics: Arc<BalancerMetrics>,
-    pub(super) fabrics: Vec<SocketAddr>,
+    pub(super) fabric_addresses: Vec<SocketAddr>,
     /// Data addresses of the other balancers.
     pub(super) peer_addresses: BTreeMap<BalancerId, SocketAddr>,
     /// The same addresses as a set, for the check of a datagram's source.
@@ -56,7 +56,7 @@
         Self {
             policy: BalancerPolicy::new(options.policy),
             metrics,
-            fabrics: options.fabrics,
+            fabric_addresses: options.fabric_addresses,
             peer_addresses: BTreeMap::new(),
             peer_sources: HashSet::new(),
             next_idle_check: now + IDLE_CHECK_INTERVAL,
@@ -102,7 +102,7 @@
     }
 
     fn classify_source(&self, source: SocketAddr) -> Option<Origin> {
-        if self.fabrics.contains(&source) {
+        if self.fabric_addresses.contains(&source) {
             return Some(Origin::Fabric);
         }
 
@@ -238,8 +238,8 @@
     /// Adds a datagram for a caller to the output. All datagrams of a caller go to the same address
     /// of the fabric.
     pub(super) fn push_to_caller(&self, envelope: &Envelope<'_>, out: &mut Vec<Outbound>) {
-        let index = usize::from(envelope.caller.port()) % self.fabrics.len();
+        let index = usize::from(envelope.caller.port()) % self.fabric_addresses.len();
 
-        self.push(self.fabrics[index], envelope, out);
+        self.push(self.fabric_addresses[index], envelope, out);
     }
 }
--- a/crates/valvestage-balancer/src/main.rs
+++ b/crates/valvestage-balancer/src/main.rs
@@ -10,7 +10,7 @@
 use valvestage_balancer::errors::BalancerError;
 use valvestage_balancer::process::BalancerProcess;
 use valvestage_core::settings::BalancerSettings;
-use valvestage_process::command_line::{parse, settings_are_right, usage_error};
+use valvestage_process::command_line::{parse, report_usage_error, report_valid_settings};
 use valvestage_process::{exit_codes, logging};
 
 /// Program name in error messages.
@@ -37,10 +37,10 @@
     };
     let settings = match BalancerSettings::read(&arguments.settings) {
         Ok(settings) => settings,
-        Err(error) => return usage_error(PROGRAM, &error),
+        Err(error) => return report_usage_error(PROGRAM, &error),
     };
     if arguments.check_settings {
-        return settings_are_right(&arguments.settings);
+        return report_valid_settings(&arguments.settings);
     }
 
     match serve(settings) {
--- a/crates/valvestage-balancer/src/process.rs
+++ b/crates/valvestage-balancer/src/process.rs
@@ -171,7 +171,7 @@
 fn new_data_handler(settings: &BalancerSettings, metrics: Arc<BalancerMetrics>) -> DataHandler {
     let mut policy = BalancerOptions::new(settings.id, settings.zone.clone());
     policy.requests.max_deadline = settings.max_deadline;
-    let options = DataOptions { policy, fabrics: settings.fabric_addresses.clone() };
+    let options = DataOptions { policy, fabric_addresses: settings.fabric_addresses.clone() };
 
     DataHandler::new(options, metrics, SystemTime::now())
 }
--- a/crates/valvestage-balancer/src/threads.rs
+++ b/crates/valvestage-balancer/src/threads.rs
@@ -14,6 +14,6 @@
 mod send;
 
 pub use decide::decide_loop;
-pub use receive::{BUFFER_BYTES, receive_batch, receive_loop};
+pub use receive::{RECEIVE_BUFFER_BYTES, receive_batch, receive_loop};
 pub use rings::{BATCH_DATAGRAMS, BatchReceiver, BatchSender, batch_ring};
 pub use send::{send_all, send_loop};
--- a/crates/valvestage-balancer/src/threads/receive.rs
+++ b/crates/valvestage-balancer/src/threads/receive.rs
@@ -15,7 +15,7 @@
 
 /// Size of a receive buffer: one byte more than the longest datagram allowed, so that a longer one
 /// is detected.
-pub const BUFFER_BYTES: usize = MAX_DATAGRAM + 1;
+pub const RECEIVE_BUFFER_BYTES: usize = MAX_DATAGRAM + 1;
 
 /// Reads batches from the socket until the stop flag is set or the decide thread has ended.
 ///
@@ -26,7 +26,7 @@
     metrics: &BalancerMetrics,
     stop_flag: &AtomicBool,
 ) {
-    let mut buffers = vec![[0; BUFFER_BYTES]; BATCH_DATAGRAMS];
+    let mut buffers = vec![[0; RECEIVE_BUFFER_BYTES]; BATCH_DATAGRAMS];
 
     while !stop_flag.load(Ordering::Relaxed) {
         match receive_batch(socket, &mut buffers) {
@@ -48,7 +48,7 @@
 /// Waits for the first datagram, and returns it together with those that are queued behind it.
 pub fn receive_batch(
     socket: &UdpSocket,
-    buffers: &mut [[u8; BUFFER_BYTES]],
+    buffers: &mut [[u8; RECEIVE_BUFFER_BYTES]],
 ) -> Result<Vec<Inbound>, Errno> {
     let mut headers = MultiHeaders::<SockaddrStorage>::preallocate(buffers.len(), None);
     let mut slices: Vec<_> = buffers.iter_mut().map(|buffer| [IoSliceMut::new(buffer)]).collect();
--- a/crates/valvestage-balancer/tests/data_path.rs
+++ b/crates/valvestage-balancer/tests/data_path.rs
@@ -75,7 +75,7 @@
         let metrics = Arc::new(BalancerMetrics::default());
         let options = DataOptions {
             policy: BalancerOptions::new(1, "brest-a".to_owned()),
-            fabrics: vec![socket_addr(FABRIC)],
+            fabric_addresses: vec![socket_addr(FABRIC)],
         };
         let mut handler = DataHandler::new(options, metrics.clone(), now());
 
@@ -175,7 +175,7 @@
     let metrics = Arc::new(BalancerMetrics::default());
     let options = DataOptions {
         policy: BalancerOptions::new(1, "brest-a".to_owned()),
-        fabrics: vec![socket_addr(FABRIC)],
+        fabric_addresses: vec![socket_addr(FABRIC)],
     };
     let mut handler = DataHandler::new(options, metrics.clone(), now());
     let open = packet(Header::new(PacketKind::Open), service_address(1));
--- a/crates/valvestage-core/src/settings/balancer.rs
+++ b/crates/valvestage-core/src/settings/balancer.rs
@@ -139,7 +139,7 @@
     /// Maximum time from now to the deadline of a request; 1 s to 60 s.
     pub max_deadline: Duration,
     /// Maximum duration of a planned stop.
-    pub stop_within: Duration,
+    pub stop_timeout: Duration,
 }
 
 impl BalancerSettings {
@@ -219,7 +219,7 @@
             lease_length: Duration::from_millis(raw.lease_ms),
             clock_bound: Duration::from_millis(raw.clock_bound_ms),
             max_deadline: Duration::from_millis(raw.max_deadline_ms),
-            stop_within: Duration::from_millis(raw.stop_ms),
+            stop_timeout: Duration::from_millis(raw.stop_ms),
         })
     }
 }
--- a/crates/valvestage-core/src/settings/entry.rs
+++ b/crates/valvestage-core/src/settings/entry.rs
@@ -102,16 +102,16 @@
     /// TCP address of the platform's store.
     pub store_address: SocketAddrV4,
     /// Time between SIGTERM and SIGKILL; 1 s to 10 minutes.
-    pub stop_within: Duration,
+    pub stop_timeout: Duration,
 }
 
 /// Limit on the requests sent to a cold backend server whose service has a configured cold rate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdSettings {
     /// Factor applied to the cold rate; above 0, at most 1,000.
-    pub over: f64,
+    pub rate_factor: f64,
     /// Requests per second allowed in addition; 0 to 1,000,000.
-    pub slack: f64,
+    pub extra_rate: f64,
 }
 
 impl EntrySettings {
@@ -181,7 +181,8 @@
             other_region_zones: zones_in_other_regions(&raw.zone, &raw.zone_regions),
             zone_regions: raw.zone_regions,
             has_evacuations: raw.evacuations,
-            cold_limit: is_limited.then_some(ColdSettings { over: cold_over, slack: cold_slack }),
+            cold_limit: is_limited
+                .then_some(ColdSettings { rate_factor: cold_over, extra_rate: cold_slack }),
             zone: raw.zone,
             data_address: raw.data_address,
             ready_address: raw.ready_address,
@@ -193,7 +194,7 @@
             is_first_start: raw.first_start,
             seeds: seeds.map(|ip| SocketAddrV4::new(ip, raw.peer_port)).collect(),
             store_address: raw.store_address,
-            stop_within: Duration::from_secs_f64(raw.stop_within_s),
+            stop_timeout: Duration::from_secs_f64(raw.stop_within_s),
         })
     }
 }
--- a/crates/valvestage-core/tests/entry_settings.rs
+++ b/crates/valvestage-core/tests/entry_settings.rs
@@ -52,7 +52,7 @@
 fn cold_backend_servers_are_limited_where_the_settings_say_so() {
     assert!(read("").cold_limit.is_none());
     let limit = read("cold_over = 1.5\ncold_slack = 5\n").cold_limit.unwrap();
-    assert!((limit.over - 1.5).abs() < 1e-9 && (limit.slack - 5.0).abs() < 1e-9);
+    assert!((limit.rate_factor - 1.5).abs() < 1e-9 && (limit.extra_rate - 5.0).abs() < 1e-9);
 
     for refused in ["cold_over = 0.0\n", "cold_over = 1e4\n", "cold_slack = -1.0\n"] {
         let raw: RawEntrySettings = toml::from_str(&format!("{COMMON}{refused}")).unwrap();
--- a/crates/valvestage-entry/src/control_thread.rs
+++ b/crates/valvestage-entry/src/control_thread.rs
@@ -104,7 +104,7 @@
         log::info!("SIGTERM received: no longer ready, still forwarding packets");
         self.updates.send(ControlUpdate::Stop);
         self.ready.store(false, Ordering::Relaxed);
-        let longest = self.settings.stop_within.saturating_sub(KILL_MARGIN);
+        let longest = self.settings.stop_timeout.saturating_sub(KILL_MARGIN);
         tokio::time::sleep(SHUTDOWN_GRACE.min(longest)).await;
         log::info!("stopped");
         Ok(())
--- a/crates/valvestage-entry/src/decision_log.rs
+++ b/crates/valvestage-entry/src/decision_log.rs
@@ -14,7 +14,7 @@
     UpdateSource,
 };
 use valvestage_process::log_ring::LogRing;
-use valvestage_process::structured_log::time_of_day;
+use valvestage_process::structured_log::unix_time_ms;
 
 use crate::log_rate_limiter::LogRateLimiter;
 
@@ -37,7 +37,7 @@
     /// has reported.
     #[must_use]
     pub fn dropped_lines(&self) -> u64 {
-        self.ring.as_ref().map_or(0, LogRing::left_out)
+        self.ring.as_ref().map_or(0, LogRing::dropped_lines)
     }
 
     /// Writes a decision unless the rate limit of its event is reached.
@@ -138,7 +138,7 @@
     fn new(event: &'static str) -> Self {
         let mut line = Self { fields: Map::new() };
 
-        line.put("time_ms", time_of_day());
+        line.put("time_ms", unix_time_ms());
         line.put("event", event);
         line
     }
--- a/crates/valvestage-entry/src/main.rs
+++ b/crates/valvestage-entry/src/main.rs
@@ -11,7 +11,7 @@
 use valvestage_core::settings::EntrySettings;
 use valvestage_entry::decision_log::DecisionLog;
 use valvestage_entry::{EntryError, EntryProcess};
-use valvestage_process::command_line::{parse, settings_are_right, usage_error};
+use valvestage_process::command_line::{parse, report_usage_error, report_valid_settings};
 use valvestage_process::log_ring::LogRing;
 use valvestage_process::{exit_codes, structured_log};
 
@@ -43,10 +43,10 @@
     };
     let settings = match EntrySettings::read(&arguments.settings) {
         Ok(settings) => settings,
-        Err(error) => return usage_error(PROGRAM, &error),
+        Err(error) => return report_usage_error(PROGRAM, &error),
     };
     if arguments.check_settings {
-        return settings_are_right(&arguments.settings);
+        return report_valid_settings(&arguments.settings);
     }
 
     match serve(arguments.settings, settings, stop_requested) {
--- a/crates/valvestage-entry/src/process.rs
+++ b/crates/valvestage-entry/src/process.rs
@@ -106,9 +106,10 @@
         zone: settings.zone.clone(),
         other_region_zones: settings.other_region_zones.clone(),
         zone_regions: settings.zone_regions.clone(),
-        cold_limit: settings
-            .cold_limit
-            .map(|limit| ColdLimit { over: limit.over, slack: limit.slack }),
+        cold_limit: settings.cold_limit.map(|limit| ColdLimit {
+            rate_factor: limit.rate_factor,
+            extra_rate: limit.extra_rate,
+        }),
         entry_times: EntryTimes::new(settings.heartbeat),
         ..Default::default()
     };
--- a/crates/valvestage-entry/tests/process/main.rs
+++ b/crates/valvestage-entry/tests/process/main.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use nix::sys::signal::Signal;
-use valvestage_platform::packet::HEAD_BYTES;
+use valvestage_platform::packet::HEADER_BYTES;
 use valvestage_standins::packets::flow_packet::flags::{ACK, RST, SYN};
 use valvestage_standins::platform::Faults;
 
@@ -38,7 +38,7 @@
     for balancer in [&one, &two] {
         caller.send(balancer, ACK, 40_001, token, 100);
         let (instance, packet) = backend.receive();
-        assert_eq!((instance, packet.len()), (backend.instance, HEAD_BYTES + 100));
+        assert_eq!((instance, packet.len()), (backend.instance, HEADER_BYTES + 100));
     }
 }
 
@@ -51,7 +51,7 @@
     let caller = Caller::new(&balancer);
     caller.send(&balancer, SYN, 40_001, 0, 0);
     let reset = caller.receive();
-    assert_eq!((reset[0], reset.len()), (RST, HEAD_BYTES));
+    assert_eq!((reset[0], reset.len()), (RST, HEADER_BYTES));
     wait_until("the reset is counted", || {
         balancer.metric("valvestage_entry_resets_total{reason=\"no_backend\"}") == Some(1)
     });
@@ -214,7 +214,7 @@
             std::thread::spawn(move || {
                 let socket = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
                 while !is_over.load(Ordering::Relaxed) {
-                    let _ = socket.send_to(&[0; HEAD_BYTES], address);
+                    let _ = socket.send_to(&[0; HEADER_BYTES], address);
                 }
             })
         })
--- a/crates/valvestage-entry/tests/process/troubleshooting.rs
+++ b/crates/valvestage-entry/tests/process/troubleshooting.rs
@@ -6,7 +6,7 @@
 use valvestage_standins::packets::flow_packet::flags::FIN;
 use valvestage_standins::platform::Faults;
 use valvestage_story::sentences::sentence;
-use valvestage_story::{LogLine, StoryQuery, tell};
+use valvestage_story::{LogLine, LogQuery, select_lines};
 
 use crate::site::{Balancer, Caller, FakeBackend, SERVICE, Site, token_of, wait_until};
 use crate::{ACK, SYN};
@@ -18,8 +18,8 @@
     let (_, log) = balancer.wait();
     let lines = log.lines().filter_map(|line| LogLine::try_from(line).ok()).collect();
 
-    let told = tell(lines, &StoryQuery::Flow(caller.flow_address(port)));
-    told.iter().map(|line| sentence(line) + "\n").collect()
+    let selected = select_lines(lines, &LogQuery::Flow(caller.flow_address(port)));
+    selected.iter().map(|line| sentence(line) + "\n").collect()
 }
 
 #[test]
@@ -39,9 +39,9 @@
         balancer.metric("valvestage_entry_events_total{event=\"moved\"}").is_some()
     });
 
-    let story = explain_flow(balancer, &caller, 40_001);
-    assert!(story.contains("was placed on backend server a"), "{story}");
-    assert!(story.contains("did not answer the opening packet"), "{story}");
+    let explanation = explain_flow(balancer, &caller, 40_001);
+    assert!(explanation.contains("was placed on backend server a"), "{explanation}");
+    assert!(explanation.contains("did not answer the opening packet"), "{explanation}");
 }
 
 #[test]
@@ -58,8 +58,8 @@
     let caller = Caller::new(&balancer);
     caller.send(&balancer, SYN, 40_001, 0, 0);
     caller.receive();
-    let story = explain_flow(balancer, &caller, 40_001);
-    assert!(story.contains("no backend server of the service takes flows"), "{story}");
+    let explanation = explain_flow(balancer, &caller, 40_001);
+    assert!(explanation.contains("no backend server of the service takes flows"), "{explanation}");
 }
 
 #[test]
@@ -80,9 +80,9 @@
     });
     caller.send(&balancer, ACK, 40_001, token, 10);
     caller.receive();
-    let story = explain_flow(balancer, &caller, 40_001);
-    assert!(story.contains("Backend server c1 of core is gone"), "{story}");
-    assert!(story.contains("its backend server c1 has ended"), "{story}");
+    let explanation = explain_flow(balancer, &caller, 40_001);
+    assert!(explanation.contains("Backend server c1 of core is gone"), "{explanation}");
+    assert!(explanation.contains("its backend server c1 has ended"), "{explanation}");
 }
 
 #[test]
@@ -101,10 +101,10 @@
     wait_until("the packet is dropped", || {
         balancer.metric("valvestage_entry_drops_total{reason=\"no_route\"}") == Some(1)
     });
-    let story = explain_flow(balancer, &caller, 40_001);
-    assert!(story.contains("The store did not answer"), "{story}");
-    assert!(story.contains("configuration 3 may be out of date"), "{story}");
-    assert!(story.contains("no route is known from its address"), "{story}");
+    let explanation = explain_flow(balancer, &caller, 40_001);
+    assert!(explanation.contains("The store did not answer"), "{explanation}");
+    assert!(explanation.contains("configuration 3 may be out of date"), "{explanation}");
+    assert!(explanation.contains("no route is known from its address"), "{explanation}");
 }
 
 #[test]
@@ -126,9 +126,9 @@
         balancer.metric("valvestage_entry_events_total{event=\"avoided\"}").is_some()
     });
 
-    let story = explain_flow(balancer, &caller, failed_port.unwrap());
-    assert!(story.contains("was placed on backend server d1"), "{story}");
-    assert!(story.contains("Backend server d1 failed"), "{story}");
+    let explanation = explain_flow(balancer, &caller, failed_port.unwrap());
+    assert!(explanation.contains("was placed on backend server d1"), "{explanation}");
+    assert!(explanation.contains("Backend server d1 failed"), "{explanation}");
 }
 
 /// Sends one request on a new flow and acknowledges the answer, which is short if it comes from
@@ -184,8 +184,8 @@
         let name = "valvestage_entry_drops_total{reason=\"unknown_token\"}";
         restarted.metric(name) == Some(1)
     });
-    let story = explain_flow(restarted, &caller, 40_001);
+    let explanation = explain_flow(restarted, &caller, 40_001);
     let said =
         format!("its token {token} names no backend server that is known up to revision 4, ");
-    assert!(story.contains(&said), "{story}");
+    assert!(explanation.contains(&said), "{explanation}");
 }
--- a/crates/valvestage-entry/tests/soak.rs
+++ b/crates/valvestage-entry/tests/soak.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use valvestage_soak::{FaultKind, Promise, Sabotage, SoakOptions, SoakReport, run};
+use valvestage_soak::{FaultKind, InjectedDefect, Promise, SoakOptions, SoakReport, run};
 
 fn options(seed: u64, faults_for: Duration) -> SoakOptions {
     let folder = format!("valvestage-soak-test-{}-{seed}", std::process::id());
@@ -32,9 +32,9 @@
 }
 
 /// Runs the soak with one mechanism disabled and returns the promises that were broken.
-fn broken_promises(sabotage: Sabotage, seed: u64, kind: FaultKind) -> Vec<Promise> {
+fn broken_promises(defect: InjectedDefect, seed: u64, kind: FaultKind) -> Vec<Promise> {
     let options = SoakOptions {
-        sabotage: Some(sabotage),
+        defect: Some(defect),
         kinds: vec![kind],
         balancers: 3,
         ..options(seed, Duration::from_secs(14))
@@ -56,11 +56,11 @@
 }
 
 macro_rules! checks_can_fail {
-    ($($name:ident: $sabotage:ident, $seed:literal, $kind:ident => $promise:ident;)*) => {
+    ($($name:ident: $defect:ident, $seed:literal, $kind:ident => $promise:ident;)*) => {
         $(
             #[test]
             fn $name() {
-                let broken = broken_promises(Sabotage::$sabotage, $seed, FaultKind::$kind);
+                let broken = broken_promises(InjectedDefect::$defect, $seed, FaultKind::$kind);
 
                 assert!(broken.contains(&Promise::$promise), "{broken:?}");
             }
@@ -69,17 +69,17 @@
 }
 
 checks_can_fail! {
-    drains_that_are_not_announced_are_noticed: HideBackends, 1_001, BackendReplace => Drain;
+    drains_that_are_not_announced_are_noticed: WithholdBackendChanges, 1_001, BackendReplace => Drain;
     configurations_that_are_not_announced_are_noticed:
-        HideConfigurations, 1_002, Configuration => ConfigurationInForce;
+        WithholdConfigurations, 1_002, Configuration => ConfigurationInForce;
     a_lost_route_is_noticed: DropRoute, 1_003, Configuration => NoFalseRefusal;
     older_routes_are_noticed: RollBack, 1_004, Configuration => ConfigurationNeverBack;
     another_service_is_noticed: SwapServices, 1_005, Configuration => RightService;
     packets_at_another_backend_server_are_noticed: Misroute, 1_006, Configuration => FlowNotMoved;
-    changed_packets_are_noticed: SpoilPackets, 1_007, Configuration => PacketUnchanged;
-    changed_answers_are_noticed: SpoilAnswers, 1_008, Configuration => WholeAnswer;
+    changed_packets_are_noticed: CorruptPackets, 1_007, Configuration => PacketUnchanged;
+    changed_answers_are_noticed: CorruptAnswers, 1_008, Configuration => WholeAnswer;
     requests_that_run_twice_are_noticed: RunTwice, 1_009, Configuration => RunsOnce;
     resets_of_living_flows_are_noticed: ForgeResets, 1_010, Configuration => FlowNotEnded;
-    balancers_that_stay_away_are_noticed: LeaveDead, 1_011, HerdKill => Recovery;
-    a_balancer_that_ends_by_itself_is_noticed: EndUnseen, 1_012, BalancerKill => NoOwnEnd;
+    balancers_that_stay_away_are_noticed: SkipRestarts, 1_011, HerdKill => Recovery;
+    a_balancer_that_ends_by_itself_is_noticed: UnrecordedKill, 1_012, BalancerKill => NoOwnEnd;
 }
--- a/crates/valvestage-experiment/src/data_path/packet_rate.rs
+++ b/crates/valvestage-experiment/src/data_path/packet_rate.rs
@@ -13,8 +13,8 @@
 use valvestage_balancer::data_path::{DataHandler, DataOptions, Outbound};
 use valvestage_balancer::metrics::BalancerMetrics;
 use valvestage_balancer::threads::{
-    BATCH_DATAGRAMS, BUFFER_BYTES, batch_ring, decide_loop, receive_batch, receive_loop, send_all,
-    send_loop,
+    BATCH_DATAGRAMS, RECEIVE_BUFFER_BYTES, batch_ring, decide_loop, receive_batch, receive_loop,
+    send_all, send_loop,
 };
 use valvestage_core::PacketKind;
 use valvestage_policy::balancer::BalancerOptions;
@@ -120,7 +120,7 @@
     thread::scope(|scope| {
         scope.spawn(|| {
             let metrics = BalancerMetrics::default();
-            let mut buffers = vec![[0; BUFFER_BYTES]; BATCH_DATAGRAMS];
+            let mut buffers = vec![[0; RECEIVE_BUFFER_BYTES]; BATCH_DATAGRAMS];
             while !stops.load(Ordering::Relaxed) {
                 let Ok(batch) = receive_batch(&socket, &mut buffers) else {
                     continue;
@@ -154,7 +154,7 @@
     let metrics = Arc::new(BalancerMetrics::default());
     let options = DataOptions {
         policy: BalancerOptions::new(1, zone_name(0)),
-        fabrics: vec![fabric.local_addr().expect("bound")],
+        fabric_addresses: vec![fabric.local_addr().expect("bound")],
     };
     let mut handler = DataHandler::new(options, metrics.clone(), SystemTime::now());
     let mut out = Vec::new();
--- a/crates/valvestage-operator/src/api.rs
+++ b/crates/valvestage-operator/src/api.rs
@@ -12,7 +12,7 @@
 use valvestage_core::settings::DeploymentSettings;
 use valvestage_platform::{PlatformClient, StoreOptions};
 use valvestage_policy::operations::Intent;
-use valvestage_process::secrets::same_token;
+use valvestage_process::secrets::tokens_match;
 use valvestage_wire::operators::{ConfirmResult, StatusReport};
 
 use crate::balancers::BalancerClients;
@@ -71,7 +71,7 @@
     let api = request.app_data::<Data<Api>>();
 
     match (given, api) {
-        (Some(given), Some(api)) if same_token(given, &api.operator_token) => {
+        (Some(given), Some(api)) if tokens_match(given, &api.operator_token) => {
             next.call(request).await
         }
         _ => Err(ErrorUnauthorized(
@@ -130,7 +130,7 @@
 async fn why(
     api: Data<Api>,
     query: Query<ExplanationQuery>,
-) -> Result<Json<valvestage_wire::operators::Story>, ApiError> {
+) -> Result<Json<valvestage_wire::operators::Explanation>, ApiError> {
     explain(&api.platform, &api.balancers, query.into_inner()).await.map(Json)
 }
 
--- a/crates/valvestage-operator/src/explanations.rs
+++ b/crates/valvestage-operator/src/explanations.rs
@@ -9,7 +9,7 @@
 use valvestage_policy::control::{ObjectKey, ObjectValue};
 use valvestage_policy::flows::FlowHasher;
 use valvestage_policy::operations::{DecisionRecord, Subject};
-use valvestage_wire::operators::{Story, StorySentence};
+use valvestage_wire::operators::{ExplainedDecision, Explanation};
 
 use crate::balancers::BalancerClients;
 use crate::changes::read_configuration;
@@ -35,7 +35,7 @@
     platform: &PlatformClient,
     balancers: &BalancerClients,
     query: ExplanationQuery,
-) -> Result<Story, ApiError> {
+) -> Result<Explanation, ApiError> {
     let subject = find_subject(platform, query).await?;
     let answers = balancers.decisions(subject).await;
 
@@ -45,13 +45,13 @@
         answers.into_iter().filter_map(|(_, records)| records).flatten().collect();
     records.sort_by_key(|record| record.at_ms);
 
-    Ok(Story { sentences: records.into_iter().map(to_sentence).collect(), silent })
+    Ok(Explanation { sentences: records.into_iter().map(to_sentence).collect(), silent })
 }
 
-fn to_sentence(record: DecisionRecord) -> StorySentence {
+fn to_sentence(record: DecisionRecord) -> ExplainedDecision {
     let sentence = format!("Balancer {} {}.", record.balancer, record.decision);
 
-    StorySentence { record, sentence }
+    ExplainedDecision { record, sentence }
 }
 
 async fn find_subject(
--- a/crates/valvestage-operator/src/main.rs
+++ b/crates/valvestage-operator/src/main.rs
@@ -9,7 +9,7 @@
 use valvestage_core::settings::OperatorSettings;
 use valvestage_operator::api::{ApiOptions, configure};
 use valvestage_platform::StoreOptions;
-use valvestage_process::command_line::{parse, settings_are_right, usage_error};
+use valvestage_process::command_line::{parse, report_usage_error, report_valid_settings};
 use valvestage_process::secrets::read_token;
 use valvestage_process::{ProcessError, exit_codes, logging};
 
@@ -41,15 +41,15 @@
     };
     let settings = match OperatorSettings::read(&arguments.settings) {
         Ok(settings) => settings,
-        Err(error) => return usage_error(PROGRAM, &error),
+        Err(error) => return report_usage_error(PROGRAM, &error),
     };
     if arguments.check_settings {
-        return settings_are_right(&arguments.settings);
+        return report_valid_settings(&arguments.settings);
     }
 
     let options = match api_options(&settings) {
         Ok(options) => options,
-        Err(error) => return usage_error(PROGRAM, &error),
+        Err(error) => return report_usage_error(PROGRAM, &error),
     };
     match serve(&settings, options).await {
         Ok(()) => ExitCode::from(exit_codes::SUCCESS),
--- a/crates/valvestage-policy/src/steering/peers/peer_message.rs
+++ b/crates/valvestage-policy/src/steering/peers/peer_message.rs
@@ -55,13 +55,13 @@
     #[must_use]
     pub fn bytes(&self) -> usize {
         /// Bytes of the headers of a datagram and of the fields before a chunk.
-        const HEAD_BYTES: usize = 60;
+        const HEADER_BYTES: usize = 60;
 
         match self {
             Self::RoutesIndex(index) => {
-                (HEAD_BYTES + size_of_val(index.digests.as_slice())).min(MAX_MESSAGE_BYTES)
+                (HEADER_BYTES + size_of_val(index.digests.as_slice())).min(MAX_MESSAGE_BYTES)
             }
-            Self::RoutesChunk(chunk) => (HEAD_BYTES + chunk.bytes()).min(MAX_MESSAGE_BYTES),
+            Self::RoutesChunk(chunk) => (HEADER_BYTES + chunk.bytes()).min(MAX_MESSAGE_BYTES),
             _ => MAX_MESSAGE_BYTES,
         }
     }
--- a/crates/valvestage-policy/src/steering/placement/cold_shares.rs
+++ b/crates/valvestage-policy/src/steering/placement/cold_shares.rs
@@ -34,9 +34,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdLimit {
     /// Factor on the rate; above 0.
-    pub over: f64,
+    pub rate_factor: f64,
     /// Requests per second allowed on top of that; not negative.
-    pub slack: f64,
+    pub extra_rate: f64,
 }
 
 impl ColdLimit {
@@ -44,7 +44,7 @@
     /// rate.
     #[must_use]
     pub fn allowed(self, rate: ColdRate) -> f64 {
-        rate.per_second() * self.over + self.slack
+        rate.per_second() * self.rate_factor + self.extra_rate
     }
 }
 
--- a/crates/valvestage-policy/tests/simulation/site.rs
+++ b/crates/valvestage-policy/tests/simulation/site.rs
@@ -60,7 +60,7 @@
     /// What operators may do with zones, and what cold backend servers bear.
     pub fn add_places(&mut self, draw: &mut SeededDraw) {
         let number = |draw: &mut SeededDraw, limit| u32::try_from(draw.below(limit)).expect("few");
-        let limit = ColdLimit { over: 1.5, slack: f64::from(number(draw, 4)) };
+        let limit = ColdLimit { rate_factor: 1.5, extra_rate: f64::from(number(draw, 4)) };
         let rate = ColdRate::try_from(f64::from(1 + number(draw, 6))).expect("a rate");
         let cold_ms = 1_000 + Millis::from(number(draw, 6_000));
 
--- a/crates/valvestage-policy/tests/steering/cold_backends.rs
+++ b/crates/valvestage-policy/tests/steering/cold_backends.rs
@@ -19,7 +19,7 @@
 };
 
 /// How far operators allow the rate to be exceeded.
-const LIMIT: ColdLimit = ColdLimit { over: 1.5, slack: 5.0 };
+const LIMIT: ColdLimit = ColdLimit { rate_factor: 1.5, extra_rate: 5.0 };
 
 /// Number of cold backend servers in the zone.
 const SERVERS: u64 = 4;
--- a/crates/valvestage-process/src/command_line.rs
+++ b/crates/valvestage-process/src/command_line.rs
@@ -24,14 +24,14 @@
 }
 
 /// Prints an error in the settings to standard error, and returns the exit code for it.
-pub fn usage_error(program: &str, error: &dyn std::fmt::Display) -> ExitCode {
+pub fn report_usage_error(program: &str, error: &dyn std::fmt::Display) -> ExitCode {
     eprintln!("{program}: {error}");
 
     ExitCode::from(exit_codes::USAGE)
 }
 
 /// Prints that the settings are valid, and returns the exit code for `--check-settings`.
-pub fn settings_are_right(file: &Path) -> ExitCode {
+pub fn report_valid_settings(file: &Path) -> ExitCode {
     println!("{}: the settings are right", file.display());
 
     ExitCode::from(exit_codes::SUCCESS)
--- a/crates/valvestage-process/src/log_ring.rs
+++ b/crates/valvestage-process/src/log_ring.rs
@@ -100,7 +100,7 @@
 
     /// Returns the number of dropped lines that no written line has reported yet.
     #[must_use]
-    pub fn left_out(&self) -> u64 {
+    pub fn dropped_lines(&self) -> u64 {
         self.dropped_lines.load(Ordering::Relaxed)
     }
 }
--- a/crates/valvestage-process/src/secrets.rs
+++ b/crates/valvestage-process/src/secrets.rs
@@ -24,7 +24,7 @@
 /// Compares two tokens in a time that does not depend on where they differ, so that the time
 /// reveals nothing about the expected token.
 #[must_use]
-pub fn same_token(left: &str, right: &str) -> bool {
+pub fn tokens_match(left: &str, right: &str) -> bool {
     let differences = left.bytes().zip(right.bytes()).fold(0, |sum, (l, r)| sum | (l ^ r));
 
     left.len() == right.len() && differences == 0
--- a/crates/valvestage-process/src/structured_log.rs
+++ b/crates/valvestage-process/src/structured_log.rs
@@ -24,7 +24,7 @@
 /// Returns the current time in the form that every line contains: milliseconds since the Unix
 /// epoch.
 #[must_use]
-pub fn time_of_day() -> u64 {
+pub fn unix_time_ms() -> u64 {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
 
     elapsed.map_or(0, |elapsed| u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX))
@@ -37,7 +37,7 @@
 impl LogWriter for RingWriter {
     fn write(&self, _now: &mut DeferredNow, record: &Record) -> std::io::Result<()> {
         let mut line = Map::new();
-        line.insert("time_ms".into(), time_of_day().into());
+        line.insert("time_ms".into(), unix_time_ms().into());
         line.insert("level".into(), record.level().as_str().into());
         line.insert("event".into(), "message".into());
         line.insert("module".into(), record.module_path().unwrap_or_default().into());
--- a/crates/valvestage-process/tests/log_ring.rs
+++ b/crates/valvestage-process/tests/log_ring.rs
@@ -36,7 +36,7 @@
     for number in 0..20_000 {
         ring.write(format!("line {number}").into_bytes());
     }
-    assert!(ring.left_out() >= 10_000, "only {} lines dropped", ring.left_out());
+    assert!(ring.dropped_lines() >= 10_000, "only {} lines dropped", ring.dropped_lines());
 
     drop(permit);
     let mut text = String::new();
--- a/crates/valvestage-soak/src/backend_servers.rs
+++ b/crates/valvestage-soak/src/backend_servers.rs
@@ -9,15 +9,15 @@
 
 use crossbeam_channel::{Receiver, Sender};
 use valvestage_core::ids::InstanceId;
-use valvestage_platform::packet::{HEAD_BYTES, PREFIX_BYTES};
+use valvestage_platform::packet::{HEADER_BYTES, PREFIX_BYTES};
 use valvestage_policy::steering::FlowAddresses;
 use valvestage_standins::draws::Draws;
 
-use crate::backend_manner::BackendBehaviour;
+use crate::backend_behaviour::BackendBehaviour;
 use crate::link_table::{LinkTable, LinkTarget};
 use crate::observation::{Observation, ObservedEvent, StallDetector};
 use crate::site_plan::SitePlan;
-use crate::soak_options::{Sabotage, SoakOptions};
+use crate::soak_options::{InjectedDefect, SoakOptions};
 use valvestage_standins::packets::backend_flow::BackendFlow;
 use valvestage_standins::packets::flow_packet::{FlowPacket, flags};
 use valvestage_standins::packets::socket_set::SocketSet;
@@ -79,7 +79,7 @@
     observations: Sender<Observation>,
     delayed: Vec<DelayedPacket>,
     draws: Draws,
-    sabotage: Option<Sabotage>,
+    defect: Option<InjectedDefect>,
 }
 
 impl BackendServers {
@@ -103,7 +103,7 @@
             observations,
             delayed: Vec::new(),
             draws: Draws::new(options.seed),
-            sabotage: options.sabotage,
+            defect: options.defect,
         })
     }
 
@@ -177,7 +177,7 @@
     fn deliver(&mut self, balancer: usize, place: usize, bytes: &[u8], now: Instant) {
         let place = self.delivery_place(place, bytes);
         let mut bytes = bytes.to_vec();
-        if self.sabotage == Some(Sabotage::SpoilPackets)
+        if self.defect == Some(InjectedDefect::CorruptPackets)
             && let Some(last) = bytes.last_mut()
         {
             *last ^= 1;
@@ -186,7 +186,7 @@
         let Some((prefix, packet)) = bytes.split_at_checked(PREFIX_BYTES) else { return };
         // An instance ignores packets that are addressed to another instance.
         let is_addressed = prefix == backend.instance.to_be_bytes();
-        if !is_addressed && self.sabotage != Some(Sabotage::Misroute) {
+        if !is_addressed && self.defect != Some(InjectedDefect::Misroute) {
             return;
         }
         let (Some(decoded), true) = (FlowPacket::decode(packet), FlowPacket::is_genuine(packet))
@@ -201,7 +201,7 @@
             self.sockets.send(place, caller, &answer.encode());
         }
         for event in events {
-            let runs_again = self.sabotage == Some(Sabotage::RunTwice)
+            let runs_again = self.defect == Some(InjectedDefect::RunTwice)
                 && matches!(event, ObservedEvent::Executed { .. });
             if runs_again {
                 self.report(event.clone());
@@ -213,10 +213,10 @@
     /// Returns the place that a packet is delivered to: the one that the balancer sent it to,
     /// unless the run misroutes packets on purpose.
     fn delivery_place(&self, place: usize, bytes: &[u8]) -> usize {
-        let has_no_data = bytes.len() == PREFIX_BYTES + HEAD_BYTES;
+        let has_no_data = bytes.len() == PREFIX_BYTES + HEADER_BYTES;
         let is_past_opening = bytes.get(PREFIX_BYTES).is_some_and(|bits| bits & flags::SYN == 0);
 
-        if self.sabotage == Some(Sabotage::Misroute) && is_past_opening && has_no_data {
+        if self.defect == Some(InjectedDefect::Misroute) && is_past_opening && has_no_data {
             (place + 1) % self.plan.backends
         } else {
             place
@@ -227,7 +227,7 @@
         for (place, backend) in &mut self.running {
             for flow in backend.flows.values_mut() {
                 for mut packet in flow.due_packets(now) {
-                    if self.sabotage == Some(Sabotage::SpoilAnswers) {
+                    if self.defect == Some(InjectedDefect::CorruptAnswers) {
                         packet.data[0] ^= 1;
                     }
                     let caller = SocketAddrV4::new(*packet.destination.ip(), self.plan.data_port);
--- a/crates/valvestage-soak/src/caller_load.rs
+++ b/crates/valvestage-soak/src/caller_load.rs
@@ -15,7 +15,7 @@
 use crate::observation::{Observation, ObservedEvent, StallDetector};
 use crate::router_table::RouterTable;
 use crate::site_plan::{INTERMITTENT, STEADY, SWITCHING, SitePlan, ZONES};
-use crate::soak_options::{Sabotage, SoakOptions};
+use crate::soak_options::{InjectedDefect, SoakOptions};
 use valvestage_standins::packets::caller_flow::{CallerFlow, FlowProgress, FlowStep};
 use valvestage_standins::packets::flow_packet::{FlowPacket, flags};
 use valvestage_standins::packets::packet_request::PacketRequest;
@@ -74,7 +74,7 @@
     next_flow: Instant,
     flow_count: usize,
     request_count: RequestId,
-    sabotage: Option<Sabotage>,
+    defect: Option<InjectedDefect>,
 }
 
 impl CallerLoad {
@@ -93,7 +93,7 @@
             router,
             observations,
             draws: Draws::new(options.seed),
-            sabotage: options.sabotage,
+            defect: options.defect,
             sessions: HashMap::new(),
             interval: Duration::from_secs(1) / options.flows_per_second.max(1),
             next_flow: Instant::now(),
@@ -195,7 +195,7 @@
             return;
         }
 
-        if self.sabotage == Some(Sabotage::ForgeResets) && !packet.data.is_empty() {
+        if self.defect == Some(InjectedDefect::ForgeResets) && !packet.data.is_empty() {
             let balancer = SocketAddrV4::new(self.plan.balancer(0), self.plan.data_port);
             return self.handle_reset(flow, balancer, now);
         }
--- a/crates/valvestage-soak/src/main.rs
+++ b/crates/valvestage-soak/src/main.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use bpaf::Bpaf;
-use valvestage_process::command_line::{parse, usage_error};
+use valvestage_process::command_line::{parse, report_usage_error};
 use valvestage_process::exit_codes;
 use valvestage_soak::backend_places::MIN_BACKENDS;
 use valvestage_soak::site_plan::ZONES;
@@ -135,7 +135,7 @@
 
     let stop = match stop_flag() {
         Ok(stop) => stop,
-        Err(error) => return usage_error(PROGRAM, &error),
+        Err(error) => return report_usage_error(PROGRAM, &error),
     };
     let clean = match arguments {
         Arguments::Run { seed, seeds, minutes, shape } => {
@@ -145,14 +145,14 @@
         Arguments::Cost { shape } => measure_cost(&shape),
         Arguments::Known { shape } => match seed_list::read(&shape.known) {
             Ok(known) => run_known(&known, &shape, &stop),
-            Err(error) => return usage_error(PROGRAM, &error),
+            Err(error) => return report_usage_error(PROGRAM, &error),
         },
         Arguments::List { known } => match seed_list::read(&known) {
             Ok(known) => {
                 print_list(&known);
                 true
             }
-            Err(error) => return usage_error(PROGRAM, &error),
+            Err(error) => return report_usage_error(PROGRAM, &error),
         },
     };
     ExitCode::from(if clean { exit_codes::SUCCESS } else { exit_codes::FAILURE })
--- a/crates/valvestage-soak/src/promise_checker.rs
+++ b/crates/valvestage-soak/src/promise_checker.rs
@@ -8,13 +8,13 @@
 use valvestage_policy::steering::FlowAddresses;
 use valvestage_standins::packets::RequestId;
 
+use crate::ground_truth::GroundTruth;
 use crate::observation::{Observation, ObservedEvent};
 use crate::promise::{
     CONFIGURATION_WITHIN, DISTURBANCE_MARGIN, DRAIN_WITHIN, EVACUATION_WITHIN, MISROUTE_LIMIT,
     MISROUTE_WINDOW, Promise, ROLLBACK_GRACE,
 };
 use crate::site_plan::INTERMITTENT;
-use crate::site_truth::GroundTruth;
 
 /// Number of violations recorded in detail; further ones are only counted.
 const MAX_DETAILS: usize = 50;
--- a/crates/valvestage-soak/src/soak_options.rs
+++ b/crates/valvestage-soak/src/soak_options.rs
@@ -32,7 +32,7 @@
     /// Ends the run early when set to true; the balancers are killed as well.
     pub stop: Arc<AtomicBool>,
     /// Defect injected on purpose, so that a test can show that a check is able to fail.
-    pub sabotage: Option<Sabotage>,
+    pub defect: Option<InjectedDefect>,
 }
 
 impl Default for SoakOptions {
@@ -48,18 +48,18 @@
             kinds: FaultKind::ALL.to_vec(),
             timed: true,
             stop: Arc::default(),
-            sabotage: None,
+            defect: None,
         }
     }
 }
 
 /// Defect that disables or corrupts one mechanism, to test the checks themselves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sabotage {
+pub enum InjectedDefect {
     /// Draining and deletion of backend servers are not written to the store.
-    HideBackends,
+    WithholdBackendChanges,
     /// Configurations after the first are not written to the store.
-    HideConfigurations,
+    WithholdConfigurations,
     /// Configurations after the first are written without the route of the steady address.
     DropRoute,
     /// Newer configuration versions are written with older routes than they should have.
@@ -69,15 +69,15 @@
     /// Packets without data, other than opening packets, arrive at another backend server.
     Misroute,
     /// Packets are corrupted on their way to backend servers.
-    SpoilPackets,
+    CorruptPackets,
     /// Answers are corrupted on their way to callers.
-    SpoilAnswers,
+    CorruptAnswers,
     /// Each request is reported as executed twice.
     RunTwice,
     /// Callers treat packets with data as resets by a balancer.
     ForgeResets,
     /// Killed balancers are not restarted.
-    LeaveDead,
+    SkipRestarts,
     /// Kills of balancers are not recorded as intended, so that they look like crashes.
-    EndUnseen,
+    UnrecordedKill,
 }
--- a/crates/valvestage-soak/src/soak_run.rs
+++ b/crates/valvestage-soak/src/soak_run.rs
@@ -12,16 +12,16 @@
 use valvestage_standins::draws::Draws;
 use valvestage_standins::platform::Faults;
 
-use crate::backend_manner::BackendBehaviour;
+use crate::backend_behaviour::BackendBehaviour;
 use crate::backend_places::BackendPlaces;
 use crate::backend_servers::BackendCommand;
 use crate::errors::{SoakError, failed_to};
 use crate::fault_kind::FaultKind;
 use crate::fault_plan::{PlannedFault, plan};
+use crate::ground_truth::GroundTruth;
 use crate::observation::{StallDetector, receive_until};
 use crate::promise::{Promise, RECOVERY_WITHIN};
 use crate::promise_checker::PromiseChecker;
-use crate::site_truth::GroundTruth;
 use crate::soak_options::SoakOptions;
 use crate::soak_report::{SoakEvent, SoakReport};
 use crate::soak_site::SoakSite;
--- a/crates/valvestage-soak/src/soak_run/fault_effects.rs
+++ b/crates/valvestage-soak/src/soak_run/fault_effects.rs
@@ -5,15 +5,15 @@
 use nix::sys::signal::Signal;
 
 use super::{BalancerState, LOOP_INTERVAL, SoakRun, TimerAction};
-use crate::backend_manner::BackendBehaviour;
+use crate::backend_behaviour::BackendBehaviour;
 use crate::backend_servers::BackendCommand;
 use crate::errors::{SoakError, failed_to};
 use crate::fault_kind::FaultKind;
 use crate::fault_plan::PlannedFault;
+use crate::ground_truth::EvacuationRecord;
 use crate::link_table::{LinkEffect, LinkFault, LinkScope};
 use crate::site_plan::{SitePlan, ZONES};
-use crate::site_truth::EvacuationRecord;
-use crate::soak_options::Sabotage;
+use crate::soak_options::InjectedDefect;
 use crate::store_relay::StoreLinkState;
 
 /// Time after a backend server falls silent at which its entry expires from the store.
@@ -125,10 +125,10 @@
 
         self.truth.disturb_balancer(number, until, false);
         self.signal(number, Signal::SIGKILL)?;
-        if self.options.sabotage != Some(Sabotage::EndUnseen) {
+        if self.options.defect != Some(InjectedDefect::UnrecordedKill) {
             self.balancer_states[number] = BalancerState::Killed;
         }
-        if self.options.sabotage != Some(Sabotage::LeaveDead) {
+        if self.options.defect != Some(InjectedDefect::SkipRestarts) {
             let action = TimerAction::StartBalancer { number, planned: false };
             self.timers.push((until, action));
         }
@@ -225,7 +225,7 @@
         let service = self.places.next_service(place);
         self.places.reserve(place, starts_at + LOOP_INTERVAL);
 
-        if self.options.sabotage != Some(Sabotage::HideBackends) {
+        if self.options.defect != Some(InjectedDefect::WithholdBackendChanges) {
             self.write_entry(place, true);
         }
         if let Some(record) = self.truth.backends.get_mut(&self.places.get(place).instance) {
--- a/crates/valvestage-soak/src/soak_run/site_changes.rs
+++ b/crates/valvestage-soak/src/soak_run/site_changes.rs
@@ -7,11 +7,11 @@
 
 use super::SoakRun;
 use crate::backend_servers::BackendCommand;
+use crate::ground_truth::{BackendRecord, ConfigurationRecord};
 use crate::site_plan::{
     INTERMITTENT, Routes, SERVICES, STEADY, SWITCHING, SitePlan, other_service,
 };
-use crate::site_truth::{BackendRecord, ConfigurationRecord};
-use crate::soak_options::Sabotage;
+use crate::soak_options::InjectedDefect;
 
 impl SoakRun {
     /// Starts the backend server instance that is assigned to a place, and writes its entry.
@@ -42,15 +42,15 @@
     }
 
     pub(super) fn delete_entry(&self, place: usize) {
-        if self.options.sabotage != Some(Sabotage::HideBackends) {
+        if self.options.defect != Some(InjectedDefect::WithholdBackendChanges) {
             self.site.store.delete_backend(self.places.get(place).instance);
         }
     }
 
     pub(super) fn write_entry(&self, place: usize, is_draining: bool) {
         let entry = self.places.get(place);
-        let service = match self.options.sabotage {
-            Some(Sabotage::SwapServices) => other_service(entry.service),
+        let service = match self.options.defect {
+            Some(InjectedDefect::SwapServices) => other_service(entry.service),
             _ => entry.service,
         };
 
@@ -70,7 +70,7 @@
             routes.insert(INTERMITTENT, SERVICES[0]);
         }
 
-        let written = written_routes(self.options.sabotage, number, &mut routes);
+        let written = written_routes(self.options.defect, number, &mut routes);
         if let Some(written) = written {
             self.site.store.put_configuration(self.version, &written);
         }
@@ -83,20 +83,20 @@
 /// Returns the routes to write to the store, or `None` to write nothing. They differ from the
 /// expected `routes` only if a run corrupts configurations on purpose.
 fn written_routes(
-    sabotage: Option<Sabotage>,
+    defect: Option<InjectedDefect>,
     number: usize,
     routes: &mut Routes,
 ) -> Option<Routes> {
     let mut written = routes.clone();
 
-    match sabotage {
-        Some(Sabotage::HideConfigurations) if number > 0 => return None,
-        Some(Sabotage::DropRoute) if number > 0 => {
+    match defect {
+        Some(InjectedDefect::WithholdConfigurations) if number > 0 => return None,
+        Some(InjectedDefect::DropRoute) if number > 0 => {
             written.remove(&STEADY);
         }
         // The expected route stays that of the second configuration, while the written one
         // alternates.
-        Some(Sabotage::RollBack) if number > 0 => {
+        Some(InjectedDefect::RollBack) if number > 0 => {
             routes.insert(SWITCHING, SERVICES[1]);
         }
         _ => {}
--- a/crates/valvestage-standins/src/packets/flow_packet.rs
+++ b/crates/valvestage-standins/src/packets/flow_packet.rs
@@ -7,7 +7,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use siphasher::sip::SipHasher13;
-use valvestage_platform::packet::HEAD_BYTES;
+use valvestage_platform::packet::HEADER_BYTES;
 use valvestage_policy::steering::FlowAddresses;
 
 /// Bits of the first byte of a packet.
@@ -55,7 +55,7 @@
     /// Encodes the packet with its checksum.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
-        let mut bytes = vec![0; HEAD_BYTES];
+        let mut bytes = vec![0; HEADER_BYTES];
 
         bytes[0] = self.flags;
         bytes[TOKEN_OFFSET..10].copy_from_slice(&self.token.to_le_bytes());
@@ -69,7 +69,7 @@
         bytes[30..32].copy_from_slice(&self.destination.port().to_le_bytes());
         bytes.extend_from_slice(&self.data);
         let checksum = compute_checksum(&bytes);
-        bytes[CHECKSUM_OFFSET..HEAD_BYTES].copy_from_slice(&checksum.to_le_bytes());
+        bytes[CHECKSUM_OFFSET..HEADER_BYTES].copy_from_slice(&checksum.to_le_bytes());
         bytes
     }
 
@@ -89,7 +89,7 @@
             acknowledged: read_u32(16)?,
             source: SocketAddrV4::new(Ipv4Addr::from(read_u32(22)?), read_u16(20)?),
             destination: SocketAddrV4::new(Ipv4Addr::from(read_u32(26)?), read_u16(30)?),
-            data: bytes.get(HEAD_BYTES..)?.to_vec(),
+            data: bytes.get(HEADER_BYTES..)?.to_vec(),
         })
     }
 
@@ -98,7 +98,7 @@
     #[must_use]
     pub fn is_genuine(bytes: &[u8]) -> bool {
         bytes
-            .get(CHECKSUM_OFFSET..HEAD_BYTES)
+            .get(CHECKSUM_OFFSET..HEADER_BYTES)
             .is_some_and(|checksum| checksum == compute_checksum(bytes).to_le_bytes())
     }
 
@@ -106,9 +106,9 @@
     /// checksum and leave it 0.
     #[must_use]
     pub fn is_from_balancer(bytes: &[u8]) -> bool {
-        bytes.len() == HEAD_BYTES
+        bytes.len() == HEADER_BYTES
             && bytes[0] == flags::RST
-            && bytes[CHECKSUM_OFFSET..HEAD_BYTES] == [0; 4]
+            && bytes[CHECKSUM_OFFSET..HEADER_BYTES] == [0; 4]
     }
 
     /// Reports whether a bit from [`flags`] is set.
@@ -130,7 +130,7 @@
     let mut hasher = SipHasher13::new_with_keys(CHECKSUM_KEY, 0);
     hasher.write(&bytes[..1]);
     hasher.write(&bytes[10..CHECKSUM_OFFSET]);
-    hasher.write(&bytes[HEAD_BYTES..]);
+    hasher.write(&bytes[HEADER_BYTES..]);
 
     // The upper half of the hash serves as the 32-bit checksum.
     u32::try_from(hasher.finish() >> 32).unwrap_or(u32::MAX)
--- a/crates/valvestage-standins/src/platform/server.rs
+++ b/crates/valvestage-standins/src/platform/server.rs
@@ -17,7 +17,7 @@
 use tokio::time::{Instant, sleep, timeout_at};
 use valvestage_core::ids::StoreRevision;
 use valvestage_platform::messages::WireObject;
-use valvestage_platform::objects::kind_of;
+use valvestage_platform::objects::object_kind;
 
 use super::faults::Faults;
 use super::store::{ObjectStore, WriteError};
@@ -48,13 +48,13 @@
     /// Writes one of valvestage's own objects without a revision check. Its kind follows from the
     /// key.
     pub fn put(&self, key: &str, value: Value) {
-        self.put_object(kind_of(key), key, value);
+        self.put_object(object_kind(key), key, value);
     }
 
     /// Returns the value of one of valvestage's own objects.
     #[must_use]
     pub fn get(&self, key: &str) -> Option<Value> {
-        self.store().read(kind_of(key), key).map(|object| object.spec.clone())
+        self.store().read(object_kind(key), key).map(|object| object.spec.clone())
     }
 
     /// Creates or replaces an object of any kind without a revision check.
--- a/crates/valvestage-standins/src/platform/store.rs
+++ b/crates/valvestage-standins/src/platform/store.rs
@@ -106,7 +106,7 @@
 
         let items =
             objects_of_kind.by_ref().take(page_size).map(|(_, object)| object.clone()).collect();
-        ListPage { items, more: objects_of_kind.next().is_some(), revision: self.revision }
+        ListPage { items, has_more: objects_of_kind.next().is_some(), revision: self.revision }
     }
 
     /// Returns a kind's changes after a revision, without those of the last `lag` revisions.
--- a/crates/valvestage-story/src/lib.rs
+++ b/crates/valvestage-story/src/lib.rs
@@ -3,7 +3,7 @@
 //! | module | contents |
 //! |---|---|
 //! | [`log_line`] | a line of `valvestage-entry`'s log |
-//! | [`story_query`] | the subject of a query |
+//! | [`log_query`] | the subject of a query |
 //! | [`line_selection`] | selection of the lines that answer a query |
 //! | [`sentences`] | description of a line in plain English |
 //! | [`errors`] | the error type of this crate |
@@ -11,10 +11,10 @@
 pub mod errors;
 pub mod line_selection;
 pub mod log_line;
+pub mod log_query;
 pub mod sentences;
-pub mod story_query;
 
 pub use errors::LogLineError;
-pub use line_selection::tell;
+pub use line_selection::select_lines;
 pub use log_line::LogLine;
-pub use story_query::StoryQuery;
+pub use log_query::LogQuery;
--- a/crates/valvestage-story/src/line_selection.rs
+++ b/crates/valvestage-story/src/line_selection.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use crate::log_line::LogLine;
-use crate::story_query::StoryQuery;
+use crate::log_query::LogQuery;
 
 /// Period before the first line of a flow from which changes of the balancer's state are included,
 /// in milliseconds. It covers the entries of dead backend servers, which last about 2.3 s, and
@@ -23,11 +23,11 @@
 
 /// Returns the lines that answer a query, ordered by time; empty if the logs contain none.
 #[must_use]
-pub fn tell(lines: Vec<LogLine>, query: &StoryQuery) -> Vec<LogLine> {
+pub fn select_lines(lines: Vec<LogLine>, query: &LogQuery) -> Vec<LogLine> {
     let mut selected = match query {
-        StoryQuery::Flow(caller) => select_flow_lines(lines, &caller.to_string()),
-        StoryQuery::Backend(id) => select(lines, |line| is_about_backend(line, id)),
-        StoryQuery::Version(version) => {
+        LogQuery::Flow(caller) => select_flow_lines(lines, &caller.to_string()),
+        LogQuery::Backend(id) => select(lines, |line| is_about_backend(line, id)),
+        LogQuery::Version(version) => {
             select(lines, |line| line.number("version") == Some(*version) && is_view_event(line))
         }
     };
--- a/crates/valvestage-story/src/story_query.rs
+++ b/crates/valvestage-story/src/log_query.rs
@@ -4,7 +4,7 @@
 
 /// Subject whose log lines are selected.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum StoryQuery {
+pub enum LogQuery {
     /// A flow, by the address and port of its caller.
     Flow(SocketAddrV4),
     /// A backend server, by its id in hexadecimal digits.
--- a/crates/valvestage-story/tests/story.rs
+++ b/crates/valvestage-story/tests/story.rs
@@ -1,7 +1,7 @@
 //! Selection and description of the log lines about a flow, a backend server or a configuration.
 
 use valvestage_story::sentences::sentence;
-use valvestage_story::{LogLine, LogLineError, StoryQuery, tell};
+use valvestage_story::{LogLine, LogLineError, LogQuery, select_lines};
 
 const LOG: &str = r#"
   1.2 vm-1 {"time_ms":1000,"vm":"vm-1","event":"routes_in_force","version":3,"former_version":0,"addresses":9,"source":"store"}
@@ -24,13 +24,13 @@
     LOG.lines().filter_map(|line| LogLine::try_from(line).ok()).collect()
 }
 
-fn events(query: &StoryQuery) -> Vec<String> {
-    tell(lines(), query).into_iter().map(|line| line.event).collect()
+fn events(query: &LogQuery) -> Vec<String> {
+    select_lines(lines(), query).into_iter().map(|line| line.event).collect()
 }
 
 #[test]
 fn a_flow_has_its_own_lines_and_what_became_of_its_backend_server() {
-    let query = StoryQuery::Flow("10.0.0.1:77".parse().unwrap());
+    let query = LogQuery::Flow("10.0.0.1:77".parse().unwrap());
 
     // Events long before the flow, at another VM or of another caller are not included.
     assert_eq!(events(&query), ["placed", "backend_changed", "reset", "avoided", "slowed"]);
@@ -38,44 +38,47 @@
 
 #[test]
 fn a_flow_that_the_logs_do_not_have_has_no_story() {
-    let query = StoryQuery::Flow("10.0.0.9:1".parse().unwrap());
+    let query = LogQuery::Flow("10.0.0.9:1".parse().unwrap());
 
     assert!(events(&query).is_empty());
 }
 
 #[test]
 fn a_backend_server_and_a_version_have_theirs() {
-    let backend = StoryQuery::Backend("a1".to_owned());
+    let backend = LogQuery::Backend("a1".to_owned());
     assert_eq!(
         events(&backend),
         ["placed", "backend_changed", "reset", "avoided", "slowed", "avoided"]
     );
-    assert_eq!(events(&StoryQuery::Version(3)), ["routes_in_force", "certainty"]);
+    assert_eq!(events(&LogQuery::Version(3)), ["routes_in_force", "certainty"]);
 }
 
 #[test]
 fn sentences_say_the_reason() {
-    let told: Vec<_> = lines().iter().map(sentence).collect();
+    let sentences: Vec<_> = lines().iter().map(sentence).collect();
 
-    assert!(told[0].contains("Configuration 3 with 9 addresses came into force"), "{told:?}");
-    assert!(told[4].contains("its backend server a1 has ended"), "{told:?}");
     assert!(
-        told[6].contains("a1 took 4.2 times as long for its answers as the others"),
-        "{told:?}"
+        sentences[0].contains("Configuration 3 with 9 addresses came into force"),
+        "{sentences:?}"
     );
-    assert!(!told[1].contains("times as long"), "{told:?}");
+    assert!(sentences[4].contains("its backend server a1 has ended"), "{sentences:?}");
+    assert!(
+        sentences[6].contains("a1 took 4.2 times as long for its answers as the others"),
+        "{sentences:?}"
+    );
+    assert!(!sentences[1].contains("times as long"), "{sentences:?}");
 }
 
 #[test]
 fn a_refusal_during_an_evacuation_or_a_cold_return_has_its_cause_beside_it() {
-    let query = StoryQuery::Flow("10.0.0.3:79".parse().unwrap());
-    let told: Vec<_> = tell(lines(), &query).iter().map(sentence).collect();
+    let query = LogQuery::Flow("10.0.0.3:79".parse().unwrap());
+    let sentences: Vec<_> = select_lines(lines(), &query).iter().map(sentence).collect();
 
-    assert!(told[0].contains("Zone zone-a is evacuated since revision 12"), "{told:?}");
-    assert!(told[1].contains("in zones that are evacuated"), "{told:?}");
-    let query = StoryQuery::Flow("10.0.0.4:80".parse().unwrap());
-    let told: Vec<_> = tell(lines(), &query).iter().map(sentence).collect();
-    assert!(told.iter().any(|line| line.contains("have just started")), "{told:?}");
+    assert!(sentences[0].contains("Zone zone-a is evacuated since revision 12"), "{sentences:?}");
+    assert!(sentences[1].contains("in zones that are evacuated"), "{sentences:?}");
+    let query = LogQuery::Flow("10.0.0.4:80".parse().unwrap());
+    let sentences: Vec<_> = select_lines(lines(), &query).iter().map(sentence).collect();
+    assert!(sentences.iter().any(|line| line.contains("have just started")), "{sentences:?}");
 }
 
 #[test]
--- a/crates/valvestage-wire/src/operators.rs
+++ b/crates/valvestage-wire/src/operators.rs
@@ -6,7 +6,7 @@
 //! | `POST /v1/plans` | takes an `Intent`, plans it without changing anything: `Plan` |
 //! | `POST /v1/plans/ID/confirm` | carries the plan out: [`ConfirmResult`] |
 //! | `GET /v1/status` | reports the balancers and their versions: [`StatusReport`] |
-//! | `GET /v1/why?...` | explains the decisions on a flow, request, change or service: [`Story`] |
+//! | `GET /v1/why?...` | explains the decisions on a flow, request, change or service: [`Explanation`] |
 //! | `POST /v1/keys/rotate` | makes a new key for flow tokens: [`ConfirmResult`] |
 //!
 //! An error is an [`ApiProblem`] with status 400 (malformed request), 401 (missing or wrong bearer
@@ -63,7 +63,7 @@
 
 /// A decision with its description in plain English.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StorySentence {
+pub struct ExplainedDecision {
     /// Record of the decision.
     pub record: DecisionRecord,
     /// Description of the decision, in one sentence.
@@ -72,9 +72,9 @@
 
 /// Decisions of all reachable balancers about one subject, ordered by time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Story {
+pub struct Explanation {
     /// Decisions with their descriptions, oldest first.
-    pub sentences: Vec<StorySentence>,
+    pub sentences: Vec<ExplainedDecision>,
     /// Admin addresses of the balancers that did not answer, whose decisions are missing.
     pub silent: Vec<SocketAddr>,
 }
