--- a/crates/valvestage-balancer/tests/processes/deployment.rs
+++ b/crates/valvestage-balancer/tests/processes/deployment.rs
@@ -180,8 +180,8 @@
             duration,
             flow_pause: Duration::from_millis(200),
             echoing_share: 0.5,
-            once_only_share: 0.5,
-            request_patience: REQUEST_TIMEOUT,
+            non_repeatable_share: 0.5,
+            request_timeout: REQUEST_TIMEOUT,
             resend_pause: Duration::from_millis(300),
             seed,
         }
--- a/crates/valvestage-balancer/tests/processes/main.rs
+++ b/crates/valvestage-balancer/tests/processes/main.rs
@@ -26,7 +26,7 @@
     assert_eq!(summary.foreign_answers, 0, "a caller got the answer to another request");
     for id in &summary.not_run_ids {
         let id = u128::from_str_radix(id, 16).unwrap();
-        assert!(!deployment.log.ran(id), "{id:032x} ran, but was reported as not run");
+        assert!(!deployment.log.has_run(id), "{id:032x} ran, but was reported as not run");
     }
     assert!(summary.answered > 0);
 }
@@ -87,11 +87,11 @@
     let load = deployment.start_load();
     deployment.wait_for_runs(RUNS_BEFORE_FAULT);
 
-    deployment.platform.misbehave(Faults { down: true, ..Faults::default() });
+    deployment.platform.inject_faults(Faults { down: true, ..Faults::default() });
     deployment.wait_until("the lease to lapse", |d| !d.any_lease_is_valid());
     let runs = deployment.log.summary().runs;
     deployment.wait_for_runs(runs + RUNS_BEFORE_FAULT);
-    deployment.platform.misbehave(Faults::default());
+    deployment.platform.inject_faults(Faults::default());
     let summary = load.join().unwrap();
 
     // Flows and repeatable requests continue; other requests are refused and do not run twice.
--- a/crates/valvestage-entry/tests/process/main.rs
+++ b/crates/valvestage-entry/tests/process/main.rs
@@ -63,7 +63,7 @@
     let backend = site.backend(1, "core");
     let one = site.ready_balancer("one", &[]);
 
-    site.standin.misbehave(Faults { down: true, ..Faults::default() });
+    site.standin.inject_faults(Faults { down: true, ..Faults::default() });
     let two = site.balancer("two", &[&one]);
     two.wait_ready();
     wait_until("the configuration is in force", || {
@@ -94,7 +94,7 @@
 #[test]
 fn metrics_can_be_read_before_anything_is_known() {
     let site = Site::new();
-    site.standin.misbehave(Faults { down: true, ..Faults::default() });
+    site.standin.inject_faults(Faults { down: true, ..Faults::default() });
     let balancer = site.balancer("one", &[]);
 
     wait_until("a store request has failed", || {
--- a/crates/valvestage-entry/tests/process/site.rs
+++ b/crates/valvestage-entry/tests/process/site.rs
@@ -15,7 +15,7 @@
 use valvestage_platform::packet::PREFIX_BYTES;
 use valvestage_soak::store_relay::StoreRelay;
 use valvestage_standins::packets::flow_packet::{FlowPacket, flags};
-use valvestage_standins::platform::site_objects::{BackendObject, configuration_object};
+use valvestage_standins::platform::published_objects::{BackendObject, configuration_object};
 use valvestage_standins::platform::{PlatformStandin, start};
 
 /// Time limit for any awaited event. A test fails if it is exceeded.
--- a/crates/valvestage-entry/tests/process/troubleshooting.rs
+++ b/crates/valvestage-entry/tests/process/troubleshooting.rs
@@ -89,7 +89,7 @@
 fn a_route_was_not_known_yet_after_an_outage_of_the_store() {
     let site = Site::configured();
     let balancer = site.ready_balancer("one", &[]);
-    site.standin.misbehave(Faults { down: true, ..Faults::default() });
+    site.standin.inject_faults(Faults { down: true, ..Faults::default() });
     wait_until("the knowledge is out of date", || {
         balancer.metric("valvestage_entry_events_total{event=\"certainty\"}") == Some(2)
     });
--- a/crates/valvestage-experiment/src/data_path/decision_time.rs
+++ b/crates/valvestage-experiment/src/data_path/decision_time.rs
@@ -8,7 +8,7 @@
 
 use crate::capacity::full_director;
 use crate::table::Table;
-use valvestage_standins::draws::Draws;
+use valvestage_standins::seeded_rng::SeededRng;
 
 const DECISIONS: usize = 2_000_000;
 
@@ -30,7 +30,7 @@
 
 /// Time of a decision for flows in random order.
 pub fn nanoseconds(director: &mut FlowDirector, keys: &[FlowKey]) -> f64 {
-    let mut draws = Draws::new(5);
+    let mut draws = SeededRng::new(5);
     let order: Vec<FlowKey> = (0..DECISIONS).map(|_| keys[draws.below(keys.len())]).collect();
     let now = SystemTime::now();
 
--- a/crates/valvestage-experiment/src/flows/flow_model.rs
+++ b/crates/valvestage-experiment/src/flows/flow_model.rs
@@ -15,7 +15,7 @@
 use super::change::Change;
 use super::flow_way::FlowWay;
 use crate::deployment::{BALANCERS, backend, configuration, start, zone_name};
-use valvestage_standins::draws::Draws;
+use valvestage_standins::seeded_rng::SeededRng;
 
 const FLOWS: usize = 20_000;
 const SERVICE: u16 = 1;
@@ -84,7 +84,7 @@
     versions: Vec<Arc<Configuration>>,
     next: Arc<Configuration>,
     flows: Vec<Flow>,
-    draws: Draws,
+    draws: SeededRng,
     dead: Option<usize>,
 }
 
@@ -137,7 +137,7 @@
             keys,
             next,
             flows: vec![Flow::default(); FLOWS],
-            draws: Draws::new(SEED),
+            draws: SeededRng::new(SEED),
             dead: None,
         }
     }
@@ -146,22 +146,22 @@
         let mut events = Vec::new();
 
         for flow in 0..FLOWS {
-            events.push((self.draws.word() % CHANGE_AT, Event::Open(flow)));
+            events.push((self.draws.next_u64() % CHANGE_AT, Event::Open(flow)));
             for _ in 0..PACKETS {
-                let at = CHANGE_AT + self.draws.word() % (UNTIL - CHANGE_AT);
+                let at = CHANGE_AT + self.draws.next_u64() % (UNTIL - CHANGE_AT);
                 events.push((at, Event::Packet(flow)));
             }
         }
         for index in 0..self.ids.len() {
-            let heard = CHANGE_AT + self.draws.word() % SPREAD;
+            let heard = CHANGE_AT + self.draws.next_u64() % SPREAD;
             if self.change.changes_backends() {
                 events.push((heard, Event::Configuration(index)));
             }
             if self.change.stops_balancer() || self.change == Change::BalancerJoins {
-                events.push((CHANGE_AT + self.draws.word() % SPREAD, Event::View(index)));
+                events.push((CHANGE_AT + self.draws.next_u64() % SPREAD, Event::View(index)));
             }
             if let Some(killed) = self.change.kills_at() {
-                let noticed = NOTICED_AFTER + self.draws.word() % NOTICED_SPREAD;
+                let noticed = NOTICED_AFTER + self.draws.next_u64() % NOTICED_SPREAD;
                 events.push((CHANGE_AT + killed + noticed, Event::View(index)));
             }
         }
--- a/crates/valvestage-experiment/src/flows/hot_keys.rs
+++ b/crates/valvestage-experiment/src/flows/hot_keys.rs
@@ -4,7 +4,7 @@
 use valvestage_policy::rendezvous::{best, mix, weighted_score};
 
 use crate::table::Table;
-use valvestage_standins::draws::Draws;
+use valvestage_standins::seeded_rng::SeededRng;
 
 const FLOWS: usize = 100_000;
 const CALLERS: usize = 5_000;
@@ -51,10 +51,10 @@
         sums.push(sum);
     }
 
-    let mut draws = Draws::new(SEED);
+    let mut draws = SeededRng::new(SEED);
     (0..FLOWS)
         .map(|_| {
-            let drawn = draws.unit();
+            let drawn = draws.next_f64();
             sums.partition_point(|sum| *sum < drawn) as u64
         })
         .collect()
--- a/crates/valvestage-experiment/src/placement/model.rs
+++ b/crates/valvestage-experiment/src/placement/model.rs
@@ -8,7 +8,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 
 use valvestage_policy::rendezvous::mix;
-use valvestage_standins::draws::Draws;
+use valvestage_standins::seeded_rng::SeededRng;
 
 use super::PlacementSize;
 use super::placement_way::PlacementWay;
@@ -84,7 +84,7 @@
 struct PlacementModel<'a> {
     size: &'a PlacementSize,
     way: PlacementWay,
-    draws: Draws,
+    draws: SeededRng,
     balancers: Vec<BalancerView>,
     backends: Vec<BackendQueue>,
     ends: BinaryHeap<RunEnd>,
@@ -100,7 +100,7 @@
     let mut imbalances = Vec::new();
 
     for _ in 0..REQUESTS {
-        now += -model.draws.unit().ln() * mean_gap;
+        now += -model.draws.next_f64().ln() * mean_gap;
         model.end_until(now);
         if way == PlacementWay::ToldCounts && now >= next_telling {
             next_telling = now + TELLING.0;
@@ -123,7 +123,7 @@
 
 /// `ideal` gives the 99th percentile of one queue before all slots, milliseconds.
 pub fn ideal(size: &PlacementSize, load: PlacementLoad) -> f64 {
-    let mut draws = Draws::new(load.seed);
+    let mut draws = SeededRng::new(load.seed);
     let slots = size.backends * size.slots;
     let mean_gap = RUN_MS / (as_f64(slots) * load.share);
     let mut free_at: BinaryHeap<Reverse<u64>> = vec![Reverse(0); slots].into();
@@ -131,9 +131,9 @@
     let mut times = Vec::with_capacity(REQUESTS);
 
     for _ in 0..REQUESTS {
-        now += -draws.unit().ln() * mean_gap;
+        now += -draws.next_f64().ln() * mean_gap;
         let Some(Reverse(free)) = free_at.pop() else { continue };
-        let end = now.max(millis_of(free)) - draws.unit().ln() * RUN_MS;
+        let end = now.max(millis_of(free)) - draws.next_f64().ln() * RUN_MS;
         free_at.push(Reverse(nanos_of(end)));
         times.push(end - now + WAY_MS);
     }
@@ -148,7 +148,7 @@
         Self {
             size,
             way,
-            draws: Draws::new(seed),
+            draws: SeededRng::new(seed),
             balancers,
             backends: (0..size.backends).map(|_| BackendQueue::default()).collect(),
             ends: BinaryHeap::new(),
@@ -174,7 +174,7 @@
     }
 
     fn begin(&mut self, now: f64, sent: f64, backend: usize, balancer: usize) {
-        let end = now - self.draws.unit().ln() * RUN_MS;
+        let end = now - self.draws.next_f64().ln() * RUN_MS;
 
         self.ends.push(Reverse((nanos_of(end), backend, balancer, nanos_of(sent))));
     }
@@ -210,14 +210,14 @@
                 if view.own[two[1]] < view.own[two[0]] { two[1] } else { two[0] }
             }
             PlacementWay::Subset => {
-                let draw = self.draws.word();
+                let draw = self.draws.next_u64();
                 let view = &self.balancers[balancer];
                 let best = self.least(balancer, view.subset.iter().copied(), draw);
                 let load = f64::from(view.own[best]) / as_f64(self.size.slots);
                 if load < SPILL_FROM { best } else { self.least_of_all(balancer, draw) }
             }
             PlacementWay::OwnCounts | PlacementWay::ToldCounts | PlacementWay::Exact => {
-                let draw = self.draws.word();
+                let draw = self.draws.next_u64();
                 self.least_of_all(balancer, draw)
             }
         }
--- a/crates/valvestage-experiment/src/requests/ideal.rs
+++ b/crates/valvestage-experiment/src/requests/ideal.rs
@@ -4,7 +4,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use valvestage_standins::draws::Draws;
+use valvestage_standins::seeded_rng::SeededRng;
 
 use super::measures::{Measures, Sample};
 use super::model::{Load, RUN_TIME, WITHIN_ZONE};
@@ -25,7 +25,7 @@
 /// The same arrivals and run times, one first-come queue, no delay but that to callers and one for
 /// each run.
 pub fn ideal(size: &Size, load: Load, way: Duration) -> Measures {
-    let mut draws = Draws::new(load.seed);
+    let mut draws = SeededRng::new(load.seed);
     let rate = capacity(size) * load.share;
     let mean = Duration::from_secs(1).div_f64(rate);
     let slots = size.backends as usize * usize::from(size.slots);
@@ -36,7 +36,7 @@
     for _ in 0..load.requests {
         now += draws.exponential(mean);
         let run_time = draws.exponential(RUN_TIME);
-        let is_bulk = draws.unit() < load.bulk_share;
+        let is_bulk = draws.next_f64() < load.bulk_share;
         let Reverse(free) = free_at.pop().expect("there are slots");
         let end = now.max(free) + run_time + way;
 
--- a/crates/valvestage-experiment/src/requests/model.rs
+++ b/crates/valvestage-experiment/src/requests/model.rs
@@ -19,7 +19,7 @@
 use super::scenario::Scenario;
 use super::way::Way;
 use crate::deployment::{BALANCERS, Size, backend, configuration, start, zone_name};
-use valvestage_standins::draws::Draws;
+use valvestage_standins::seeded_rng::SeededRng;
 
 /// Mean of the exponential run times.
 pub const RUN_TIME: Duration = Duration::from_millis(50);
@@ -69,8 +69,8 @@
     pub(super) load: Load,
     pub(super) now: SystemTime,
     pub(super) queue: EventQueue<Event>,
-    pub(super) arrivals: Draws,
-    pub(super) routes: Draws,
+    pub(super) arrivals: SeededRng,
+    pub(super) routes: SeededRng,
     pub(super) dispatchers: Vec<ServiceDispatcher<()>>,
     pub(super) servers: BTreeMap<BackendId, Server>,
     pub(super) pending: HashMap<RequestId, Pending>,
@@ -120,8 +120,8 @@
             load,
             now: start(),
             queue: EventQueue::new(),
-            arrivals: Draws::new(load.seed),
-            routes: Draws::new(load.seed + 1),
+            arrivals: SeededRng::new(load.seed),
+            routes: SeededRng::new(load.seed + 1),
             dispatchers: Vec::new(),
             servers: servers.collect(),
             pending: HashMap::new(),
@@ -267,7 +267,7 @@
     fn new_request(&mut self, number: usize) {
         let id = number as RequestId;
         let run_time = self.arrivals.exponential(RUN_TIME);
-        let is_bulk = self.arrivals.unit() < self.load.bulk_share;
+        let is_bulk = self.arrivals.next_f64() < self.load.bulk_share;
         let pending = Pending {
             sent: self.now,
             deadline: self.now + self.load.patience,
--- a/crates/valvestage-soak/src/backend_servers.rs
+++ b/crates/valvestage-soak/src/backend_servers.rs
@@ -11,7 +11,7 @@
 use valvestage_core::ids::InstanceId;
 use valvestage_platform::packet::{HEADER_BYTES, PREFIX_BYTES};
 use valvestage_policy::steering::FlowAddresses;
-use valvestage_standins::draws::Draws;
+use valvestage_standins::seeded_rng::SeededRng;
 
 use crate::backend_behaviour::BackendBehaviour;
 use crate::link_table::{LinkTable, LinkTarget};
@@ -78,7 +78,7 @@
     commands: Receiver<BackendCommand>,
     observations: Sender<Observation>,
     delayed: Vec<DelayedPacket>,
-    draws: Draws,
+    rng: SeededRng,
     defect: Option<InjectedDefect>,
 }
 
@@ -102,7 +102,7 @@
             commands,
             observations,
             delayed: Vec::new(),
-            draws: Draws::new(options.seed),
+            rng: SeededRng::new(options.seed),
             defect: options.defect,
         })
     }
@@ -159,7 +159,7 @@
     fn schedule_delivery(&mut self, balancer: usize, place: usize, bytes: Vec<u8>, now: Instant) {
         let target = LinkTarget::BackendIn(SitePlan::zone_of(place));
 
-        if let Some(delay) = self.links.datagram_delay(balancer, target, &mut self.draws, now) {
+        if let Some(delay) = self.links.datagram_delay(balancer, target, &mut self.rng, now) {
             self.delayed.push(DelayedPacket { due: now + delay, balancer, place, bytes });
         }
     }
@@ -189,13 +189,14 @@
         if !is_addressed && self.defect != Some(InjectedDefect::Misroute) {
             return;
         }
-        let (Some(decoded), true) = (FlowPacket::decode(packet), FlowPacket::is_genuine(packet))
+        let (Some(decoded), true) =
+            (FlowPacket::decode(packet), FlowPacket::has_valid_checksum(packet))
         else {
             return self.report(ObservedEvent::Altered);
         };
 
         let PacketOutcome { answers, events } =
-            backend.handle_packet(&decoded, balancer, &mut self.draws, now);
+            backend.handle_packet(&decoded, balancer, &mut self.rng, now);
         let caller = SocketAddrV4::new(*decoded.source.ip(), self.plan.data_port);
         for answer in answers {
             self.sockets.send(place, caller, &answer.encode());
@@ -243,17 +244,17 @@
         &mut self,
         packet: &FlowPacket,
         balancer: usize,
-        draws: &mut Draws,
+        rng: &mut SeededRng,
         now: Instant,
     ) -> PacketOutcome {
         let flow = packet.flow();
-        if packet.has(flags::SYN) {
-            let sequence = u32::try_from(draws.word() >> 32).unwrap_or(0);
+        if packet.has_flag(flags::SYN) {
+            let sequence = u32::try_from(rng.next_u64() >> 32).unwrap_or(0);
             let open = || BackendFlow::new(packet.clone(), sequence, balancer, now);
             let held = self.flows.entry(flow).or_insert_with(open);
             return PacketOutcome { answers: vec![held.opening_answer()], events: Vec::new() };
         }
-        if packet.has(flags::RST) {
+        if packet.has_flag(flags::RST) {
             self.flows.remove(&flow);
             return PacketOutcome::default();
         }
@@ -267,36 +268,36 @@
             return PacketOutcome { answers: vec![reset_for(packet)], events: vec![misrouted] };
         };
         let mut events = Vec::new();
-        if !held.open {
-            if !held.accepts(packet) {
+        if !held.is_open {
+            if !held.is_acknowledged_by(packet) {
                 let misrouted = ObservedEvent::Misrouted { flow, instance, balancer };
                 return PacketOutcome { answers: Vec::new(), events: vec![misrouted] };
             }
-            held.open = true;
-            let (balancer, arrived) = (held.balancer, held.arrived);
+            held.is_open = true;
+            let (balancer, arrived) = (held.balancer, held.opening_received_at);
             events.push(ObservedEvent::Opened { flow, instance, balancer, arrived });
         }
         events.push(ObservedEvent::Delivered { flow });
 
-        if let Some(request) = held.take(packet) {
+        if let Some(request) = held.on_packet(packet) {
             events.push(ObservedEvent::Executed {
                 request: request.id,
                 repeatable: request.repeatable,
             });
             self.requests += 1;
-            let work = MIN_WORK + MAX_EXTRA_WORK.mul_f64(draws.unit());
+            let work = MIN_WORK + MAX_EXTRA_WORK.mul_f64(rng.next_f64());
             match self.behaviour {
-                BackendBehaviour::Normal => held.work_until(now + work, request),
-                BackendBehaviour::Slow => held.work_until(now + work * SLOW_FACTOR, request),
+                BackendBehaviour::Normal => held.start_request(now + work, request),
+                BackendBehaviour::Slow => held.start_request(now + work * SLOW_FACTOR, request),
                 BackendBehaviour::Failing if self.requests.is_multiple_of(2) => {}
-                BackendBehaviour::Failing => held.work_until(now + work, request),
+                BackendBehaviour::Failing => held.start_request(now + work, request),
             }
         }
         let mut answers = Vec::new();
-        if !packet.data.is_empty() || packet.has(flags::FIN) {
+        if !packet.data.is_empty() || packet.has_flag(flags::FIN) {
             answers.push(held.acknowledgement());
         }
-        if packet.has(flags::FIN) {
+        if packet.has_flag(flags::FIN) {
             self.flows.remove(&flow);
             self.closed.insert(flow);
         }
--- a/crates/valvestage-soak/src/caller_load.rs
+++ b/crates/valvestage-soak/src/caller_load.rs
@@ -9,14 +9,14 @@
 
 use crossbeam_channel::Sender;
 use valvestage_policy::steering::FlowAddresses;
-use valvestage_standins::draws::Draws;
 use valvestage_standins::packets::RequestId;
+use valvestage_standins::seeded_rng::SeededRng;
 
 use crate::observation::{Observation, ObservedEvent, StallDetector};
 use crate::router_table::RouterTable;
 use crate::site_plan::{INTERMITTENT, STEADY, SWITCHING, SitePlan, ZONES};
 use crate::soak_options::{InjectedDefect, SoakOptions};
-use valvestage_standins::packets::caller_flow::{CallerFlow, FlowProgress, FlowStep};
+use valvestage_standins::packets::caller_flow::{CallerFlow, FlowEvent, FlowStep};
 use valvestage_standins::packets::flow_packet::{FlowPacket, flags};
 use valvestage_standins::packets::packet_request::PacketRequest;
 use valvestage_standins::packets::socket_set::SocketSet;
@@ -67,7 +67,7 @@
     router: RouterTable,
     sockets: SocketSet,
     observations: Sender<Observation>,
-    draws: Draws,
+    rng: SeededRng,
     sessions: HashMap<FlowAddresses, CallerSession>,
     /// Time between two new flows, over the whole site.
     interval: Duration,
@@ -92,7 +92,7 @@
             plan,
             router,
             observations,
-            draws: Draws::new(options.seed),
+            rng: SeededRng::new(options.seed),
             defect: options.defect,
             sessions: HashMap::new(),
             interval: Duration::from_secs(1) / options.flows_per_second.max(1),
@@ -126,13 +126,13 @@
     fn begin_flows(&mut self, now: Instant) {
         while self.next_flow <= now {
             self.next_flow += self.interval;
-            let zone = self.draws.below(ZONES);
-            let service = match self.draws.below(10) {
+            let zone = self.rng.below(ZONES);
+            let service = match self.rng.below(10) {
                 0 => INTERMITTENT,
                 1..4 => SWITCHING,
                 _ => STEADY,
             };
-            let is_long = self.draws.below(3) == 0;
+            let is_long = self.rng.below(3) == 0;
             let request = self.draw_request(is_long);
             let requests_left = if is_long { LONG_FLOW_REQUESTS } else { 1 };
             self.open_flow(zone, service, request, now, 1, requests_left);
@@ -142,8 +142,8 @@
     /// Draws a request. Requests on long flows are always repeatable, half of the others are not.
     fn draw_request(&mut self, is_long: bool) -> PacketRequest {
         self.request_count += 1;
-        let repeatable = is_long || self.draws.below(2) == 0;
-        let answer_bytes = ANSWER_BYTES[self.draws.below(ANSWER_BYTES.len())];
+        let repeatable = is_long || self.rng.below(2) == 0;
+        let answer_bytes = ANSWER_BYTES[self.rng.below(ANSWER_BYTES.len())];
 
         PacketRequest { id: self.request_count, repeatable, answer_bytes }
     }
@@ -162,7 +162,7 @@
         let caller =
             SocketAddrV4::new(*self.plan.caller(zone).ip(), u16::try_from(port).unwrap_or(1));
         let flow = FlowAddresses { caller, service };
-        let sequence = u32::try_from(self.draws.word() >> 32).unwrap_or(0);
+        let sequence = u32::try_from(self.rng.next_u64() >> 32).unwrap_or(0);
         let session = CallerSession {
             flow: CallerFlow::new(flow, sequence, request, Instant::now()),
             zone,
@@ -199,14 +199,14 @@
             let balancer = SocketAddrV4::new(self.plan.balancer(0), self.plan.data_port);
             return self.handle_reset(flow, balancer, now);
         }
-        if FlowPacket::is_from_balancer(bytes) {
+        if FlowPacket::is_balancer_reset(bytes) {
             self.handle_reset(flow, sender, now);
-        } else if !FlowPacket::is_genuine(bytes) {
+        } else if !FlowPacket::has_valid_checksum(bytes) {
             self.report(ObservedEvent::Altered);
-        } else if packet.has(flags::RST) {
+        } else if packet.has_flag(flags::RST) {
             self.retry(flow, now);
         } else {
-            self.advance(flow, now, |session| session.take(&packet, now));
+            self.advance(flow, now, |session| session.on_packet(&packet, now));
         }
     }
 
@@ -229,12 +229,12 @@
                 Some(at) if at <= now => self.send_next_request(flow, now),
                 Some(_) => {}
                 None if session.deadline() <= now => self.abandon(flow),
-                None => self.advance(flow, now, |session| session.on_time(now)),
+                None => self.advance(flow, now, |session| session.on_timer(now)),
             }
         }
     }
 
-    /// Applies `act` to a flow, sends the resulting packets, and handles the flow's progress.
+    /// Applies `act` to a flow, sends the resulting packets, and handles the resulting event.
     fn advance(
         &mut self,
         flow: FlowAddresses,
@@ -243,15 +243,15 @@
     ) {
         let Some(session) = self.sessions.get_mut(&flow) else { return };
         let zone = session.zone;
-        let FlowStep { packets, progress } = act(&mut session.flow);
+        let FlowStep { packets, event } = act(&mut session.flow);
         for packet in packets {
             self.send(zone, &packet);
         }
 
-        match progress {
-            FlowProgress::None => {}
-            FlowProgress::Unopened => self.retry(flow, now),
-            FlowProgress::Answered { whole } => self.on_answer(flow, whole, now),
+        match event {
+            FlowEvent::None => {}
+            FlowEvent::OpenTimedOut => self.retry(flow, now),
+            FlowEvent::Answered { is_correct } => self.on_answer(flow, is_correct, now),
         }
     }
 
@@ -276,7 +276,7 @@
         session.attempts = 1;
         session.next_request = None;
 
-        let (zone, packet) = (session.zone, session.flow.ask(request, now));
+        let (zone, packet) = (session.zone, session.flow.send_request(request, now));
         self.send(zone, &packet);
     }
 
--- a/crates/valvestage-soak/src/fault_plan.rs
+++ b/crates/valvestage-soak/src/fault_plan.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use serde::Serialize;
-use valvestage_standins::draws::Draws;
+use valvestage_standins::seeded_rng::SeededRng;
 
 use crate::fault_kind::FaultKind;
 
@@ -40,18 +40,18 @@
 /// the same target. All of them end before `length`.
 #[must_use]
 pub fn plan(seed: u64, length: Duration, kinds: &[FaultKind]) -> Vec<PlannedFault> {
-    let mut draws = Draws::new(seed);
+    let mut rng = SeededRng::new(seed);
     let mut faults = Vec::new();
     let mut at = Duration::ZERO;
     let mean_interval =
-        MEAN_INTERVALS.start + (MEAN_INTERVALS.end - MEAN_INTERVALS.start).mul_f64(draws.unit());
+        MEAN_INTERVALS.start + (MEAN_INTERVALS.end - MEAN_INTERVALS.start).mul_f64(rng.next_f64());
 
     loop {
-        at += draws.exponential(mean_interval);
-        let kind = kinds[draws.below(kinds.len())];
-        let target = draws.below(usize::MAX);
-        let lasts = MIN_DURATION + MAX_EXTRA_DURATION.mul_f64(draws.unit());
-        let repeats = if draws.below(SERIES_ODDS) == 0 { 3 } else { 1 };
+        at += rng.exponential(mean_interval);
+        let kind = kinds[rng.below(kinds.len())];
+        let target = rng.below(usize::MAX);
+        let lasts = MIN_DURATION + MAX_EXTRA_DURATION.mul_f64(rng.next_f64());
+        let repeats = if rng.below(SERIES_ODDS) == 0 { 3 } else { 1 };
         for repeat in 0..repeats {
             let at = at + (lasts + MIN_DURATION) * repeat;
             if at + lasts < length {
--- a/crates/valvestage-soak/src/link_table.rs
+++ b/crates/valvestage-soak/src/link_table.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use valvestage_standins::draws::Draws;
+use valvestage_standins::seeded_rng::SeededRng;
 
 use crate::site_plan::SitePlan;
 
@@ -60,7 +60,7 @@
         &self,
         balancer: usize,
         to: LinkTarget,
-        draws: &mut Draws,
+        rng: &mut SeededRng,
         now: Instant,
     ) -> Option<Duration> {
         let mut faults = self.faults.lock().unwrap_or_else(PoisonError::into_inner);
@@ -70,7 +70,7 @@
         for fault in faults.iter().filter(|fault| fault.scope.includes(balancer, to)) {
             match fault.effect {
                 LinkEffect::Cut => return None,
-                LinkEffect::Loss(share) if draws.unit() < share => return None,
+                LinkEffect::Loss(share) if rng.next_f64() < share => return None,
                 LinkEffect::Loss(_) => {}
                 LinkEffect::Delay(time) => delay += time,
             }
--- a/crates/valvestage-soak/src/peer_relay.rs
+++ b/crates/valvestage-soak/src/peer_relay.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use valvestage_standins::draws::Draws;
+use valvestage_standins::seeded_rng::SeededRng;
 
 use crate::link_table::{LinkTable, LinkTarget};
 use crate::site_plan::SitePlan;
@@ -20,7 +20,7 @@
     plan: SitePlan,
     links: LinkTable,
     sockets: SocketSet,
-    draws: Draws,
+    rng: SeededRng,
     delayed: Vec<DelayedMessage>,
     sent_bytes: SentBytes,
 }
@@ -49,7 +49,14 @@
             .collect();
 
         let sockets = SocketSet::bind(&relays)?;
-        Ok(Self { plan, links, sockets, draws: Draws::new(seed), delayed: Vec::new(), sent_bytes })
+        Ok(Self {
+            plan,
+            links,
+            sockets,
+            rng: SeededRng::new(seed),
+            delayed: Vec::new(),
+            sent_bytes,
+        })
     }
 
     /// Relays messages until `stop` is set.
@@ -70,7 +77,7 @@
         let now = Instant::now();
         self.sent_bytes[from].fetch_add(bytes.len() as u64, Ordering::Relaxed);
 
-        let delay = self.links.datagram_delay(from, LinkTarget::Balancer(to), &mut self.draws, now);
+        let delay = self.links.datagram_delay(from, LinkTarget::Balancer(to), &mut self.rng, now);
         if let Some(delay) = delay {
             self.delayed.push(DelayedMessage { due: now + delay, from, to, bytes });
         }
--- a/crates/valvestage-soak/src/site_store.rs
+++ b/crates/valvestage-soak/src/site_store.rs
@@ -8,7 +8,7 @@
 use serde_json::{Map, Value};
 use valvestage_core::ids::{ConfigurationVersion, InstanceId};
 use valvestage_platform::catalogue::{BACKEND_KIND, CONFIGURATION_KIND, EVACUATION_KIND};
-use valvestage_standins::platform::site_objects::{BackendObject, configuration_object};
+use valvestage_standins::platform::published_objects::{BackendObject, configuration_object};
 use valvestage_standins::platform::{Faults, PlatformStandin, start};
 
 use crate::site_plan::{Routes, SitePlan};
@@ -44,12 +44,12 @@
 
     /// Replaces the store's injected faults by `faults`.
     pub fn set_faults(&self, faults: Faults) {
-        self.standin.misbehave(faults);
+        self.standin.inject_faults(faults);
     }
 
     /// Discards the history of changes, so that watches opened earlier fail.
-    pub fn forget_history(&self) {
-        self.standin.forget_history();
+    pub fn compact_history(&self) {
+        self.standin.compact_history();
     }
 
     /// Writes the configuration object, replacing any earlier version.
--- a/crates/valvestage-soak/src/soak_run.rs
+++ b/crates/valvestage-soak/src/soak_run.rs
@@ -9,8 +9,8 @@
 
 use nix::sys::signal::Signal;
 use valvestage_core::ids::ConfigurationVersion;
-use valvestage_standins::draws::Draws;
 use valvestage_standins::platform::Faults;
+use valvestage_standins::seeded_rng::SeededRng;
 
 use crate::backend_behaviour::BackendBehaviour;
 use crate::backend_places::BackendPlaces;
@@ -87,7 +87,7 @@
     timers: Vec<(Instant, TimerAction)>,
     /// Active faults of the store, with the time at which each ends.
     store_faults: Vec<(Instant, FaultKind)>,
-    draws: Draws,
+    rng: SeededRng,
     version: ConfigurationVersion,
     configurations: u32,
     faults_began: Instant,
@@ -117,7 +117,7 @@
             balancer_states: vec![BalancerState::Run; options.balancers],
             timers: Vec::new(),
             store_faults: Vec::new(),
-            draws: Draws::new(!options.seed),
+            rng: SeededRng::new(!options.seed),
             version: 0,
             configurations: 0,
             stalls: site.stall_detector(),
--- a/crates/valvestage-soak/src/soak_run/fault_effects.rs
+++ b/crates/valvestage-soak/src/soak_run/fault_effects.rs
@@ -80,7 +80,7 @@
             }
             FaultKind::StoreForgets => {
                 self.truth.disturb_store(now);
-                self.site.store.forget_history();
+                self.site.store.compact_history();
             }
             FaultKind::StoreLinkSilent => self.disrupt_relay(number, StoreLinkState::Silent, until),
             FaultKind::StoreLinkReset => {
--- a/crates/valvestage-soak/src/soak_run/site_changes.rs
+++ b/crates/valvestage-soak/src/soak_run/site_changes.rs
@@ -62,7 +62,7 @@
     pub(super) fn write_configuration(&mut self) {
         let number = self.configurations as usize;
         self.configurations += 1;
-        self.version += 1 + self.draws.below(4) as ConfigurationVersion;
+        self.version += 1 + self.rng.below(4) as ConfigurationVersion;
         let mut routes = Routes::new();
         routes.insert(STEADY, SERVICES[0]);
         routes.insert(SWITCHING, SERVICES[number % 2]);
--- a/crates/valvestage-standins/src/backend/backend_server.rs
+++ b/crates/valvestage-standins/src/backend/backend_server.rs
@@ -15,7 +15,7 @@
 
 use super::backend_options::BackendOptions;
 use super::run_log::RunLog;
-use crate::draws::Draws;
+use crate::seeded_rng::SeededRng;
 
 /// Longest wait for a packet before the stop flag is checked.
 const MAX_WAIT: Duration = Duration::from_millis(20);
@@ -38,7 +38,7 @@
     options: BackendOptions,
     log: Arc<RunLog>,
     socket: UdpSocket,
-    rng: Draws,
+    rng: SeededRng,
     /// Running requests, at most one per slot, by the time they end and a number that makes the key
     /// unique.
     runs: BTreeMap<(Instant, u64), Run>,
@@ -52,7 +52,7 @@
     /// Binds the socket.
     pub fn new(options: BackendOptions, log: Arc<RunLog>) -> io::Result<Self> {
         let socket = UdpSocket::bind(options.record.address)?;
-        let rng = Draws::new(options.seed);
+        let rng = SeededRng::new(options.seed);
 
         Ok(Self {
             options,
--- a/crates/valvestage-standins/src/backend/run_log.rs
+++ b/crates/valvestage-standins/src/backend/run_log.rs
@@ -70,7 +70,7 @@
     /// Reports whether a non-repeatable request ran. Runs of repeatable requests are not recorded
     /// by id.
     #[must_use]
-    pub fn ran(&self, id: RequestId) -> bool {
+    pub fn has_run(&self, id: RequestId) -> bool {
         self.inner
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/crates/valvestage-standins/src/bin/standin-caller.rs
+++ b/crates/valvestage-standins/src/bin/standin-caller.rs
@@ -60,8 +60,8 @@
         duration: Duration::from_secs(arguments.seconds),
         flow_pause: Duration::from_millis(200),
         echoing_share: 0.5,
-        once_only_share: 0.5,
-        request_patience: Duration::from_millis(arguments.patience_ms),
+        non_repeatable_share: 0.5,
+        request_timeout: Duration::from_millis(arguments.patience_ms),
         resend_pause: Duration::from_millis(500),
         seed: arguments.seed,
     };
--- a/crates/valvestage-standins/src/caller/caller_load.rs
+++ b/crates/valvestage-standins/src/caller/caller_load.rs
@@ -15,7 +15,7 @@
 use super::caller_summary::CallerSummary;
 use super::flow_caller::FlowCaller;
 use super::request_caller::{RequestCaller, RequestParameters, RequestResult};
-use crate::draws::Draws;
+use crate::seeded_rng::SeededRng;
 
 /// First source address of callers, from the range that RFC 2544 reserves for benchmarks.
 const FIRST_CALLER_ADDRESS: u32 = 0xc612_0000;
@@ -40,7 +40,7 @@
 struct LoadGenerator {
     options: CallerOptions,
     socket: UdpSocket,
-    rng: Draws,
+    rng: SeededRng,
     schedule: BinaryHeap<Reverse<(Instant, ScheduledAction)>>,
     flows: Vec<FlowCaller>,
     flow_by_caller: HashMap<SocketAddr, usize>,
@@ -54,7 +54,7 @@
 pub fn run(options: CallerOptions) -> io::Result<CallerSummary> {
     let socket = UdpSocket::bind(("127.0.0.1", 0))?;
     let end = Instant::now() + options.duration;
-    let rng = Draws::new(options.seed);
+    let rng = SeededRng::new(options.seed);
     let mut generator = LoadGenerator {
         options,
         socket,
@@ -84,8 +84,8 @@
         for (index, service) in services.iter().enumerate() {
             for _ in 0..service.flows {
                 let caller = self.next_caller_address();
-                let echoes_token = self.rng.unit() < self.options.echoing_share;
-                let at = start + Duration::from_secs(1).mul_f64(self.rng.unit());
+                let echoes_token = self.rng.next_f64() < self.options.echoing_share;
+                let at = start + Duration::from_secs(1).mul_f64(self.rng.next_f64());
                 let flow = FlowCaller::new(caller, service.address, echoes_token, at);
                 self.flow_by_caller.insert(caller, self.flows.len());
                 self.schedule.push(Reverse((at, ScheduledAction::SendFlow(self.flows.len()))));
@@ -111,7 +111,7 @@
     fn run_until_done(&mut self) -> io::Result<()> {
         let mut buffer = [0; BUFFER_BYTES];
 
-        while Instant::now() < self.end + GRACE_PERIOD + self.options.request_patience {
+        while Instant::now() < self.end + GRACE_PERIOD + self.options.request_timeout {
             self.send_due();
             if Instant::now() > self.end + GRACE_PERIOD
                 && self.requests.values().all(|r| r.result.is_some())
@@ -152,7 +152,7 @@
         }
 
         self.send(&self.flows[index].next_packet(b"feed"));
-        let at = now + self.options.flow_pause.mul_f64(0.5 + self.rng.unit());
+        let at = now + self.options.flow_pause.mul_f64(0.5 + self.rng.next_f64());
         self.schedule.push(Reverse((at, ScheduledAction::SendFlow(index))));
     }
 
@@ -163,11 +163,11 @@
 
         let service = self.options.services[index];
         let parameters = RequestParameters {
-            id: u128::from(self.rng.word()) << 64 | u128::from(self.rng.word()),
+            id: u128::from(self.rng.next_u64()) << 64 | u128::from(self.rng.next_u64()),
             caller: self.next_caller_address(),
             service: service.address,
-            deadline: SystemTime::now() + self.options.request_patience,
-            repeatable: self.rng.unit() >= self.options.once_only_share,
+            deadline: SystemTime::now() + self.options.request_timeout,
+            repeatable: self.rng.next_f64() >= self.options.non_repeatable_share,
         };
         let request = RequestCaller::new(parameters, now);
         self.send(&request.packet(b"request"));
--- a/crates/valvestage-standins/src/caller/caller_options.rs
+++ b/crates/valvestage-standins/src/caller/caller_options.rs
@@ -28,9 +28,9 @@
     /// Share of flows that echo the token, between 0 and 1.
     pub echoing_share: f64,
     /// Share of requests that are not repeatable, between 0 and 1.
-    pub once_only_share: f64,
+    pub non_repeatable_share: f64,
     /// Time from the first send of a request to its deadline.
-    pub request_patience: Duration,
+    pub request_timeout: Duration,
     /// Wait for the result of a request before it is resent with the same id.
     pub resend_pause: Duration,
     /// Seed of the random numbers.
--- a/crates/valvestage-standins/src/fabric/spray.rs
+++ b/crates/valvestage-standins/src/fabric/spray.rs
@@ -12,7 +12,7 @@
 
 use super::fabric_options::FabricOptions;
 use super::ready_list::{ReadyList, poll_readiness};
-use crate::draws::Draws;
+use crate::seeded_rng::SeededRng;
 
 /// Longest wait for a packet before the stop flag is checked.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(50);
@@ -67,7 +67,7 @@
     counts: &FabricCounts,
     stop: &AtomicBool,
 ) {
-    let mut rng = Draws::new(options.seed);
+    let mut rng = SeededRng::new(options.seed);
     let mut buffer = [0; BUFFER_BYTES];
     let mut delayed_packet: Option<Vec<u8>> = None;
 
@@ -88,20 +88,20 @@
             counts.dropped_without_balancer.fetch_add(1, Ordering::Relaxed);
             continue;
         }
-        let forward = |packet: &[u8], rng: &mut Draws| {
+        let forward = |packet: &[u8], rng: &mut SeededRng| {
             counts.to_balancers.fetch_add(1, Ordering::Relaxed);
             let _ = balancers.send_to(packet, addresses[rng.below(addresses.len())]);
         };
 
-        if rng.unit() < options.faults.loss_rate {
+        if rng.next_f64() < options.faults.loss_rate {
             continue;
         }
-        if delayed_packet.is_none() && rng.unit() < options.faults.reordering_rate {
+        if delayed_packet.is_none() && rng.next_f64() < options.faults.reordering_rate {
             delayed_packet = Some(packet.to_vec());
             continue;
         }
         forward(packet, &mut rng);
-        if rng.unit() < options.faults.duplication_rate {
+        if rng.next_f64() < options.faults.duplication_rate {
             forward(packet, &mut rng);
         }
         if let Some(delayed) = delayed_packet.take() {
--- a/crates/valvestage-standins/src/layout/settings_files.rs
+++ b/crates/valvestage-standins/src/layout/settings_files.rs
@@ -10,7 +10,7 @@
 use super::addresses::AddressPool;
 use super::deployments::{DeploymentPlan, ServicePlan};
 use super::layout_file::{BalancerLayout, Layout};
-use crate::draws::Draws;
+use crate::seeded_rng::SeededRng;
 
 /// Allocates the addresses of a deployment, and writes them with its secrets and settings into a
 /// folder. `extra` is put at the head of each balancer's settings.
@@ -25,9 +25,9 @@
     let layout = allocate_layout(plan, &mut pool)?;
 
     // Secrets derived from the seed are predictable, which is acceptable on loopback addresses.
-    let mut rng = Draws::new(seed);
+    let mut rng = SeededRng::new(seed);
     for name in ["peer.key", "admin.token", "operator.token"] {
-        fs::write(folder.join(name), format!("{:016x}{:016x}\n", rng.word(), rng.word()))?;
+        fs::write(folder.join(name), format!("{:016x}{:016x}\n", rng.next_u64(), rng.next_u64()))?;
     }
 
     for balancer in &layout.balancers {
--- a/crates/valvestage-standins/src/lib.rs
+++ b/crates/valvestage-standins/src/lib.rs
@@ -9,14 +9,14 @@
 //! | [`caller`] | callers that hold flows, send requests and check the answers |
 //! | [`packets`] | caller and backend server ends of flows in the platform's packet format |
 //! | [`layout`] | addresses and settings files of a whole deployment on the loopback network |
-//! | [`draws`] | seeded random numbers |
+//! | [`seeded_rng`] | seeded random numbers |
 //! | [`signals`] | shutdown on SIGTERM and SIGINT |
 
 pub mod backend;
 pub mod caller;
-pub mod draws;
 pub mod fabric;
 pub mod layout;
 pub mod packets;
 pub mod platform;
+pub mod seeded_rng;
 pub mod signals;
--- a/crates/valvestage-standins/src/packets/backend_flow.rs
+++ b/crates/valvestage-standins/src/packets/backend_flow.rs
@@ -21,11 +21,11 @@
 #[derive(Debug)]
 pub struct BackendFlow {
     /// Whether the caller has acknowledged the answer to its opening packet; set by the owner.
-    pub open: bool,
+    pub is_open: bool,
     /// Number of the balancer that forwarded the opening packet.
     pub balancer: usize,
     /// When the opening packet arrived.
-    pub arrived: Instant,
+    pub opening_received_at: Instant,
     /// Opening packet; its source is the caller and its destination the service.
     opening: FlowPacket,
     token: u32,
@@ -46,9 +46,9 @@
     #[must_use]
     pub fn new(opening: FlowPacket, sequence: u32, balancer: usize, now: Instant) -> Self {
         Self {
-            open: false,
+            is_open: false,
             balancer,
-            arrived: now,
+            opening_received_at: now,
             token: opening.token,
             acknowledged: sequence.wrapping_add(1),
             expected: opening.sequence.wrapping_add(1),
@@ -71,13 +71,13 @@
     /// Reports whether a packet acknowledges this backend server's answer to the opening packet, as
     /// opposed to the answer of another backend server.
     #[must_use]
-    pub fn accepts(&self, packet: &FlowPacket) -> bool {
+    pub fn is_acknowledged_by(&self, packet: &FlowPacket) -> bool {
         packet.acknowledged == self.acknowledged
     }
 
     /// Processes a packet of the open flow, and returns the request that it carries, if any. Data
     /// out of order is ignored.
-    pub fn take(&mut self, packet: &FlowPacket) -> Option<PacketRequest> {
+    pub fn on_packet(&mut self, packet: &FlowPacket) -> Option<PacketRequest> {
         self.token = packet.token;
         self.apply_acknowledgement(packet.acknowledged);
         if packet.data.is_empty() || packet.sequence != self.expected {
@@ -95,7 +95,7 @@
     }
 
     /// Starts to run a request whose answer is ready at `due`.
-    pub fn work_until(&mut self, due: Instant, request: PacketRequest) {
+    pub fn start_request(&mut self, due: Instant, request: PacketRequest) {
         self.running_request = Some((due, request));
     }
 
--- a/crates/valvestage-standins/src/packets/caller_flow.rs
+++ b/crates/valvestage-standins/src/packets/caller_flow.rs
@@ -7,8 +7,9 @@
 use super::flow_packet::{FlowPacket, flags};
 use super::packet_request::PacketRequest;
 
-/// Times after the opening packet at which copies of it are sent.
-const OPENING_COPY_DELAYS: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(600)];
+/// Times after the opening packet at which it is retransmitted.
+const OPENING_RETRANSMISSION_DELAYS: [Duration; 2] =
+    [Duration::from_millis(200), Duration::from_millis(600)];
 
 /// Time after which a flow without an answer to its opening packet has failed to open.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(1_400);
@@ -22,8 +23,8 @@
 /// State of a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum FlowState {
-    /// The opening packet and `copies` copies of it have been sent.
-    Opening { sent_at: Instant, copies: u32 },
+    /// The opening packet has been sent, and then retransmitted `retransmissions` times.
+    Opening { sent_at: Instant, retransmissions: u32 },
     /// A request has been sent and its answer is not complete.
     AwaitingAnswer { resend_at: Instant, resends: u32 },
     /// The answer to the last request is complete.
@@ -32,16 +33,16 @@
 
 /// Event that a packet or a timer has caused on a flow.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum FlowProgress {
+pub enum FlowEvent {
     /// No event.
     None,
     /// The answer to the request is complete.
     Answered {
         /// Whether every byte of the answer is the one expected for the request.
-        whole: bool,
+        is_correct: bool,
     },
     /// The opening packet was not answered in time.
-    Unopened,
+    OpenTimedOut,
 }
 
 /// Result of a packet or a timer on a flow.
@@ -50,7 +51,7 @@
     /// Packets to send.
     pub packets: Vec<FlowPacket>,
     /// Event to report to the owner of the flow.
-    pub progress: FlowProgress,
+    pub event: FlowEvent,
 }
 
 impl FlowStep {
@@ -59,7 +60,7 @@
     }
 
     fn with_packets(packets: Vec<FlowPacket>) -> Self {
-        Self { packets, progress: FlowProgress::None }
+        Self { packets, event: FlowEvent::None }
     }
 }
 
@@ -85,7 +86,7 @@
     pub fn new(flow: FlowAddresses, sequence: u32, request: PacketRequest, now: Instant) -> Self {
         Self {
             flow,
-            state: FlowState::Opening { sent_at: now, copies: 0 },
+            state: FlowState::Opening { sent_at: now, retransmissions: 0 },
             request,
             token: 0,
             sequence,
@@ -100,17 +101,17 @@
         !matches!(self.state, FlowState::Opening { .. })
     }
 
-    /// Returns the opening packet, or a copy of it; `copies` is the number of copies sent before.
+    /// Returns the opening packet: the first one for 0, otherwise its retransmission of this number.
     #[must_use]
-    pub fn opening_packet(&self, copies: u32) -> FlowPacket {
+    pub fn opening_packet(&self, retransmissions: u32) -> FlowPacket {
         let mut packet = self.packet(flags::SYN, Vec::new());
 
-        packet.acknowledged = copies;
+        packet.acknowledged = retransmissions;
         packet
     }
 
     /// Returns the packet that sends a request on the open flow.
-    pub fn ask(&mut self, request: PacketRequest, now: Instant) -> FlowPacket {
+    pub fn send_request(&mut self, request: PacketRequest, now: Instant) -> FlowPacket {
         self.request = request;
         self.received.clear();
         self.state = FlowState::AwaitingAnswer { resend_at: now + INITIAL_RESEND_WAIT, resends: 0 };
@@ -119,8 +120,8 @@
     }
 
     /// Processes a packet from the backend server, and returns the packets to send.
-    pub fn take(&mut self, packet: &FlowPacket, now: Instant) -> FlowStep {
-        if packet.has(flags::SYN) {
+    pub fn on_packet(&mut self, packet: &FlowPacket, now: Instant) -> FlowStep {
+        if packet.has_flag(flags::SYN) {
             return FlowStep::with_packets(self.handle_opening_answer(packet, now));
         }
         if !self.is_open() || packet.data.is_empty() {
@@ -132,23 +133,25 @@
             self.expected = self.expected.wrapping_add(data_length(&packet.data));
             self.received.extend_from_slice(&packet.data);
         }
-        let progress = self.finish_answer();
-        FlowStep { packets: vec![self.packet(flags::ACK, Vec::new())], progress }
+        let event = self.finish_answer();
+        FlowStep { packets: vec![self.packet(flags::ACK, Vec::new())], event }
     }
 
     /// Returns the packets whose resend is due, or the event that the flow failed to open.
-    pub fn on_time(&mut self, now: Instant) -> FlowStep {
+    pub fn on_timer(&mut self, now: Instant) -> FlowStep {
         match self.state {
             FlowState::Opening { sent_at, .. } if now >= sent_at + OPEN_TIMEOUT => {
-                FlowStep { packets: Vec::new(), progress: FlowProgress::Unopened }
+                FlowStep { packets: Vec::new(), event: FlowEvent::OpenTimedOut }
             }
-            FlowState::Opening { sent_at, copies } => {
-                let due = OPENING_COPY_DELAYS.get(copies as usize).map(|delay| sent_at + *delay);
+            FlowState::Opening { sent_at, retransmissions } => {
+                let due = OPENING_RETRANSMISSION_DELAYS
+                    .get(retransmissions as usize)
+                    .map(|delay| sent_at + *delay);
                 if due.is_none_or(|due| due > now) {
                     return FlowStep::empty();
                 }
-                self.state = FlowState::Opening { sent_at, copies: copies + 1 };
-                FlowStep::with_packets(vec![self.opening_packet(copies + 1)])
+                self.state = FlowState::Opening { sent_at, retransmissions: retransmissions + 1 };
+                FlowStep::with_packets(vec![self.opening_packet(retransmissions + 1)])
             }
             FlowState::AwaitingAnswer { resend_at, resends } if resend_at <= now => {
                 let wait =
@@ -177,18 +180,18 @@
         self.token = packet.token;
         self.expected = packet.sequence.wrapping_add(1);
         self.sequence = self.sequence.wrapping_add(1);
-        vec![self.ask(self.request, now)]
+        vec![self.send_request(self.request, now)]
     }
 
-    fn finish_answer(&mut self) -> FlowProgress {
+    fn finish_answer(&mut self) -> FlowEvent {
         let is_awaiting_answer = matches!(self.state, FlowState::AwaitingAnswer { .. });
         if !is_awaiting_answer || self.received.len() < self.request.answer_bytes as usize {
-            return FlowProgress::None;
+            return FlowEvent::None;
         }
 
         self.state = FlowState::Idle;
         self.sequence = self.sequence.wrapping_add(data_length(&self.request.encode()));
-        FlowProgress::Answered { whole: self.received == self.request.answer() }
+        FlowEvent::Answered { is_correct: self.received == self.request.answer() }
     }
 
     fn packet(&self, flags: u8, data: Vec<u8>) -> FlowPacket {
--- a/crates/valvestage-standins/src/packets/flow_packet.rs
+++ b/crates/valvestage-standins/src/packets/flow_packet.rs
@@ -40,8 +40,8 @@
     pub token: u32,
     /// Sequence number of the first byte of the data.
     pub sequence: u32,
-    /// Sequence number of the byte expected next. On an opening packet: number of copies of it that
-    /// were sent before.
+    /// Sequence number of the byte expected next. On an opening packet: number of times that it
+    /// was sent before.
     pub acknowledged: u32,
     /// Address of the sender.
     pub source: SocketAddrV4,
@@ -96,7 +96,7 @@
     /// Reports whether the checksum matches, which shows that all covered bytes are as one end of
     /// the flow wrote them.
     #[must_use]
-    pub fn is_genuine(bytes: &[u8]) -> bool {
+    pub fn has_valid_checksum(bytes: &[u8]) -> bool {
         bytes
             .get(CHECKSUM_OFFSET..HEADER_BYTES)
             .is_some_and(|checksum| checksum == compute_checksum(bytes).to_le_bytes())
@@ -105,7 +105,7 @@
     /// Reports whether the bytes are a reset that a balancer wrote: balancers can't compute the
     /// checksum and leave it 0.
     #[must_use]
-    pub fn is_from_balancer(bytes: &[u8]) -> bool {
+    pub fn is_balancer_reset(bytes: &[u8]) -> bool {
         bytes.len() == HEADER_BYTES
             && bytes[0] == flags::RST
             && bytes[CHECKSUM_OFFSET..HEADER_BYTES] == [0; 4]
@@ -113,7 +113,7 @@
 
     /// Reports whether a bit from [`flags`] is set.
     #[must_use]
-    pub fn has(&self, flag: u8) -> bool {
+    pub fn has_flag(&self, flag: u8) -> bool {
         self.flags & flag != 0
     }
 
--- a/crates/valvestage-standins/src/platform.rs
+++ b/crates/valvestage-standins/src/platform.rs
@@ -1,8 +1,8 @@
 //! In-memory stand-in for the platform's object API, with fault injection.
 
 mod faults;
+pub mod published_objects;
 mod server;
-pub mod site_objects;
 mod store;
 
 pub use faults::Faults;
--- a/crates/valvestage-standins/src/platform/server.rs
+++ b/crates/valvestage-standins/src/platform/server.rs
@@ -78,7 +78,7 @@
     }
 
     /// Drops the history of changes, so that watches from an older revision are answered with 410.
-    pub fn forget_history(&self) {
+    pub fn compact_history(&self) {
         self.store().compact_history();
 
         self.inner.write_notify.notify_waiters();
@@ -96,7 +96,7 @@
     }
 
     /// Replaces the faults that are injected.
-    pub fn misbehave(&self, faults: Faults) {
+    pub fn inject_faults(&self, faults: Faults) {
         *self.faults() = faults;
     }
 
@@ -282,7 +282,7 @@
 }
 
 async fn set_faults(standin: Data<PlatformStandin>, faults: Json<Faults>) -> HttpResponse {
-    standin.misbehave(faults.into_inner());
+    standin.inject_faults(faults.into_inner());
 
     HttpResponse::Ok().finish()
 }
--- a/crates/valvestage-standins/src/platform/store.rs
+++ b/crates/valvestage-standins/src/platform/store.rs
@@ -19,7 +19,7 @@
 /// Versioned object store with one revision counter, raised by each change of any object.
 #[derive(Debug, Default)]
 pub struct ObjectStore {
-    /// Number of times that the store was restored from an older copy.
+    /// Number of times that the store was restored from a backup.
     era: StoreEra,
     revision: StoreRevision,
     objects: BTreeMap<(String, String), WireObject>,
@@ -125,7 +125,7 @@
         Some(WatchPage { events: events.collect(), revision: until.max(after) })
     }
 
-    /// Returns the number of times that the store was restored from an older copy.
+    /// Returns the number of times that the store was restored from a backup.
     #[must_use]
     pub fn era(&self) -> StoreEra {
         self.era
--- a/crates/valvestage-standins/src/draws.rs
+++ b/crates/valvestage-standins/src/seeded_rng.rs
@@ -6,12 +6,12 @@
 
 /// Random number generator that yields the same sequence for the same seed.
 #[derive(Debug, Clone)]
-pub struct Draws {
+pub struct SeededRng {
     seed: u64,
     count: u64,
 }
 
-impl Draws {
+impl SeededRng {
     /// Starts the sequence of a seed.
     #[must_use]
     pub fn new(seed: u64) -> Self {
@@ -19,7 +19,7 @@
     }
 
     /// Returns 64 random bits.
-    pub fn word(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.count += 1;
 
         mix(self.seed, self.count)
@@ -29,20 +29,20 @@
     pub fn below(&mut self, bound: usize) -> usize {
         let bound = bound.max(1) as u64;
 
-        usize::try_from(self.word() % bound).unwrap_or(0)
+        usize::try_from(self.next_u64() % bound).unwrap_or(0)
     }
 
     /// Returns a uniformly distributed number between 0 and 1. It is never 0, so that its logarithm
     /// is finite.
-    pub fn unit(&mut self) -> f64 {
+    pub fn next_f64(&mut self) -> f64 {
         #[allow(clippy::cast_precision_loss)]
-        let word = (self.word() >> 11) as f64;
+        let word = (self.next_u64() >> 11) as f64;
 
         (word + 0.5) / 9_007_199_254_740_992.0
     }
 
     /// Returns an exponentially distributed time with the given mean.
     pub fn exponential(&mut self, mean: Duration) -> Duration {
-        mean.mul_f64(-self.unit().ln())
+        mean.mul_f64(-self.next_f64().ln())
     }
 }
--- a/crates/valvestage-standins/tests/packets.rs
+++ b/crates/valvestage-standins/tests/packets.rs
@@ -23,7 +23,7 @@
     let bytes = sample_packet().encode();
 
     assert_eq!(FlowPacket::decode(&bytes), Some(sample_packet()));
-    assert!(FlowPacket::is_genuine(&bytes));
+    assert!(FlowPacket::has_valid_checksum(&bytes));
 }
 
 #[test]
@@ -34,9 +34,9 @@
 
     let mut forwarded = Vec::new();
     packet::encode_forward(&bytes, 9, 8, &mut forwarded);
-    assert!(FlowPacket::is_genuine(&forwarded[packet::PREFIX_BYTES..]));
+    assert!(FlowPacket::has_valid_checksum(&forwarded[packet::PREFIX_BYTES..]));
     let reset = packet::encode_reset(&read);
-    assert!(FlowPacket::is_from_balancer(&reset));
+    assert!(FlowPacket::is_balancer_reset(&reset));
 }
 
 #[test]
@@ -46,7 +46,7 @@
     for at in (0..bytes.len()).filter(|at| !(1..10).contains(at)) {
         let mut changed = bytes.clone();
         changed[at] ^= 1;
-        assert!(!FlowPacket::is_genuine(&changed), "byte {at}");
+        assert!(!FlowPacket::has_valid_checksum(&changed), "byte {at}");
     }
 }
 
