--- a/crates/valvestage-experiment/src/capacity.rs
+++ b/crates/valvestage-experiment/src/capacity.rs
@@ -1,4 +1,5 @@
-//! Slopes of state, messages and processor time, for docs/CAPACITY.md.
+//! Growth of state, messages and processor time with load and deployment size, for
+//! docs/CAPACITY.md.
 
 mod claim_slope;
 mod configuration_slope;
@@ -7,9 +8,10 @@
 
 pub use flow_slope::full_director;
 
-/// Prints all tables.
+/// Prints the tables of claims, heartbeats, flows, configuration and owner map.
 pub fn print_tables() {
-    // First what is measured by the growth of the process.
+    // Claims come first: they are measured by the growth of resident memory, which memory that
+    // earlier measurements have freed would hide.
     claim_slope::print_table();
     gossip_slope::print_table();
     flow_slope::print_table();
--- a/crates/valvestage-experiment/src/capacity/claim_slope.rs
+++ b/crates/valvestage-experiment/src/capacity/claim_slope.rs
@@ -1,4 +1,4 @@
-//! Claims at the owner of a service: memory and time, by the claims held.
+//! Memory and time of claims at the owner of a service, by the number of claims held.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -12,11 +12,11 @@
 use crate::deployment::{backend, configuration};
 use crate::table::Table;
 
-/// Bytes of a request and of its answer.
+/// Payload bytes of a request and of its answer.
 const REQUEST_BYTES: usize = 200;
 const ANSWER_BYTES: usize = 1_000;
 
-/// Prints the table.
+/// Prints memory per claim and time per request, by the number of claims held.
 pub fn print_table() {
     let mut table = Table::new(&[
         "answered claims held",
@@ -24,7 +24,8 @@
         "µs a request, from acceptance to answer",
     ]);
 
-    // All are kept, so that none is given memory that another one has left.
+    // All dispatchers stay alive: a dispatcher that reused the memory of a dropped one would show
+    // too little growth.
     let mut kept = Vec::new();
     for claims in [25_000, 50_000, 100_000] {
         let (bytes, micros, dispatcher) = measure(claims);
@@ -76,7 +77,8 @@
     (bytes / count, spent.as_secs_f64() * 1e6 / count, dispatcher)
 }
 
-/// Resident memory of this process, from the second field of /proc/self/statm (pages).
+/// Returns the resident memory of this process, from the second field of /proc/self/statm, which
+/// counts pages.
 fn resident_bytes() -> u64 {
     const PAGE_BYTES: u64 = 4_096;
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/valvestage-experiment/src/capacity/configuration_slope.rs
+++ b/crates/valvestage-experiment/src/capacity/configuration_slope.rs
@@ -1,4 +1,4 @@
-//! Configuration and owner map: bytes and time, by backend servers and services.
+//! Size and installation time of configuration and owner map, by backend servers and services.
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -15,12 +15,13 @@
 use crate::deployment::{backend, service, zone_name};
 use crate::table::Table;
 
-/// Backend servers and services: today, and two steps to the size to design for.
+/// Numbers of backend servers and services: the present size, two intermediate sizes, and the size
+/// that the design is for.
 const SIZES: [(u32, u16); 4] = [(18, 2), (270, 130), (1_350, 650), (2_700, 1_300)];
 
 const PLACEMENTS: u64 = 200_000;
 
-/// Prints both tables.
+/// Prints the tables of the configuration and of the owner map.
 pub fn print_tables() {
     let mut table = Table::new(&[
         "backend servers",
@@ -77,10 +78,11 @@
     let now = SystemTime::now();
     let mut millis = 0.0;
 
-    // The second is a change, as they come 430 times a day.
+    // Only the second installation counts: it replaces a configuration, as happens 430 times a day.
     for version in [1, 2] {
         let began = Instant::now();
-        let checked = Configuration::try_from((version, raw.clone())).expect("made to fit");
+        let checked = Configuration::try_from((version, raw.clone()))
+            .expect("generated records must form a valid configuration");
         policy.install_configuration(now, &Arc::new(checked));
         millis = began.elapsed().as_secs_f64() * 1_000.0;
     }
@@ -88,7 +90,8 @@
 }
 
 fn placement_nanoseconds(raw: &RawConfiguration) -> f64 {
-    let checked = Configuration::try_from((1, raw.clone())).expect("made to fit");
+    let checked = Configuration::try_from((1, raw.clone()))
+        .expect("generated records must form a valid configuration");
 
     let began = Instant::now();
     for number in 0..PLACEMENTS {
--- a/crates/valvestage-experiment/src/capacity/flow_slope.rs
+++ b/crates/valvestage-experiment/src/capacity/flow_slope.rs
@@ -1,4 +1,4 @@
-//! Flows: memory and time, by the flows held.
+//! Memory and time of flows at their home balancer, by the number of flows held.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 
 const OWN: BalancerId = 0;
 
-/// Prints the table.
+/// Prints memory, decision time and exceptions, by the number of flows held.
 pub fn print_table() {
     let mut table = Table::new(&[
         "flows held",
@@ -44,7 +44,8 @@
     table.print("Flows at their home balancer");
 }
 
-/// A director that is home of that many established flows, and their keys.
+/// Returns a flow director that is the home of a number of established flows, and the keys of these
+/// flows.
 pub fn full_director(flows: usize, balancers: u32) -> (FlowDirector, Vec<FlowKey>) {
     let records = (1..=14).map(|id| backend(id, 1, 3, 3)).collect();
     let keys =
@@ -56,7 +57,7 @@
     let view = LiveView::new((0..balancers).map(|id| (id, zone_name(id as usize % 7))));
     director.install_view(view.clone());
 
-    // Only flows whose home this balancer is.
+    // Other flows are skipped: their home is another balancer.
     let now = SystemTime::now();
     let callers = (0u32..).map(|number| SocketAddr::new(Ipv4Addr::from(number).into(), 4_000));
     let all = callers.map(|caller| keys.hasher().key(caller, 1));
@@ -77,7 +78,8 @@
     bytes_each: f64,
 }
 
-/// One of 14 backend servers is drained.
+/// Drains one of the 14 backend servers, and measures the search for flows that have become
+/// exceptions.
 fn find_exceptions(director: &mut FlowDirector) -> Exceptions {
     let mut records: Vec<_> = (1..=14).map(|id| backend(id, 1, 3, 3)).collect();
     records[0].state = valvestage_core::BackendState::Draining;
@@ -86,7 +88,8 @@
     let view = director.view().clone();
 
     let began = Instant::now();
-    let finder = ExceptionFinder::new(OWN, director.history(), view).expect("configured");
+    let finder = ExceptionFinder::new(OWN, director.history(), view)
+        .expect("director must have a configuration");
     let copies = finder.copies(&bindings);
     let millis = began.elapsed().as_secs_f64() * 1_000.0;
 
--- a/crates/valvestage-experiment/src/capacity/gossip_slope.rs
+++ b/crates/valvestage-experiment/src/capacity/gossip_slope.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: bytes, processor time and age of what is known, by the number of balancers.
+//! Bytes, processor time and propagation delay of heartbeats, by the number of balancers.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime};
@@ -13,15 +13,16 @@
 
 const INTERVAL: Duration = Duration::from_millis(300);
 
-/// Bytes of a call besides the message: framing, tarpc's head, MAC (measured: an empty call).
+/// Overhead in bytes of a call in addition to the message: framing, tarpc's header and MAC. This is
+/// the measured size of an empty call.
 const CALL_BYTES: usize = 75;
 
 const ROUNDS: u32 = 200;
 
-/// Rounds that are not measured: everybody gets to know everybody.
+/// Rounds that are not measured, in which all balancers get to know each other.
 const WARM_UP: u32 = 80;
 
-/// Prints the table.
+/// Prints the cost of heartbeats and the time in which a change spreads, by number of balancers.
 pub fn print_table() {
     let mut table = Table::new(&[
         "balancers",
@@ -74,7 +75,8 @@
 }
 
 fn measure(balancers: u32) -> Slope {
-    // Nobody is taken as dead here: the age of what is known is what is measured.
+    // The long timeout keeps balancers from being declared dead: the age of the known heartbeats is
+    // measured.
     let options =
         HeartbeatOptions { dead_after: Duration::from_secs(3_600), ..HeartbeatOptions::default() };
     let mut now = start();
@@ -114,8 +116,9 @@
     }
 }
 
-/// One balancer has a new configuration: the time until all have it. Whoever learns of it fetches
-/// it and tells others with its next step, as the control policy does.
+/// Gives one balancer a new configuration, and returns the time until all balancers have it. A
+/// balancer that learns of the new version fetches it and notifies others in its next step, as the
+/// control policy does.
 fn spread(tables: &mut [HeartbeatTable], from: SystemTime) -> Duration {
     const STEP: Duration = Duration::from_millis(50);
     const STEPS_PER_INTERVAL: usize = 6;
@@ -175,7 +178,8 @@
     postcard::to_stdvec(message).map_or(0, |encoded| encoded.len()) + CALL_BYTES
 }
 
-/// How many heartbeats a table is behind at the worst, as a time.
+/// Returns the age of the oldest last heartbeat in a table: the heartbeats by which the table is
+/// behind, times the heartbeat interval.
 fn oldest_beat(table: &HeartbeatTable, tables: &[HeartbeatTable]) -> Duration {
     let behind = table.known(start()).map(|(record, _)| {
         let latest = tables[record.id as usize].own().beat;
--- a/crates/valvestage-experiment/src/data_path.rs
+++ b/crates/valvestage-experiment/src/data_path.rs
@@ -1,14 +1,14 @@
-//! The data path of one balancer against a bare relay in the same run.
+//! Throughput of the data path of one balancer, compared with a bare relay in the same run.
 
 pub mod decision_time;
 mod packet_rate;
 
 use crate::table::Table;
 
-/// Runs of each, in turn; the medians count.
+/// Number of runs of each subject. The subjects alternate, and ratios use their medians.
 const RUNS: usize = 5;
 
-/// Prints all tables.
+/// Prints the time per decision and the packets per second.
 pub fn print_tables() {
     decision_time::print_table();
 
--- a/crates/valvestage-experiment/src/data_path/decision_time.rs
+++ b/crates/valvestage-experiment/src/data_path/decision_time.rs
@@ -1,4 +1,4 @@
-//! Nanoseconds a decision for established flows, and bytes a flow.
+//! Time per decision for established flows, and memory per flow.
 
 use std::hint::black_box;
 use std::time::{Instant, SystemTime};
@@ -12,7 +12,7 @@
 
 const DECISIONS: usize = 2_000_000;
 
-/// Prints the table.
+/// Prints the time per decision and the memory per flow, by flows held and number of balancers.
 pub fn print_table() {
     let mut table = Table::new(&["flows held", "balancers", "ns a decision", "bytes a flow"]);
 
@@ -28,7 +28,8 @@
     table.print("Established flows at their home balancer");
 }
 
-/// Time of a decision for flows in random order.
+/// Returns the mean time of a decision in nanoseconds, for packets of established flows in random
+/// order.
 pub fn nanoseconds(director: &mut FlowDirector, keys: &[FlowKey]) -> f64 {
     let mut draws = Draws::new(5);
     let order: Vec<FlowKey> = (0..DECISIONS).map(|_| keys[draws.below(keys.len())]).collect();
@@ -51,7 +52,7 @@
     nanoseconds
 }
 
-/// Memory of the table over its flows.
+/// Returns the allocated bytes of the flow table per flow held.
 pub fn bytes_a_flow(director: &FlowDirector) -> f64 {
     #[allow(clippy::cast_precision_loss)]
     let bytes = director.table().allocated_bytes() as f64 / director.table().len() as f64;
--- a/crates/valvestage-experiment/src/data_path/packet_rate.rs
+++ b/crates/valvestage-experiment/src/data_path/packet_rate.rs
@@ -1,4 +1,4 @@
-//! Packets a second through sockets on the loopback address.
+//! Packets per second through UDP sockets on the loopback address.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
@@ -33,10 +33,14 @@
 const SOCKET_BUFFER_BYTES: usize = 8 << 20;
 
 fn open() -> UdpSocket {
-    let socket = UdpSocket::bind(("127.0.0.1", 0)).expect("a free port");
-    socket.set_read_timeout(Some(Duration::from_millis(50))).expect("a timeout");
-    setsockopt(&socket, sockopt::RcvBuf, &SOCKET_BUFFER_BYTES).expect("a buffer");
-    setsockopt(&socket, sockopt::SndBuf, &SOCKET_BUFFER_BYTES).expect("a buffer");
+    let socket = UdpSocket::bind(("127.0.0.1", 0)).expect("binding to a free loopback port failed");
+    socket
+        .set_read_timeout(Some(Duration::from_millis(50)))
+        .expect("setting the read timeout failed");
+    setsockopt(&socket, sockopt::RcvBuf, &SOCKET_BUFFER_BYTES)
+        .expect("setting the receive buffer size failed");
+    setsockopt(&socket, sockopt::SndBuf, &SOCKET_BUFFER_BYTES)
+        .expect("setting the send buffer size failed");
 
     socket
 }
@@ -49,7 +53,8 @@
     RawTokenKeys { flow_hash: (1, 2), current: 1, keys: vec![(1, 3, 4)] }
 }
 
-/// The packets of established flows.
+/// Returns one encoded packet of each flow, with a token for a backend server if a configuration is
+/// given.
 fn packets(kind: PacketKind, tokens: Option<&valvestage_core::Configuration>) -> Vec<Vec<u8>> {
     let keys = TokenKeys::new(1, keys());
 
@@ -64,12 +69,12 @@
             header,
             payload: &PAYLOAD,
         };
-        encode(&envelope).expect("it fits")
+        encode(&envelope).expect("envelope must fit into a datagram")
     };
     (0..FLOWS).map(packet).collect()
 }
 
-/// Floods an address from one socket until told to stop.
+/// Sends packets to an address as fast as possible until the stop flag is set.
 fn flood(socket: &UdpSocket, to: SocketAddr, packets: &[Vec<u8>], stops: &AtomicBool) {
     let metrics = BalancerMetrics::default();
     let batches: Vec<Vec<Outbound>> = packets
@@ -84,7 +89,8 @@
     }
 }
 
-/// Runs senders and a subject, and gives the packets a second that the subject sent.
+/// Floods a subject from several senders, and returns the packets per second that the subject sends
+/// after the warm-up.
 fn measure(
     to: SocketAddr,
     fabric: &UdpSocket,
@@ -108,11 +114,12 @@
     })
 }
 
-/// Receives batches and sends them on, in one thread and without a look at them.
+/// Measures a bare relay, which forwards batches in one thread without inspecting them. Returns the
+/// packets per second.
 pub fn relay() -> f64 {
     let (socket, fabric, sink) = (open(), open(), open());
-    let to = socket.local_addr().expect("bound");
-    let sink_address = sink.local_addr().expect("bound");
+    let to = socket.local_addr().expect("socket must have a local address");
+    let sink_address = sink.local_addr().expect("socket must have a local address");
     let stops = AtomicBool::new(false);
     let sent = AtomicU64::new(0);
     let packets = packets(PacketKind::Data, None);
@@ -137,14 +144,15 @@
     })
 }
 
-/// The three threads of a balancer with established flows.
+/// Measures the three data path threads of a balancer with established flows, which it finds by its
+/// table or by tokens. Returns the packets per second.
 pub fn balancer(with_token: bool) -> f64 {
     let (socket, fabric) = (open(), open());
-    let to = socket.local_addr().expect("bound");
+    let to = socket.local_addr().expect("socket must have a local address");
     let sinks: Vec<UdpSocket> = (0..14).map(|_| open()).collect();
     let records = (1..).zip(&sinks).map(|(id, sink)| {
         let mut record = backend(id, 1, 3, 3);
-        record.address = sink.local_addr().expect("bound");
+        record.address = sink.local_addr().expect("socket must have a local address");
         record.connections = u16::MAX;
         record
     });
@@ -154,7 +162,7 @@
     let metrics = Arc::new(BalancerMetrics::default());
     let options = DataOptions {
         policy: BalancerOptions::new(1, zone_name(0)),
-        fabrics: vec![fabric.local_addr().expect("bound")],
+        fabrics: vec![fabric.local_addr().expect("socket must have a local address")],
     };
     let mut handler = DataHandler::new(options, metrics.clone(), SystemTime::now());
     let mut out = Vec::new();
@@ -166,7 +174,7 @@
     ] {
         handler.on_command(SystemTime::now(), command, &mut out);
     }
-    let fabric_address = fabric.local_addr().expect("bound");
+    let fabric_address = fabric.local_addr().expect("socket must have a local address");
     for packet in self::packets(PacketKind::Open, None) {
         handler.on_datagram(SystemTime::now(), fabric_address, &packet, &mut out);
     }
--- a/crates/valvestage-experiment/src/deployment.rs
+++ b/crates/valvestage-experiment/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The sizes that are measured.
+//! Service sizes and generated records that the experiments share.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -7,24 +7,24 @@
 use valvestage_core::ids::{BackendId, ServiceId};
 use valvestage_core::{Backend, BackendState, Configuration, RawConfiguration, Service};
 
-/// `Size` is one service of the brief, with the delays of its region.
+/// Size of one service, with the network delays of its region.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
-    /// Name of the service.
+    /// Name in the headings of tables.
     pub name: &'static str,
-    /// Backend servers.
+    /// Number of backend servers.
     pub backends: u32,
-    /// Slots of each.
+    /// Slots of each backend server.
     pub slots: u16,
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: usize,
-    /// One way between availability zones.
+    /// One-way delay between availability zones.
     pub between_zones: Duration,
-    /// One way to callers.
+    /// One-way delay between a caller and a balancer.
     pub to_callers: Duration,
 }
 
-/// The services of both deployments.
+/// The services of both deployments: two in a region with three zones, two in one with four.
 pub const SIZES: [Size; 4] = [
     Size {
         name: "rencontre-core",
@@ -60,20 +60,20 @@
     },
 ];
 
-/// Balancers of a deployment today.
+/// Number of balancers of a deployment of the present size.
 pub const BALANCERS: u32 = 8;
 
-/// A fixed point in time from which all models start.
+/// Returns the fixed point in time at which all models start.
 pub fn start() -> SystemTime {
     UNIX_EPOCH + Duration::from_secs(1_800_000_000)
 }
 
-/// `zone_name` names an availability zone.
+/// Returns the name of an availability zone.
 pub fn zone_name(zone: usize) -> String {
     format!("zone-{zone}")
 }
 
-/// `backend` makes a record; the zones are dealt in turn.
+/// Creates a backend server record. Ids are assigned to the zones in rotation.
 pub fn backend(id: BackendId, service: ServiceId, slots: u16, zones: usize) -> Backend {
     let [_, high, middle, low] = id.to_be_bytes();
 
@@ -91,7 +91,7 @@
     }
 }
 
-/// `service` makes a record.
+/// Creates a service record.
 pub fn service(id: ServiceId) -> Service {
     let [high, low] = id.to_be_bytes();
 
@@ -102,7 +102,7 @@
     }
 }
 
-/// `configuration` makes a configuration of given records.
+/// Creates a configuration of generated services and the given backend servers.
 pub fn configuration(version: u64, services: u16, backends: Vec<Backend>) -> Configuration {
     let raw = RawConfiguration {
         change_id: format!("change-{version}"),
@@ -111,5 +111,6 @@
         stopped_zones: BTreeSet::new(),
     };
 
-    Configuration::try_from((version, raw)).expect("the records are made to fit")
+    Configuration::try_from((version, raw))
+        .expect("generated records must form a valid configuration")
 }
--- a/crates/valvestage-experiment/src/fleet.rs
+++ b/crates/valvestage-experiment/src/fleet.rs
@@ -1,14 +1,15 @@
-//! A whole fleet of entry VMs in one process: the real policy around a small store, in simulated time.
+//! Simulation of a whole fleet of entry VMs in one process: the real policy with a small store, in
+//! simulated time.
 //!
-//! It shows what grows with the fleet. Processor time is that of the policy's calls on this machine; the rest is the same on each
-//! run.
+//! The tables show what grows with the fleet. Processor time is that of the policy's calls on the
+//! VM that runs the simulation; all other figures are deterministic.
 //!
 //! | module | contents |
 //! |---|---|
-//! | `store` | the platform's store, as far as balancers follow it |
-//! | `world` | balancers, datagrams and calls in simulated time |
-//! | `usage` | what the balancers use in a span of time |
-//! | `scenes` | what happens to the fleet, and how long it takes to be known |
+//! | `store` | the part of the platform's store that balancers read |
+//! | `world` | simulation of balancers, datagrams and calls |
+//! | `usage` | resources that the balancers use over a span of time |
+//! | `scenes` | scenarios, and the time until all balancers know of a change |
 
 mod scenes;
 mod store;
@@ -18,10 +19,11 @@
 use self::scenes::SceneReport;
 use crate::table::Table;
 
-/// Backend servers for each balancer.
+/// Number of backend servers per balancer.
 const BACKENDS_EACH: usize = 10;
 
-/// Prints a table of each scene, with a column for each size and the exponent between the last two.
+/// Prints a table for each scenario, with a column for each fleet size and the growth exponent from
+/// the first size to the last.
 pub fn print_tables(sizes: &[usize], starts_only: bool) {
     let reports: Vec<_> =
         sizes.iter().map(|size| scenes::play(*size, size * BACKENDS_EACH, starts_only)).collect();
@@ -50,7 +52,8 @@
     table.print(last.name);
 }
 
-/// The power of the number of balancers with which a value grows, from the first size to the last.
+/// Returns the power of the number of balancers with which a value grows from the first size to the
+/// last, or a dash if there are fewer than two sizes or either value is not positive.
 fn exponent(sizes: &[usize], values: &[f64]) -> String {
     let (&[first_size, .., last_size], &[first, .., last]) = (sizes, values) else {
         return "-".to_owned();
@@ -59,7 +62,7 @@
         return "-".to_owned();
     }
 
-    // Sizes are small enough to be exact.
+    // Sizes are far below 2^53, so the conversion is exact.
     #[allow(clippy::cast_precision_loss)]
     let ratio = last_size as f64 / first_size as f64;
     format!("{:.2}", (last / first).ln() / ratio.ln())
--- a/crates/valvestage-experiment/src/fleet/scenes.rs
+++ b/crates/valvestage-experiment/src/fleet/scenes.rs
@@ -1,4 +1,4 @@
-//! What happens to the fleet, and how long it takes to be known.
+//! Scenarios of the fleet, and the time until the balancers know of each change.
 
 use std::time::Duration;
 
@@ -7,31 +7,33 @@
 use super::usage::FleetUsage;
 use super::world::{FleetWorld, zone_of};
 
-/// Time in which a fleet that starts for the first time settles before it is measured.
+/// Time that a fleet gets to settle after its first start, included in the usage of the start.
 const SETTLE: Duration = Duration::from_secs(6);
 
-/// Spans that are measured.
+/// Simulated spans of time: without any change; after a change or a restart; and with a partitioned
+/// zone before the configuration changes.
 const QUIET: Duration = Duration::from_secs(5);
 const RETURN: Duration = Duration::from_secs(3);
 const CUT: Duration = Duration::from_secs(5);
 
-/// Longest time that something may take to be known.
+/// Maximum time to wait until all balancers satisfy a condition.
 const LIMIT: Duration = Duration::from_secs(30);
 
-/// For how long all processes are down after they were killed.
+/// Time between the kill and the restart of all balancers.
 const DOWN: Duration = Duration::from_secs(1);
 
-/// Backend servers that leave at once.
+/// Number of backend servers that are drained at the same time.
 const RELEASED: usize = 200;
 
-/// `SceneReport` is what was measured of one scene.
+/// Measurements of one scenario.
 pub struct SceneReport {
     pub name: &'static str,
-    /// Each measure with its value. A time that never came is infinite.
+    /// Each measure with its value. The time of a condition that was not met within the limit is
+    /// infinite.
     pub rows: Vec<(&'static str, f64)>,
 }
 
-/// Plays all scenes on one fleet, one after the other; or only those in which all start.
+/// Runs all scenarios on one fleet in sequence, or only those in which all balancers start.
 pub fn play(balancers: usize, backends: usize, starts_only: bool) -> Vec<SceneReport> {
     eprintln!("{balancers} balancers, {backends} backend servers");
     let mut world = FleetWorld::new(balancers, backends);
@@ -129,7 +131,7 @@
     SceneReport { name: "All were killed", rows }
 }
 
-/// Plays a span of time, and returns what was used in it.
+/// Simulates a span of time, and returns the usage in it.
 fn measured(world: &mut FleetWorld, span: Duration) -> Vec<(&'static str, f64)> {
     let before = world.usage.clone();
     world.run(span);
@@ -137,7 +139,8 @@
     FleetUsage::between(&before, &world.usage, span).rows()
 }
 
-/// Plays until all balancers satisfy something, and returns when the first, a tenth, half, 99 of 100 and all did.
+/// Simulates until all balancers satisfy a condition, and returns the times until the first, a
+/// tenth, half, 99 of 100 and all of them do.
 fn times(world: &mut FleetWorld, holds: impl Fn(&EntryPolicy) -> bool) -> Vec<(&'static str, f64)> {
     let count = world.nodes.len();
     let begin = world.now();
--- a/crates/valvestage-experiment/src/fleet/store.rs
+++ b/crates/valvestage-experiment/src/fleet/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store, as far as balancers follow it.
+//! Simulated store of the platform, limited to what balancers read.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -8,24 +8,24 @@
     StoreCall, StoreKind, StoreReply,
 };
 
-/// Objects of one page of a list.
+/// Maximum number of objects in one page of a list.
 const PAGE: usize = 500;
 
-/// Services, and the share of the backend servers that run the first one: four of five.
+/// Services. Every fifth backend server runs the second one, the other four run the first.
 const SERVICES: [&str; 2] = ["core", "photos"];
 const FIRST_SERVICE_OF: usize = 5;
 
-/// Addresses of the configuration.
+/// Number of addresses in the configuration.
 const ADDRESSES: u16 = 250;
 
-/// `StoreAnswer` is the answer to a call of one kind.
+/// Answer of the store to a call, by kind of call.
 pub enum StoreAnswer {
     Routes(StoreReply<RouteMap>),
     Backends(StoreReply<BackendNews>),
 }
 
 impl StoreAnswer {
-    /// Returns the bytes of its objects, with so many for each route and each entry.
+    /// Returns the size of the objects in the answer, given the bytes per route and per entry.
     pub fn objects(&self, route_bytes: usize, entry_bytes: usize) -> usize {
         match self {
             Self::Routes(
@@ -39,18 +39,18 @@
     }
 }
 
-/// `FleetStore` keeps a configuration and the entries of backend servers, with their history.
+/// A store with a configuration, the entries of backend servers and the history of both.
 pub struct FleetStore {
     revision: u64,
     routes: RouteMap,
     route_changes: Vec<(u64, RouteMap)>,
-    /// In the order of their names.
+    /// Entries in the order of their names, which lists follow.
     entries: Vec<BackendEntry>,
     entry_changes: Vec<BackendNews>,
 }
 
 impl FleetStore {
-    /// Creates a store with a configuration and so many backend servers, spread over the zones.
+    /// Creates a store with a configuration and a number of backend servers spread over the zones.
     pub fn new(backends: usize, zones: &[String]) -> Self {
         let mut store = Self {
             revision: 1,
@@ -69,7 +69,7 @@
         store
     }
 
-    /// Writes the next version of the configuration, and returns it.
+    /// Writes a new configuration, and returns its version.
     pub fn change_routes(&mut self) -> u64 {
         let version = self.routes.version + 3;
         let targets = |port: u16| {
@@ -91,7 +91,8 @@
         version
     }
 
-    /// Marks so many backend servers as leaving, spread over all, and returns the last one's number.
+    /// Marks a number of backend servers, evenly spread over all, as draining. Returns the instance
+    /// number of the last one.
     pub fn drain(&mut self, count: usize) -> u64 {
         let step = (self.entries.len() / count).max(1);
         let mut last = 0;
@@ -107,7 +108,8 @@
         last
     }
 
-    /// Returns the answer to a call, if there is something to say or its wait is over.
+    /// Returns the answer to a call, or `None` for a watch that has no changes to report and whose
+    /// wait is not over.
     pub fn answer(&self, kind: StoreKind, call: &StoreCall, is_over: bool) -> Option<StoreAnswer> {
         let position = StorePosition::new(0, self.revision);
 
--- a/crates/valvestage-experiment/src/fleet/usage.rs
+++ b/crates/valvestage-experiment/src/fleet/usage.rs
@@ -1,25 +1,25 @@
-//! What the balancers use in a span of time.
+//! Resources that the balancers use over a span of time.
 
 use std::time::Duration;
 
-/// `NodeUsage` is what one balancer has used.
+/// Cumulative resource usage of one balancer.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NodeUsage {
-    /// Datagrams sent to others.
+    /// Datagrams sent to other balancers.
     pub sent: u64,
-    /// Their bytes, as the codec writes them.
+    /// Bytes of these datagrams in their encoded form.
     pub sent_bytes: u64,
-    /// Bytes received from others.
+    /// Bytes received from other balancers.
     pub received_bytes: u64,
-    /// Bytes sent to other availability zones.
+    /// Bytes sent to balancers in other availability zones.
     pub far_bytes: u64,
     /// Calls to the store.
     pub calls: u64,
-    /// Processor time of the policy.
+    /// Time spent in calls of the policy.
     pub busy: Duration,
 }
 
-/// `FleetUsage` is what all balancers have used in a span of time.
+/// Resource usage of each balancer over a span of time.
 #[derive(Debug, Clone)]
 pub struct FleetUsage {
     nodes: Vec<NodeUsage>,
@@ -27,7 +27,7 @@
 }
 
 impl FleetUsage {
-    /// Returns what was used between two moments.
+    /// Returns the usage between two readings of the counters, which are a span of time apart.
     pub fn between(before: &[NodeUsage], after: &[NodeUsage], span: Duration) -> Self {
         let used = |(before, after): (&NodeUsage, &NodeUsage)| NodeUsage {
             sent: after.sent - before.sent,
@@ -41,7 +41,8 @@
         Self { nodes: before.iter().zip(after).map(used).collect(), span }
     }
 
-    /// Returns the rows of a report: each a second, the mean of all balancers and the busiest one.
+    /// Returns the rows of a report. All but the calls to the store are rates per second: the mean
+    /// of all balancers, that of the busiest balancer, or the total.
     pub fn rows(&self) -> Vec<(&'static str, f64)> {
         vec![
             ("datagrams sent a second, mean", self.mean(|node| node.sent as f64)),
--- a/crates/valvestage-experiment/src/fleet/world.rs
+++ b/crates/valvestage-experiment/src/fleet/world.rs
@@ -1,4 +1,4 @@
-//! Balancers, datagrams and calls in simulated time.
+//! Event-driven simulation of balancers, datagrams and calls to the store.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -13,52 +13,52 @@
 use super::store::{FleetStore, StoreAnswer};
 use super::usage::NodeUsage;
 
-/// Time of a datagram inside a zone, and to another one.
+/// Delay of a datagram within a zone, and to another zone.
 const NEAR: Duration = Duration::from_micros(200);
 const FAR: Duration = Duration::from_micros(1_400);
 
-/// Time of an answer of the store, without its way over links.
+/// Time that the store takes to answer, without the transfer over links.
 const STORE: Duration = Duration::from_millis(4);
 
-/// Bytes of an entry as the store has it, and of a route.
+/// Size in bytes of an entry and of a route, as the store holds them.
 const ENTRY_BYTES: usize = 280;
 const ROUTE_BYTES: usize = 180;
 
-/// The store's link.
+/// Speed of the store's link in Mbit/s.
 const STORE_MBPS: f64 = 1_000.0;
 
-/// What balancers wait for an answer, beyond the wait of a watch.
+/// Time after which a call to an unreachable store fails, in addition to the wait of a watch.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Time between two looks of the store at waiting watches.
+/// Interval at which the store checks pending calls, among them the waiting watches.
 const STORE_SCAN: Duration = Duration::from_millis(5);
 
-/// The links of most VMs, and of one in twenty.
+/// Speed in Mbit/s of the links of most VMs, and of one VM in twenty.
 const LINK_MBPS: f64 = 20.0;
 const WIDE_LINK_MBPS: f64 = 1_000.0;
 const WIDE_EVERY: usize = 20;
 
-/// Ports of balancers.
+/// Port of all balancers.
 const PORT: u16 = 7_000;
 
-/// Zones over which the balancers are spread.
+/// Availability zones over which the balancers are spread.
 const ZONES: [&str; 5] = ["zone-a", "zone-b", "zone-c", "zone-d", "zone-e"];
 
-/// What happens at a time.
+/// Event of the simulation.
 enum Event {
-    /// The policy of a balancer has something to do.
+    /// The policy of a balancer is due for a tick. Carries the balancer.
     Wake(usize),
-    /// A datagram arrives.
+    /// A datagram arrives. Carries sender, receiver, size in bytes and message.
     Deliver(usize, usize, u64, PeerMessage),
-    /// An answer of the store arrives at a life of a balancer.
+    /// An answer of the store arrives. Carries the balancer and the incarnation that made the call.
     Answer(usize, u32, StoreAnswer),
-    /// The store looks at what it is asked.
+    /// The store checks its pending calls.
     Scan,
 }
 
 struct Timed {
     at: Duration,
-    /// Order of events of one time.
+    /// Order of insertion, by which events of the same time are handled.
     number: u64,
     event: Event,
 }
@@ -83,7 +83,7 @@
     }
 }
 
-/// A call that waits for its answer.
+/// A call to the store that has no answer yet.
 struct OpenCall {
     node: usize,
     life: u32,
@@ -93,7 +93,7 @@
     ends_at: Duration,
 }
 
-/// `FleetWorld` is a store and the balancers around it.
+/// Simulation of a store and the balancers that use it.
 pub struct FleetWorld {
     base: Instant,
     now: Duration,
@@ -105,17 +105,18 @@
     wakes_at: Vec<Duration>,
     places: HashMap<SocketAddrV4, usize>,
     calls: Vec<OpenCall>,
-    /// When the store's link has sent all answers so far.
+    /// Time at which the store's link has sent all answers so far.
     store_busy_until: Duration,
-    /// Balancers that the store turns away.
+    /// Whether the store refuses the calls of each balancer.
     pub refused: Vec<bool>,
-    /// A zone that is cut off from the others and from the store; none: all reach each other.
+    /// Zone that is partitioned from the other zones and from the store, or `None` if all zones
+    /// reach each other.
     pub cut_zone: Option<usize>,
     pub usage: Vec<NodeUsage>,
 }
 
 impl FleetWorld {
-    /// Creates a world in which no balancer runs yet.
+    /// Creates a simulation in which no balancer runs yet.
     pub fn new(balancers: usize, backends: usize) -> Self {
         let zones: Vec<_> = ZONES.iter().map(|zone| (*zone).to_owned()).collect();
         let mut world = Self {
@@ -139,12 +140,12 @@
         world
     }
 
-    /// Returns the time since the beginning.
+    /// Returns the simulated time since the simulation began.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// Starts a balancer, which knows nothing.
+    /// Starts a balancer with empty state.
     pub fn start(&mut self, node: usize, is_first_start: bool) {
         let seeds = [0, 1, 2].map(|seed| node_address(seed * self.nodes.len() / 3));
         let options = EntryOptions {
@@ -165,7 +166,7 @@
         self.add(self.now, Event::Wake(node));
     }
 
-    /// Kills a balancer.
+    /// Kills a balancer, with its pending calls to the store.
     pub fn stop(&mut self, node: usize) {
         self.nodes[node] = None;
         self.lives[node] += 1;
@@ -173,7 +174,7 @@
         self.calls.retain(|call| call.node != node);
     }
 
-    /// Plays a span of time.
+    /// Simulates a span of time.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
 
@@ -188,7 +189,8 @@
         self.now = end;
     }
 
-    /// Plays until so many balancers satisfy something, and returns the time that this took; none if they do not within a limit.
+    /// Simulates until a number of balancers satisfy a condition, and returns the time that this
+    /// took, or `None` if they do not within the limit.
     pub fn run_until(
         &mut self,
         enough: usize,
@@ -238,7 +240,8 @@
         }
     }
 
-    /// Lets a balancer do something, and does what it asks for.
+    /// Calls a balancer's policy, records the processor time of the call, schedules the next tick
+    /// and performs the actions that the policy returns.
     fn step(&mut self, node: usize, act: impl FnOnce(&mut EntryPolicy) -> Vec<KeeperAction>) {
         let Some(policy) = &mut self.nodes[node] else { return };
         let begun_at = Instant::now();
@@ -289,14 +292,14 @@
         }
     }
 
-    /// Whether two balancers reach each other.
+    /// Reports whether two balancers can reach each other.
     fn is_joined(&self, one: usize, other: usize) -> bool {
         let is_cut = |node| Some(zone_of(node)) == self.cut_zone;
 
         is_cut(one) == is_cut(other)
     }
 
-    /// The store answers what it is asked.
+    /// Answers the pending calls that are due, and schedules the next check.
     fn scan(&mut self) {
         self.add(self.now + STORE_SCAN, Event::Scan);
 
@@ -323,7 +326,8 @@
         }
     }
 
-    /// Sends an answer over the store's link, and over that of the balancer.
+    /// Sends an answer over the store's link, which transfers one answer at a time, and then over
+    /// the balancer's link.
     fn send_answer(&mut self, call: &OpenCall, answer: StoreAnswer) {
         let bytes = answer.objects(ROUTE_BYTES, ENTRY_BYTES);
         let begins_at = self.store_busy_until.max(self.now);
@@ -350,7 +354,7 @@
     }
 }
 
-/// The time that bytes take on a link.
+/// Returns the time to transfer a number of bytes over a link.
 fn transfer(bytes: usize, mbps: f64) -> Duration {
     const BITS: f64 = 8.0;
 
@@ -361,7 +365,7 @@
     if node.is_multiple_of(WIDE_EVERY) { WIDE_LINK_MBPS } else { LINK_MBPS }
 }
 
-/// The place of a balancer's zone.
+/// Returns the index of a balancer's zone.
 pub fn zone_of(node: usize) -> usize {
     node % ZONES.len()
 }
--- a/crates/valvestage-experiment/src/flows.rs
+++ b/crates/valvestage-experiment/src/flows.rs
@@ -1,4 +1,4 @@
-//! Ways to keep flows on their backend servers through changes.
+//! Strategies for keeping flows on their backend servers during changes.
 
 mod change;
 mod flow_model;
@@ -11,7 +11,7 @@
 use flow_model::run;
 use flow_way::FlowWay;
 
-/// Prints all tables.
+/// Prints the broken flows of each strategy under each change, and the trial with hot keys.
 pub fn print_tables() {
     let mut names = vec!["change"];
     names.extend(FlowWay::ALL.iter().map(|way| way.label()));
--- a/crates/valvestage-experiment/src/flows/change.rs
+++ b/crates/valvestage-experiment/src/flows/change.rs
@@ -1,36 +1,37 @@
-//! The changes that flows live through.
+//! Changes of a deployment that established flows should survive.
 
 use valvestage_core::{Backend, BackendState};
 
 use crate::deployment::{backend, zone_name};
 
-/// `Change` is one change, which reaches each balancer at a time of its own within 2 s.
+/// A change, which each balancer learns of at a random time within 2 s, or of a killed balancer
+/// after the failure is detected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// Three of 14 backend servers are drained.
+    /// Three of the 14 backend servers are drained.
     Drain,
-    /// Two are added.
+    /// Two backend servers are added.
     Add,
-    /// Four get a third of their weight.
+    /// Four backend servers get a third of their weight.
     Weight,
     /// An availability zone is stopped.
     StopZone,
-    /// A balancer stops as planned.
+    /// A balancer leaves in a planned stop.
     BalancerStops,
     /// A balancer joins.
     BalancerJoins,
-    /// A drain, and a balancer that stops as planned in the midst of it.
+    /// Three backend servers are drained, and a balancer leaves in a planned stop at the same time.
     DrainAndStop,
     /// A balancer is killed.
     BalancerKilled,
-    /// A drain, and a balancer killed 2 s after.
+    /// Three backend servers are drained, and a balancer is killed 2 s after all balancers know.
     DrainAndKill,
-    /// A drain, and a balancer killed while it spreads.
+    /// Three backend servers are drained, and a balancer is killed before all balancers know.
     DrainWhileKilled,
 }
 
 impl Change {
-    /// All of them.
+    /// All changes, in the order of the table.
     pub const ALL: [Self; 10] = [
         Self::Drain,
         Self::Add,
@@ -44,7 +45,7 @@
         Self::DrainWhileKilled,
     ];
 
-    /// Its name in tables.
+    /// Returns the name of the change in tables.
     pub fn label(self) -> &'static str {
         match self {
             Self::Drain => "3 of 14 drain",
@@ -60,7 +61,7 @@
         }
     }
 
-    /// The backend servers afterwards.
+    /// Returns the backend servers after the change.
     pub fn apply(self, before: &[Backend]) -> Vec<Backend> {
         let mut after = before.to_vec();
 
@@ -82,12 +83,13 @@
         after
     }
 
-    /// Whether the backend servers change.
+    /// Reports whether the change affects the backend servers.
     pub fn changes_backends(self) -> bool {
         !matches!(self, Self::BalancerStops | Self::BalancerJoins | Self::BalancerKilled)
     }
 
-    /// When a balancer is killed, milliseconds after the start of the change.
+    /// Returns the milliseconds from the start of the change until a balancer is killed, or `None`
+    /// if none is killed.
     pub fn kills_at(self) -> Option<u64> {
         match self {
             Self::BalancerKilled | Self::DrainWhileKilled => Some(1_000),
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Whether a balancer leaves as planned.
+    /// Reports whether a balancer leaves in a planned stop.
     pub fn stops_balancer(self) -> bool {
         matches!(self, Self::BalancerStops | Self::DrainAndStop)
     }
--- a/crates/valvestage-experiment/src/flows/flow_model.rs
+++ b/crates/valvestage-experiment/src/flows/flow_model.rs
@@ -1,4 +1,4 @@
-//! Flows through eight directors, packet by packet.
+//! Packet-level simulation of flows through the flow directors of eight balancers.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -21,32 +21,33 @@
 const SERVICE: u16 = 1;
 const SEED: u64 = 42;
 
-/// Packets of each flow after the change has begun.
+/// Number of packets of each flow after the start of the change.
 const PACKETS: usize = 10;
 
-/// When the change begins, and until when packets are sent, milliseconds.
+/// Start of the change and end of the packets, in milliseconds from the start of the model.
 const CHANGE_AT: u64 = 1_000;
 const UNTIL: u64 = 9_000;
 
-/// Time in which a change reaches the balancers.
+/// Milliseconds within which a change reaches all balancers.
 const SPREAD: u64 = 2_000;
 
-/// A loss is noticed after this, and a bit later by some.
+/// Milliseconds until the first balancer detects a failed one, and the spread of the detection
+/// times.
 const NOTICED_AFTER: u64 = 2_000;
 const NOTICED_SPREAD: u64 = 500;
 
-/// The balancer that stops or is killed, and the one that joins.
+/// The balancer that leaves or is killed, and the balancer that joins.
 const GOING: BalancerId = 3;
 const COMING: BalancerId = 20;
 
-/// `Outcome` is what became of the flows.
+/// Result of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct Outcome {
     broken: usize,
 }
 
 impl Outcome {
-    /// `broken_per_10_000` gives the measure of the brief.
+    /// Returns the number of broken flows per 10,000 flows.
     pub fn broken_per_10_000(self) -> f64 {
         #[allow(clippy::cast_precision_loss)]
         let share = self.broken as f64 / FLOWS as f64;
@@ -62,7 +63,7 @@
     Configuration(usize),
     View(usize),
     Kill,
-    /// The process that stops as planned ends.
+    /// The process of the balancer that leaves as planned exits.
     End,
 }
 
@@ -80,7 +81,7 @@
     ids: Vec<BalancerId>,
     directors: Vec<FlowDirector>,
     keys: TokenKeys,
-    /// For the baseline that has no director: the configuration of each balancer.
+    /// Configuration of each balancer, for the baseline that has no director.
     versions: Vec<Arc<Configuration>>,
     next: Arc<Configuration>,
     flows: Vec<Flow>,
@@ -88,7 +89,7 @@
     dead: Option<usize>,
 }
 
-/// `run` lets the flows live through a change.
+/// Simulates all flows through a change, and returns how many of them broke.
 pub fn run(way: FlowWay, change: Change) -> Outcome {
     let mut model = Model::new(way, change);
 
@@ -247,16 +248,16 @@
             return;
         }
 
-        // A packet that gets lost breaks nothing: the caller sends the next one.
+        // A lost packet does not break the flow: the caller sends the next one.
         if let Some(reached) = self.send(now, flow, false) {
             self.flows[flow].is_broken |= reached != self.flows[flow].backend;
         }
     }
 
-    /// The backend server that a packet reaches; none inside if it is refused, none outside if it
-    /// gets lost.
+    /// Sends a packet through the balancers. Returns `Some(Some(..))` with the backend server that
+    /// it reaches, `Some(None)` if it is refused, and `None` if it is lost.
     fn send(&mut self, now: SystemTime, flow: usize, opening: bool) -> Option<Option<BackendId>> {
-        // The fabric stops spraying to a balancer that is gone.
+        // The fabric no longer sprays packets to a failed balancer.
         let mut at = self.draws.below(BALANCERS as usize);
         if self.dead == Some(at) {
             at = (at + 1) % BALANCERS as usize;
@@ -276,7 +277,7 @@
             let packet = FlowPacket { key, service: SERVICE, opening, closing: false, token, hop };
             match self.directors[at].decide(now, &packet) {
                 FlowVerdict::Forward { backend, tell_binding, .. } => {
-                    // Backend servers answer at once here.
+                    // Backend servers answer immediately in this model.
                     self.directors[at].on_heard(backend);
                     let home = self.directors[at].view().home(key);
                     if let Some(home) =
--- a/crates/valvestage-experiment/src/flows/flow_way.rs
+++ b/crates/valvestage-experiment/src/flows/flow_way.rs
@@ -1,28 +1,29 @@
-//! The ways that are compared.
+//! Strategies for finding the backend server of a flow.
 
 use valvestage_policy::flows::FlowLayers;
 
-/// `FlowWay` is a way to find a flow's backend server.
+/// Strategy for finding the backend server of a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FlowWay {
-    /// Hash modulo the number of backend servers.
+    /// Hash modulo the number of eligible backend servers.
     Modulo,
     /// Rendezvous hashing alone.
     Hash,
     /// Rendezvous hashing, and a table on each balancer.
     LocalTable,
-    /// Home balancer with its table, without asking the former one or copies.
+    /// Flow table at the home balancer, without queries to the former home and without copies of
+    /// exceptions.
     Home,
-    /// Home balancer, former home and copies of exceptions; for callers that don't echo.
+    /// Home balancer, former home and copies of exceptions, for callers that do not echo tokens.
     HomeAndHistory,
-    /// Token alone, for callers that echo.
+    /// Tokens alone, for callers that echo them.
     Token,
-    /// Everything, for callers that echo.
+    /// All layers, for callers that echo tokens.
     All,
 }
 
 impl FlowWay {
-    /// All of them.
+    /// All strategies, in the order of the table.
     pub const ALL: [Self; 7] = [
         Self::Modulo,
         Self::Hash,
@@ -33,7 +34,7 @@
         Self::All,
     ];
 
-    /// Its name in tables.
+    /// Returns the name of the strategy in tables.
     pub fn label(self) -> &'static str {
         match self {
             Self::Modulo => "modulo hash",
@@ -46,7 +47,7 @@
         }
     }
 
-    /// The layers that it uses.
+    /// Returns the layers of the flow director that the strategy enables.
     pub fn layers(self) -> FlowLayers {
         let none = FlowLayers {
             token: false,
@@ -66,12 +67,12 @@
         }
     }
 
-    /// Whether exceptions are copied.
+    /// Reports whether exceptions are copied to other balancers.
     pub fn copies(self) -> bool {
         matches!(self, Self::HomeAndHistory | Self::All)
     }
 
-    /// Whether callers echo the token.
+    /// Reports whether callers echo the token.
     pub fn echoes(self) -> bool {
         matches!(self, Self::Token | Self::All)
     }
--- a/crates/valvestage-experiment/src/flows/hot_keys.rs
+++ b/crates/valvestage-experiment/src/flows/hot_keys.rs
@@ -1,5 +1,5 @@
-//! One trial of the related paper's idea: spread only hot keys, over as many candidates as their
-//! popularity needs.
+//! Trial of an approach from the related paper: only hot keys are spread, over a number of
+//! candidates that grows with their popularity.
 
 use valvestage_policy::rendezvous::{best, mix, weighted_score};
 
@@ -11,10 +11,10 @@
 const BACKENDS: usize = 14;
 const SEED: u64 = 42;
 
-/// A caller with more than this share of all flows so far is hot.
+/// Share of all flows so far above which a caller is hot.
 const HOT_SHARE: f64 = 0.002;
 
-/// Prints the trial.
+/// Prints the imbalance of flows by skew of the callers, for three placements.
 pub fn print_table() {
     let mut table = Table::new(&[
         "skew of callers",
@@ -40,7 +40,7 @@
     table.print("Imbalance of flows over 14 backend servers, callers with a power law of flows");
 }
 
-/// The caller of each flow, by a power law.
+/// Draws the caller of each flow from a power law.
 fn draw_callers(skew: f64) -> Vec<u64> {
     let weights: Vec<f64> = (1..=CALLERS).map(|rank| as_f64(rank).powf(-skew)).collect();
     let total: f64 = weights.iter().sum();
@@ -60,7 +60,9 @@
         .collect()
 }
 
-/// Hot callers go to the least loaded of more candidates, the more popular they are.
+/// Places the flows of hot callers on the least loaded of several candidates, whose number grows
+/// with the caller's share of flows. Returns the flows of each backend server and the number of
+/// flows that are not on their preferred one.
 fn spread_hot(callers: &[u64]) -> (Vec<usize>, usize) {
     let mut counts = vec![0; BACKENDS];
     let mut popularity = vec![0usize; CALLERS];
--- a/crates/valvestage-experiment/src/main.rs
+++ b/crates/valvestage-experiment/src/main.rs
@@ -1,13 +1,13 @@
-//! `valvestage-experiment`: measurements, from fixed seeds.
+//! `valvestage-experiment`: simulations and benchmarks with fixed seeds.
 //!
 //! | command | measures |
 //! |---|---|
-//! | `requests` | ways to spread requests over slots, steady and under faults, and overload |
-//! | `placement` | ways to place flows where each balancer sees only its own |
-//! | `flows` | ways to keep flows on their backend servers through changes |
-//! | `capacity` | slopes of state, messages and processor time |
-//! | `fleet` | what grows with the number of entry VMs, up to a whole fleet |
-//! | `data-path` | packets a second against a bare relay, nanoseconds a decision |
+//! | `requests` | strategies for spreading requests over slots: steady load, faults, overload |
+//! | `placement` | strategies for placing flows when each balancer knows only its own flows |
+//! | `flows` | strategies for keeping flows on their backend servers during changes |
+//! | `capacity` | growth of state, messages and processor time with the size of a deployment |
+//! | `fleet` | costs and delays by number of entry VMs, up to a whole fleet |
+//! | `data-path` | packets per second compared with a bare relay, nanoseconds per decision |
 
 mod capacity;
 mod data_path;
@@ -24,29 +24,29 @@
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 enum Command {
-    /// Ways to spread requests over slots; the same on each run
+    /// Strategies for spreading requests over slots; deterministic
     #[bpaf(command)]
     Requests,
-    /// Ways to place flows where each balancer sees only its own; the same on each run
+    /// Strategies for placing flows when each balancer knows only its own; deterministic
     #[bpaf(command)]
     Placement,
-    /// Ways to keep flows through changes; the same on each run
+    /// Strategies for keeping flows on their backend servers during changes; deterministic
     #[bpaf(command)]
     Flows,
-    /// Slopes for docs/CAPACITY.md
+    /// Growth of state, messages and processor time, for docs/CAPACITY.md
     #[bpaf(command)]
     Capacity,
-    /// What grows with the number of entry VMs
+    /// Costs and delays by number of entry VMs
     #[bpaf(command)]
     Fleet {
-        /// Plays only a first start and a restart of all
+        /// Simulates only a first start and a restart of all balancers
         #[bpaf(long("starts"))]
         starts_only: bool,
-        /// Balancers of each fleet, each with ten backend servers
+        /// Number of balancers of each fleet, with ten backend servers per balancer
         #[bpaf(positional("BALANCERS"))]
         sizes: Vec<usize>,
     },
-    /// The data path of one balancer against a bare relay
+    /// The data path of one balancer compared with a bare relay
     #[bpaf(command)]
     DataPath,
 }
--- a/crates/valvestage-experiment/src/placement.rs
+++ b/crates/valvestage-experiment/src/placement.rs
@@ -1,4 +1,4 @@
-//! Ways to place flows where every balancer sees only its own.
+//! Strategies for placing flows when each balancer knows only its own flows.
 
 mod model;
 mod placement_way;
@@ -8,7 +8,8 @@
 use model::{PlacementLoad, PlacementMeasures, ideal, run};
 use placement_way::PlacementWay;
 
-/// Balancers, availability zones, backend servers, slots: a small site of today, two steps, and a grown one.
+/// Deployments to compare: a small one of the present size, an intermediate one, and a large one
+/// with three and with five availability zones.
 const SIZES: [PlacementSize; 4] = [
     PlacementSize { balancers: 8, zones: 4, backends: 16, slots: 2 },
     PlacementSize { balancers: 30, zones: 3, backends: 45, slots: 2 },
@@ -16,23 +17,23 @@
     PlacementSize { balancers: 90, zones: 5, backends: 120, slots: 2 },
 ];
 
-/// Shares of all slots that are busy on average.
+/// Shares of all slots that are busy on average, one for each run.
 const SHARES: [f64; 3] = [0.3, 0.5, 0.8];
 
-/// `PlacementSize` is a deployment; balancers and backend servers are spread evenly over its zones.
+/// Size of a deployment, whose balancers and backend servers are spread evenly over its zones.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementSize {
-    /// Balancers.
+    /// Number of balancers.
     pub balancers: usize,
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: usize,
-    /// Backend servers of the service.
+    /// Number of backend servers of the service.
     pub backends: usize,
-    /// Requests that each works on at once.
+    /// Requests that each backend server processes concurrently.
     pub slots: usize,
 }
 
-/// Prints all tables.
+/// Prints a table for each deployment size.
 pub fn print_tables() {
     for size in SIZES {
         let mut table = Table::new(&[
--- a/crates/valvestage-experiment/src/placement/model.rs
+++ b/crates/valvestage-experiment/src/placement/model.rs
@@ -1,8 +1,10 @@
-//! Requests on flows of their own, placed by balancers that see only theirs.
+//! Queueing model of requests that open their own flows, placed by balancers that know only their
+//! own requests.
 //!
-//! A queueing model: Poisson arrivals at random balancers, exponential runs, first come first served
-//! at each backend server. What balancers tell each other is as old as one told number after the other
-//! makes it: each tells four others every 400 ms, as heartbeats do.
+//! Requests arrive at random balancers in a Poisson process, run times are exponential, and each
+//! backend server serves requests in order of arrival. The counts that balancers gossip are stale:
+//! each balancer sends its counts to four random others every 400 ms, as with heartbeats, and a
+//! receiver keeps them until it gets newer ones.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -13,64 +15,67 @@
 use super::PlacementSize;
 use super::placement_way::PlacementWay;
 
-/// Mean run, milliseconds: that of a preview.
+/// Mean run time in milliseconds: that of a preview.
 const RUN_MS: f64 = 15.0;
 
-/// Requests in each run.
+/// Number of requests in each run.
 const REQUESTS: usize = 60_000;
 
-/// Between balancers and backend servers of one zone, both ways, milliseconds.
+/// Round-trip time in milliseconds between a balancer and a backend server of its zone.
 const WAY_MS: f64 = 1.0;
 
-/// What another zone adds to that.
+/// Milliseconds that a backend server in another zone adds to the round trip.
 const OTHER_ZONE_MS: f64 = 2.0;
 
-/// How much busier, in requests a slot, the own zone may be: the default of `SteeringOptions`.
+/// Load in requests per slot by which the own zone may exceed another one and still be preferred:
+/// the default of `SteeringOptions`.
 const ZONE_PREFERENCE: f64 = 1.5;
 
-/// Backend servers that a balancer prefers with subsets.
+/// Number of backend servers in a balancer's preferred subset.
 const SUBSET: usize = 4;
 
-/// Own requests a slot from which on all backend servers are looked at.
+/// Load in own requests per slot from which a balancer considers all backend servers instead of its
+/// subset.
 const SPILL_FROM: f64 = 1.0;
 
-/// Time between two rounds of telling, milliseconds, and balancers told in each.
+/// Interval of gossip rounds in milliseconds, and number of receivers in each round.
 const TELLING: (f64, usize) = (400.0, 4);
 
-/// Window of the imbalance, milliseconds.
+/// Length in milliseconds of the windows in which the imbalance is measured.
 const WINDOW_MS: f64 = 1_000.0;
 
-/// `PlacementLoad` is what is asked.
+/// Load of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementLoad {
     /// Share of all slots that are busy on average.
     pub share: f64,
-    /// Seed of all draws.
+    /// Seed of all random draws of the run.
     pub seed: u64,
 }
 
-/// `PlacementMeasures` is what a run came to.
+/// Results of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementMeasures {
-    /// 99th percentile of the time from the balancer to the answer, milliseconds.
+    /// 99th percentile of the time from arrival at the balancer to the answer, in milliseconds.
     pub p99: f64,
     /// Share of requests that found all slots of their backend server busy.
     pub waited: f64,
-    /// Mean of (max - mean) / mean of the requests of backend servers in windows of 1 s.
+    /// Mean over windows of 1 s of (max - mean) / mean of the requests that arrive at each backend
+    /// server.
     pub imbalance: f64,
 }
 
-/// One balancer's view.
+/// What one balancer knows about the load of the backend servers.
 struct BalancerView {
     zone: usize,
-    /// Own requests under way at each backend server.
+    /// Requests in flight at each backend server that this balancer has sent.
     own: Vec<u32>,
-    /// What others told last, summed; as of when they told.
+    /// Last counts received from each other balancer, by backend server.
     told: Vec<Vec<u32>>,
     subset: Vec<usize>,
 }
 
-/// One backend server.
+/// Slots and queue of one backend server.
 #[derive(Default)]
 struct BackendQueue {
     busy: usize,
@@ -78,7 +83,8 @@
     arrivals: u32,
 }
 
-/// A run that ends: when, at which backend server, for which balancer, and when it was sent.
+/// End of a run: its time, backend server and balancer, and the time at which the request was sent.
+/// Times are in nanoseconds.
 type RunEnd = Reverse<(u64, usize, usize, u64)>;
 
 struct PlacementModel<'a> {
@@ -92,7 +98,7 @@
     waited: usize,
 }
 
-/// `run` plays a load.
+/// Simulates a load under one strategy.
 pub fn run(size: &PlacementSize, way: PlacementWay, load: PlacementLoad) -> PlacementMeasures {
     let mut model = PlacementModel::new(size, way, load.seed);
     let mean_gap = RUN_MS / (as_f64(size.backends * size.slots) * load.share);
@@ -121,7 +127,8 @@
     }
 }
 
-/// `ideal` gives the 99th percentile of one queue before all slots, milliseconds.
+/// Returns the 99th percentile of response times in milliseconds for one queue in front of all
+/// slots.
 pub fn ideal(size: &PlacementSize, load: PlacementLoad) -> f64 {
     let mut draws = Draws::new(load.seed);
     let slots = size.backends * size.slots;
@@ -253,7 +260,7 @@
             .unwrap_or(0)
     }
 
-    /// Each balancer tells some others its counts; what they had from it is replaced.
+    /// Lets each balancer send its counts to some others, where they replace its former counts.
     fn tell(&mut self) {
         for teller in 0..self.size.balancers {
             let counts = self.balancers[teller].own.clone();
@@ -294,7 +301,7 @@
     }
 }
 
-/// Times are ordered as whole nanoseconds.
+/// Converts a time to whole nanoseconds, which have a total order.
 fn nanos_of(millis: f64) -> u64 {
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     let nanos = (millis * 1e6) as u64;
--- a/crates/valvestage-experiment/src/placement/placement_way.rs
+++ b/crates/valvestage-experiment/src/placement/placement_way.rs
@@ -1,24 +1,28 @@
-//! What a balancer goes by.
+//! Strategies for choosing a backend server.
 
-/// `PlacementWay` is a way to choose a backend server for a request on a flow of its own.
+/// Strategy for choosing a backend server for a request that opens its own flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementWay {
-    /// Any of the own zone.
+    /// A random backend server of the balancer's own zone.
     Random,
-    /// The better of two of the own zone, by own counts.
+    /// The less loaded of two random backend servers of the own zone, by the balancer's own counts.
     TwoChoices,
-    /// The least loaded by own counts, own zone first: as `valvestage-entry` does.
+    /// The least loaded backend server by the balancer's own counts, with a preference for the own
+    /// zone, as in `valvestage-entry`.
     OwnCounts,
-    /// The same, over a few backend servers of the own zone each; all of them when those are busy.
+    /// As with the balancer's own counts, but among a few backend servers of the own zone; among
+    /// all backend servers if the best of those is busy.
     Subset,
-    /// The least loaded by own counts and what others told, own zone first.
+    /// The least loaded backend server by the balancer's own counts and the counts that others
+    /// gossip, with a preference for the own zone.
     ToldCounts,
-    /// The least loaded by what is true, own zone first: nobody can know it.
+    /// The least loaded backend server by exact counts, with a preference for the own zone. No real
+    /// balancer has these counts.
     Exact,
 }
 
 impl PlacementWay {
-    /// All ways.
+    /// All strategies, in the order of the table.
     pub const ALL: [Self; 6] = [
         Self::Random,
         Self::TwoChoices,
@@ -28,7 +32,7 @@
         Self::Exact,
     ];
 
-    /// `name` names the way in tables.
+    /// Returns the name of the strategy in tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::Random => "random, own zone",
--- a/crates/valvestage-experiment/src/requests.rs
+++ b/crates/valvestage-experiment/src/requests.rs
@@ -1,4 +1,4 @@
-//! Ways to spread requests over slots.
+//! Strategies for spreading requests over slots.
 
 mod event_queue;
 mod ideal;
@@ -23,16 +23,16 @@
 
 const SEED: u64 = 42;
 
-/// First tries in each run.
+/// Number of requests in each run, without retries.
 const REQUESTS: usize = 60_000;
 
-/// Share of bulk requests where classes matter.
+/// Share of bulk requests in runs with both classes.
 const BULK_SHARE: f64 = 0.3;
 
-/// Patience where nothing is to be refused.
+/// Time to the deadline in runs that are meant to have no refusals.
 const PATIENT: Duration = Duration::from_secs(9);
 
-/// Prints all tables.
+/// Prints the tables for steady load, faults and overload.
 pub fn print_tables() {
     steady();
     faults();
@@ -43,12 +43,13 @@
     Load { share, requests: REQUESTS, patience, bulk_share: BULK_SHARE, seed: SEED }
 }
 
-/// First come, first served, as in the ideal queue: one class.
+/// Returns a load of urgent requests only, which are served in order of arrival as in the ideal
+/// queue.
 fn one_class(share: f64) -> Load {
     Load { bulk_share: 0.0, ..load(share, PATIENT) }
 }
 
-/// Ways at 50, 80 and 95% of slots, against one ideal shared queue.
+/// Compares all strategies with one ideal shared queue, at 50, 80 and 95% of the slots.
 fn steady() {
     for size in &SIZES {
         let mut table = Table::new(&[
@@ -93,7 +94,7 @@
     }
 }
 
-/// The chosen way and the local baselines under faults, at 80% of slots.
+/// Compares the chosen strategy with the local baselines under faults, at 80% of the slots.
 fn faults() {
     for size in [&SIZES[0], &SIZES[2]] {
         let mut table = Table::new(&[
@@ -128,7 +129,7 @@
     }
 }
 
-/// Goodput and both classes beyond the capacity.
+/// Shows goodput and both request classes at and beyond capacity.
 fn overload() {
     for size in [&SIZES[0], &SIZES[2]] {
         let mut table = Table::new(&[
--- a/crates/valvestage-experiment/src/requests/event_queue.rs
+++ b/crates/valvestage-experiment/src/requests/event_queue.rs
@@ -1,10 +1,10 @@
-//! Events in the order of time.
+//! Queue of simulation events in order of time.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 use std::time::SystemTime;
 
-/// `EventQueue` gives events by time, and those of one time as they came.
+/// Priority queue of events by time. Events of the same time keep the order of insertion.
 #[derive(Debug)]
 pub struct EventQueue<E> {
     heap: BinaryHeap<Queued<E>>,
@@ -12,19 +12,19 @@
 }
 
 impl<E> EventQueue<E> {
-    /// `new` starts empty.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         Self { heap: BinaryHeap::new(), sequence: 0 }
     }
 
-    /// `push` adds an event.
+    /// Schedules an event at a time.
     pub fn push(&mut self, at: SystemTime, event: E) {
         self.sequence += 1;
 
         self.heap.push(Queued { at, sequence: self.sequence, event });
     }
 
-    /// `pop` takes the earliest event.
+    /// Removes and returns the earliest event with its time.
     pub fn pop(&mut self) -> Option<(SystemTime, E)> {
         self.heap.pop().map(|queued| (queued.at, queued.event))
     }
@@ -52,7 +52,7 @@
 }
 
 impl<E> Ord for Queued<E> {
-    /// The earliest is the greatest: the heap gives the greatest first.
+    /// Orders the earliest event as the greatest, because the heap pops the greatest element first.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
--- a/crates/valvestage-experiment/src/requests/ideal.rs
+++ b/crates/valvestage-experiment/src/requests/ideal.rs
@@ -1,4 +1,4 @@
-//! One queue before all slots: what the ways are measured against.
+//! The ideal baseline: one queue in front of all slots.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -10,20 +10,20 @@
 use super::model::{Load, RUN_TIME, WITHIN_ZONE};
 use crate::deployment::{Size, start};
 
-/// Runs a second that all slots can do.
+/// Returns the runs per second that all slots together can complete.
 pub fn capacity(size: &Size) -> f64 {
     f64::from(size.backends) * f64::from(size.slots) / RUN_TIME.as_secs_f64()
 }
 
-/// The mean way from one balancer to a backend server and back.
+/// Returns the mean round-trip time between a balancer and the backend servers of all zones.
 pub fn mean_way(size: &Size) -> Duration {
     let zones = u32::try_from(size.zones).unwrap_or(1);
 
     (size.between_zones * (zones - 1) + WITHIN_ZONE) / zones * 2
 }
 
-/// The same arrivals and run times, one first-come queue, no delay but that to callers and one for
-/// each run.
+/// Simulates one first-come, first-served queue with the arrivals and run times of the model. The
+/// only delays are those to callers and a constant one that extends each run.
 pub fn ideal(size: &Size, load: Load, way: Duration) -> Measures {
     let mut draws = Draws::new(load.seed);
     let rate = capacity(size) * load.share;
--- a/crates/valvestage-experiment/src/requests/measures.rs
+++ b/crates/valvestage-experiment/src/requests/measures.rs
@@ -1,67 +1,67 @@
-//! What a run came to.
+//! Results of a run.
 
 use std::collections::BTreeMap;
 
-/// `Sample` is one answered request.
+/// Time and class of one answered request.
 #[derive(Debug, Clone, Copy)]
 pub struct Sample {
-    /// From the caller's first packet to the answer, milliseconds.
+    /// Time from the caller's first packet to the answer, in milliseconds.
     pub millis: f64,
-    /// Its class.
+    /// Whether the request is of the bulk class; otherwise it is urgent.
     pub is_bulk: bool,
 }
 
-/// `ClassMeasures` is one class of a run.
+/// Results of one request class of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct ClassMeasures {
-    /// Share answered.
+    /// Share of the sent requests that were answered, in percent.
     pub answered_percent: f64,
-    /// 99th percentile, milliseconds.
+    /// 99th percentile of the response times, in milliseconds.
     pub p99_ms: f64,
 }
 
-/// `Measures` is the figures of a run.
+/// Counters and samples of a run.
 #[derive(Debug, Clone, Default)]
 pub struct Measures {
-    /// Requests sent, urgent and bulk.
+    /// Number of requests sent: urgent, then bulk.
     pub sent: [u64; 2],
-    /// Answered ones.
+    /// One sample for each answered request.
     pub samples: Vec<Sample>,
-    /// Refusals told to callers, by reason.
+    /// Number of refusals that reached callers, by reason.
     pub refused: BTreeMap<&'static str, u64>,
-    /// Further tries sent to backend servers.
+    /// Number of retries sent to backend servers.
     pub retries: u64,
-    /// Tries that backend servers refused for full slots.
+    /// Number of tries that backend servers refused: no free slot, or shedding as a fault.
     pub shed: u64,
-    /// Requests told nothing until the end.
+    /// Number of requests with neither an answer nor a refusal by the end of the run.
     pub untold: u64,
-    /// Sums of the imbalance of 100 ms samples, and their number.
+    /// Sum of the imbalances sampled every 100 ms, and their number.
     pub imbalance: (f64, u64),
-    /// The same over windows of 1 s.
+    /// Sum of the imbalances over windows of 1 s, and their number.
     pub imbalance_second: (f64, u64),
-    /// Time of the run, seconds.
+    /// Seconds from the start of the run to the last arrival.
     pub seconds: f64,
-    /// Runs a second that all slots can do.
+    /// Runs per second that all slots together can complete.
     pub capacity: f64,
 }
 
 impl Measures {
-    /// `percentile` gives a percentile of the times, milliseconds.
+    /// Returns a quantile of the response times in milliseconds, for a share from 0 to 1.
     pub fn percentile(&self, share: f64) -> f64 {
         percentile(self.samples.iter().map(|sample| sample.millis), share)
     }
 
-    /// `retries_per_try` gives retries over first tries; requests that were never tried count, too.
+    /// Returns the number of retries per request sent, including requests that were never tried.
     pub fn retries_per_try(&self) -> f64 {
         as_f64(self.retries) / as_f64(self.sent.iter().sum::<u64>().max(1))
     }
 
-    /// `answered_percent` gives the share answered.
+    /// Returns the share of all sent requests that were answered, in percent.
     pub fn answered_percent(&self) -> f64 {
         100.0 * as_f64(self.samples.len() as u64) / as_f64(self.sent.iter().sum::<u64>().max(1))
     }
 
-    /// `class` gives the figures of one class.
+    /// Returns the results of the bulk or the urgent class.
     pub fn class(&self, is_bulk: bool) -> ClassMeasures {
         let of_class = self.samples.iter().filter(|sample| sample.is_bulk == is_bulk);
         let sent = self.sent[usize::from(is_bulk)].max(1);
@@ -72,22 +72,24 @@
         }
     }
 
-    /// `goodput_over_capacity` gives answers a second over what all slots can do.
+    /// Returns the answers per second divided by the runs per second that all slots can complete.
     pub fn goodput_over_capacity(&self) -> f64 {
         as_f64(self.samples.len() as u64) / self.seconds / self.capacity
     }
 
-    /// `imbalance_100ms` gives the mean of (max - mean) / mean of busy slots.
+    /// Returns the mean of (max - mean) / mean of the busy slots of the backend servers, over
+    /// samples taken every 100 ms.
     pub fn imbalance_100ms(&self) -> f64 {
         self.imbalance.0 / as_f64(self.imbalance.1.max(1))
     }
 
-    /// `imbalance_1s` gives the same over windows of 1 s.
+    /// Returns the mean of (max - mean) / mean of the busy slots of the backend servers, summed
+    /// over windows of 1 s.
     pub fn imbalance_1s(&self) -> f64 {
         self.imbalance_second.0 / as_f64(self.imbalance_second.1.max(1))
     }
 
-    /// `refusals` lists the refusals by reason.
+    /// Lists the refusals by reason, and the requests without any outcome.
     pub fn refusals(&self) -> String {
         let mut parts: Vec<_> =
             self.refused.iter().map(|(reason, count)| format!("{reason} {count}")).collect();
--- a/crates/valvestage-experiment/src/requests/model.rs
+++ b/crates/valvestage-experiment/src/requests/model.rs
@@ -1,4 +1,4 @@
-//! A queueing model around the decision code: arrivals, delays, slots.
+//! Queueing model around the dispatcher of the policy: arrivals, network delays and slots.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -21,35 +21,35 @@
 use crate::deployment::{BALANCERS, Size, backend, configuration, start, zone_name};
 use valvestage_standins::draws::Draws;
 
-/// Mean of the exponential run times.
+/// Mean of the exponentially distributed run times.
 pub const RUN_TIME: Duration = Duration::from_millis(50);
 
-/// Pause between two ticks of a dispatcher.
+/// Interval between two ticks of a dispatcher.
 const TICK: Duration = Duration::from_millis(5);
 
-/// A caller that was told nothing sends its request again.
+/// Interval at which a caller resends a request that has neither an answer nor a refusal.
 const RESEND: Duration = Duration::from_millis(500);
 
-/// Time until a lost balancer is noticed.
+/// Time until the failure of a balancer is detected.
 pub(super) const NOTICED_AFTER: Duration = Duration::from_secs(2);
 
-/// One way within an availability zone.
+/// One-way delay within an availability zone.
 pub const WITHIN_ZONE: Duration = Duration::from_micros(100);
 
 const SERVICE: u16 = 1;
 
-/// `Load` is what callers do.
+/// Requests that callers send in a run.
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
-    /// Share of the slots' capacity.
+    /// Arrival rate as a share of the capacity of all slots.
     pub share: f64,
-    /// Requests in all.
+    /// Total number of requests.
     pub requests: usize,
-    /// Time from a request to its deadline.
+    /// Time from the sending of a request to its deadline.
     pub patience: Duration,
-    /// Share of bulk requests.
+    /// Share of requests of the bulk class.
     pub bulk_share: f64,
-    /// Of the draws.
+    /// Seed of the random draws.
     pub seed: u64,
 }
 
@@ -58,7 +58,7 @@
     deadline: SystemTime,
     is_bulk: bool,
     is_told: bool,
-    /// The same under every way.
+    /// Drawn with the arrival, so that it is the same under every strategy.
     pub(super) run_time: Duration,
 }
 
@@ -76,12 +76,12 @@
     pub(super) pending: HashMap<RequestId, Pending>,
     pub(super) measures: Measures,
     pub(super) samples: u32,
-    /// The admitting balancer is gone and not replaced yet.
+    /// Whether the owner of the service has failed and has no successor yet.
     pub(super) owner_is_lost: bool,
     pub(super) strikes_at: SystemTime,
 }
 
-/// `run` runs a load under one way and scenario.
+/// Simulates a load under one strategy and scenario.
 pub fn run(size: &Size, way: Way, scenario: Scenario, load: Load) -> Measures {
     match way {
         Way::Ideal => return ideal(size, load, Duration::ZERO),
@@ -148,14 +148,15 @@
         }
     }
 
-    /// All backend servers with all slots, or a fixed share of the slots.
+    /// Returns the backend servers that a dispatcher may use: all with all their slots, or, under
+    /// fixed credits, those with slots in the dispatcher's share.
     pub(super) fn records_for(&self, index: u32, count: u32) -> Vec<Backend> {
         let all = self.servers.values().map(|server| server.record.clone());
         if self.way != Way::Credits {
             return all.collect();
         }
 
-        // Slots are dealt one by one.
+        // Slots are assigned to the dispatchers in rotation.
         let mut dealt = 0;
         let mut share = Vec::new();
         for mut record in all {
@@ -193,7 +194,8 @@
     }
 
     fn run(&mut self) {
-        // Long after the last arrival everything has ended.
+        // The periodic events never end. By twice the time to the deadline after the last arrival,
+        // all requests have ended.
         let mut last_arrival = self.now;
 
         while let Some((at, event)) = self.queue.pop() {
@@ -252,7 +254,8 @@
         }
     }
 
-    /// Everything is under a lease here: leases are the fault matrix's matter.
+    /// Returns an authority that is always valid. The model does not simulate leases, which the
+    /// fault matrix covers.
     fn authority(&self) -> Authority {
         Authority { covers_from: SystemTime::UNIX_EPOCH, fence: self.now + Duration::from_secs(60) }
     }
@@ -284,7 +287,8 @@
         }
     }
 
-    /// From the caller by the fabric to any balancer, and from there to the one that admits.
+    /// Sends a request from its caller through the fabric to a balancer, and from there to the
+    /// owner if the strategy has one.
     fn send(&mut self, id: RequestId) {
         let Some(pending) = self.pending.get(&id).filter(|pending| !pending.is_told) else {
             return;
@@ -309,7 +313,7 @@
         if left == right { WITHIN_ZONE } else { self.size.between_zones }
     }
 
-    /// Between a dispatcher's balancer and a backend server.
+    /// Returns the one-way delay between a dispatcher's balancer and a backend server.
     pub(super) fn to_backend(&self, dispatcher: usize, backend: BackendId) -> Duration {
         self.between(dispatcher % self.size.zones, backend as usize % self.size.zones)
     }
@@ -355,7 +359,7 @@
                     let event = Event::AtCaller(id, Some(refusal.reason));
                     self.schedule(self.size.to_callers, event);
                 }
-                RequestAction::Relay { .. } => unreachable!("dispatchers do not relay"),
+                RequestAction::Relay { .. } => unreachable!("dispatchers do not relay requests"),
             }
         }
     }
--- a/crates/valvestage-experiment/src/requests/model_event.rs
+++ b/crates/valvestage-experiment/src/requests/model_event.rs
@@ -1,10 +1,10 @@
-//! What happens in the model.
+//! Events of the request model.
 
 use valvestage_core::RefusalReason;
 use valvestage_core::ids::{Attempt, BackendId, RequestId};
 use valvestage_policy::requests::BackendReply;
 
-/// `Event` is something that happens at a time.
+/// Event that the model handles at its scheduled time.
 #[derive(Debug)]
 pub(super) enum Event {
     NewRequest(usize),
--- a/crates/valvestage-experiment/src/requests/model_faults.rs
+++ b/crates/valvestage-experiment/src/requests/model_faults.rs
@@ -1,4 +1,4 @@
-//! How the faults of a run strike.
+//! Fault injection for the request model.
 
 use valvestage_core::BackendState;
 
@@ -13,7 +13,8 @@
         match self.scenario {
             Scenario::TwoSlow => self.each_server(2, |server| server.slow_factor = 10),
             Scenario::OneShedding => self.each_server(1, |server| server.is_shedding = true),
-            // Reports are hints that the policy does not follow: occupancy is counted.
+            // Reported load is a hint that the policy does not use, because it counts occupancy
+            // itself; so a false report has no effect. Skewed callers are handled at sending.
             Scenario::Steady | Scenario::OneLying | Scenario::SkewedCallers => {}
             Scenario::ColdStart => {
                 for server in self.servers.values_mut() {
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Another balancer, which knows nothing of what runs.
+    /// Replaces the failed owner by a successor that has no state of the running requests.
     pub(super) fn take_over(&mut self) {
         let count = self.dispatchers.len() as u32;
 
--- a/crates/valvestage-experiment/src/requests/model_occupancy.rs
+++ b/crates/valvestage-experiment/src/requests/model_occupancy.rs
@@ -1,14 +1,14 @@
-//! How evenly the slots of the model's backend servers are used.
+//! Sampling of how evenly the slots of the model's backend servers are used.
 
 use std::time::Duration;
 
 use super::model::Model;
 use super::model_event::Event;
 
-/// Length of one sample of the occupancy.
+/// Interval at which the occupancy of slots is sampled.
 pub(super) const SAMPLE: Duration = Duration::from_millis(100);
 
-/// Samples in a window of a second.
+/// Number of samples in a window of one second.
 const SAMPLES_PER_SECOND: u32 = 10;
 
 impl Model<'_> {
@@ -29,7 +29,7 @@
     }
 }
 
-/// (max - mean) / mean.
+/// Adds (max - mean) / mean to a sum of imbalances and counts it. Skips samples without busy slots.
 fn add_imbalance(sum: &mut (f64, u64), busy: &[u32]) {
     let total: u32 = busy.iter().sum();
     if total == 0 {
--- a/crates/valvestage-experiment/src/requests/model_server.rs
+++ b/crates/valvestage-experiment/src/requests/model_server.rs
@@ -1,4 +1,4 @@
-//! The backend servers of the model.
+//! Backend servers of the request model.
 
 use std::collections::BTreeMap;
 
@@ -9,14 +9,14 @@
 use super::model::Model;
 use super::model_event::Event;
 
-/// `Server` is one backend server and what runs there.
+/// A simulated backend server with its running requests and injected faults.
 pub(super) struct Server {
     pub(super) record: Backend,
     pub(super) running: BTreeMap<(RequestId, Attempt), ()>,
     pub(super) slow_factor: u32,
     pub(super) is_shedding: bool,
     pub(super) is_cut: bool,
-    /// Busy slots summed over the samples of the present second.
+    /// Sum of busy slots over the samples of the current window of one second.
     pub(super) busy_sum: u32,
 }
 
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The backend server stops the run and says so: its slot is free.
+    /// Stops a run at its backend server, which frees the slot and reports the cancellation.
     pub(super) fn cancelled(
         &mut self,
         dispatcher: usize,
--- a/crates/valvestage-experiment/src/requests/scenario.rs
+++ b/crates/valvestage-experiment/src/requests/scenario.rs
@@ -1,30 +1,31 @@
-//! What goes wrong in a run.
+//! Fault scenarios of the request model.
 
-/// `Scenario` is the fault of a run; it strikes after a third of the requests.
+/// Fault of a run, which is injected after a third of the run's expected length. Skewed callers are
+/// skewed from the start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scenario {
-    /// Nothing.
+    /// No fault.
     Steady,
     /// Two backend servers are 10 times slower.
     TwoSlow,
-    /// One backend server refuses everything.
+    /// One backend server refuses all requests.
     OneShedding,
-    /// One backend server reports no load at all on its answers, whatever it does.
+    /// One backend server reports zero load with its answers regardless of its real load.
     OneLying,
-    /// All backend servers are new.
+    /// All backend servers get a new incarnation, as after a restart.
     ColdStart,
     /// Three backend servers are drained.
     ThreeDraining,
     /// The backend servers of one availability zone, and its callers' entry VMs, are cut off.
     ZoneCut,
-    /// The admitting balancer is lost; another takes over once it has noticed.
+    /// The owner of the service fails; another balancer takes over once the failure is detected.
     BalancerLost,
     /// Half of the requests come from one caller.
     SkewedCallers,
 }
 
 impl Scenario {
-    /// All faults.
+    /// All scenarios with a fault, in the order of the table.
     pub const FAULTS: [Self; 8] = [
         Self::TwoSlow,
         Self::OneShedding,
@@ -36,7 +37,7 @@
         Self::SkewedCallers,
     ];
 
-    /// Its name in tables.
+    /// Returns the name of the scenario in tables.
     pub fn label(self) -> &'static str {
         match self {
             Self::Steady => "none",
--- a/crates/valvestage-experiment/src/requests/way.rs
+++ b/crates/valvestage-experiment/src/requests/way.rs
@@ -1,31 +1,36 @@
-//! The ways that are compared.
+//! Strategies for spreading requests over slots.
 
 use valvestage_policy::requests::ChoiceRule;
 
-/// `Way` is a way to give requests slots.
+/// Strategy for assigning slots to requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Way {
-    /// One queue before all slots, without any delay: what the others are measured against.
+    /// One queue in front of all slots, without network delays to backend servers: the baseline of
+    /// the other strategies.
     Ideal,
-    /// The same with the way to the backend server and back, in which a slot is idle: what any way
-    /// comes to at best that sends the next request only once the answer to the last is there.
+    /// One queue in front of all slots, where a slot stays idle for the round trip to the backend
+    /// server after each run. This bounds any strategy that sends the next request only once the
+    /// answer to the last one has arrived.
     IdealWithDelay,
-    /// One balancer admits for the service; the least occupied backend server.
+    /// One balancer, the owner, admits all requests of the service, and chooses the backend server
+    /// with the lowest occupancy.
     Owner,
-    /// One balancer admits; the lower of two drawn at random.
+    /// The owner admits all requests, and chooses the less occupied of two random backend servers.
     OwnerTwoChoices,
-    /// One balancer admits; any with a free slot.
+    /// The owner admits all requests, and chooses a random backend server with a free slot.
     OwnerRandom,
-    /// Each balancer counts its own; the lower of two drawn at random.
+    /// Each balancer counts only its own requests, and chooses the less occupied of two random
+    /// backend servers.
     LocalTwoChoices,
-    /// Each balancer counts its own; any that seems free.
+    /// Each balancer counts only its own requests, and chooses a random backend server with a slot
+    /// that is free by this count.
     LocalRandom,
     /// Each balancer has a fixed share of the slots.
     Credits,
 }
 
 impl Way {
-    /// All that are printed.
+    /// All strategies that have a row in the tables; the ideal queue is their baseline.
     pub const ALL: [Self; 7] = [
         Self::IdealWithDelay,
         Self::Owner,
@@ -36,7 +41,7 @@
         Self::Credits,
     ];
 
-    /// Its name in tables.
+    /// Returns the name of the strategy in tables.
     pub fn label(self) -> &'static str {
         match self {
             Self::Ideal => "one ideal shared queue",
@@ -50,12 +55,12 @@
         }
     }
 
-    /// Whether one balancer admits for all.
+    /// Reports whether one balancer admits the requests of all.
     pub fn has_owner(self) -> bool {
         matches!(self, Self::Owner | Self::OwnerTwoChoices | Self::OwnerRandom)
     }
 
-    /// How a backend server is chosen.
+    /// Returns the rule by which the dispatcher chooses a backend server.
     pub fn choice(self) -> ChoiceRule {
         match self {
             Self::Ideal | Self::IdealWithDelay | Self::Owner | Self::Credits => {
--- a/crates/valvestage-experiment/src/table.rs
+++ b/crates/valvestage-experiment/src/table.rs
@@ -1,6 +1,6 @@
-//! Markdown tables.
+//! Printing of Markdown tables.
 
-/// `Table` collects rows and prints them.
+/// A Markdown table that collects rows for printing.
 #[derive(Debug)]
 pub struct Table {
     columns: usize,
@@ -8,7 +8,7 @@
 }
 
 impl Table {
-    /// `new` starts with the names of the columns.
+    /// Creates a table without rows from the names of its columns.
     pub fn new(names: &[&str]) -> Self {
         let head = format!("| {} |", names.join(" | "));
         let rule = format!("|{}", "---|".repeat(names.len()));
@@ -16,14 +16,18 @@
         Self { columns: names.len(), lines: vec![head, rule] }
     }
 
-    /// `row` adds a row.
+    /// Appends a row.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the number of cells differs from the number of columns.
     pub fn row(&mut self, cells: &[String]) {
-        assert_eq!(cells.len(), self.columns, "a cell for each column");
+        assert_eq!(cells.len(), self.columns, "a row must have one cell per column");
 
         self.lines.push(format!("| {} |", cells.join(" | ")));
     }
 
-    /// `print` prints a title and the table.
+    /// Prints a title, as a heading of level three, and the table to standard output.
     pub fn print(&self, title: &str) {
         println!("### {title}\n");
         for line in &self.lines {
