--- a/crates/valvestage-experiment/src/capacity.rs
+++ b/crates/valvestage-experiment/src/capacity.rs
@@ -6,7 +6,7 @@
 mod flow_slope;
 mod gossip_slope;
 
-pub use flow_slope::full_director;
+pub use flow_slope::director_with_flows;
 
 /// Prints the tables of claims, heartbeats, flows, configuration and owner map.
 pub fn print_tables() {
--- a/crates/valvestage-experiment/src/capacity/claim_slope.rs
+++ b/crates/valvestage-experiment/src/capacity/claim_slope.rs
@@ -26,11 +26,11 @@
 
     // All dispatchers stay alive: a dispatcher that reused the memory of a dropped one would show
     // too little growth.
-    let mut kept = Vec::new();
+    let mut dispatchers = Vec::new();
     for claims in [25_000, 50_000, 100_000] {
         let (bytes, micros, dispatcher) = measure(claims);
-        kept.push(dispatcher);
-        table.row(&[claims.to_string(), format!("{bytes:.0}"), format!("{micros:.2}")]);
+        dispatchers.push(dispatcher);
+        table.add_row(&[claims.to_string(), format!("{bytes:.0}"), format!("{micros:.2}")]);
     }
     table.print("Claims at the owner of a service");
 }
@@ -70,10 +70,10 @@
         out.clear();
     }
     let spent = began.elapsed();
-    let grown = resident_bytes().saturating_sub(before);
+    let growth = resident_bytes().saturating_sub(before);
 
     #[allow(clippy::cast_precision_loss)]
-    let (bytes, count) = (grown as f64, claims as f64);
+    let (bytes, count) = (growth as f64, claims as f64);
     (bytes / count, spent.as_secs_f64() * 1e6 / count, dispatcher)
 }
 
--- a/crates/valvestage-experiment/src/capacity/configuration_slope.rs
+++ b/crates/valvestage-experiment/src/capacity/configuration_slope.rs
@@ -32,8 +32,8 @@
         "ns a placement",
     ]);
     for (backends, services) in SIZES {
-        let raw = raw(backends, services);
-        table.row(&[
+        let raw = raw_configuration(backends, services);
+        table.add_row(&[
             backends.to_string(),
             services.to_string(),
             serde_json::to_vec(&raw).map_or(0, |json| json.len()).to_string(),
@@ -48,7 +48,7 @@
         Table::new(&["services", "bytes as stored", "bytes between peers", "ms to install"]);
     for (_, services) in SIZES {
         let map = owner_map(services);
-        table.row(&[
+        table.add_row(&[
             services.to_string(),
             serde_json::to_vec(&map).map_or(0, |json| json.len()).to_string(),
             postcard::to_stdvec(&map).map_or(0, |encoded| encoded.len()).to_string(),
@@ -58,7 +58,7 @@
     table.print("Owner map");
 }
 
-fn raw(backends: u32, services: u16) -> RawConfiguration {
+fn raw_configuration(backends: u32, services: u16) -> RawConfiguration {
     let record = |id: u32| {
         let service = u16::try_from(id % u32::from(services)).unwrap_or(0) + 1;
         backend(id, service, 3, 7)
--- a/crates/valvestage-experiment/src/capacity/flow_slope.rs
+++ b/crates/valvestage-experiment/src/capacity/flow_slope.rs
@@ -11,11 +11,11 @@
 };
 use valvestage_policy::membership::LiveView;
 
-use crate::data_path::decision_time::{bytes_a_flow, nanoseconds};
+use crate::data_path::decision_time::{bytes_per_flow, decision_nanoseconds};
 use crate::deployment::{backend, configuration, zone_name};
 use crate::table::Table;
 
-const OWN: BalancerId = 0;
+const OWN_ID: BalancerId = 0;
 
 /// Prints memory, decision time and exceptions, by the number of flows held.
 pub fn print_table() {
@@ -29,12 +29,12 @@
     ]);
 
     for flows in [100_000, 200_000, 400_000] {
-        let (mut director, keys) = full_director(flows, 8);
-        let decision = nanoseconds(&mut director, &keys);
+        let (mut director, keys) = director_with_flows(flows, 8);
+        let decision = decision_nanoseconds(&mut director, &keys);
         let exceptions = find_exceptions(&mut director);
-        table.row(&[
+        table.add_row(&[
             flows.to_string(),
-            format!("{:.1}", bytes_a_flow(&director)),
+            format!("{:.1}", bytes_per_flow(&director)),
             format!("{decision:.0}"),
             format!("{:.0}", exceptions.millis),
             exceptions.count.to_string(),
@@ -46,12 +46,12 @@
 
 /// Returns a flow director that is the home of a number of established flows, and the keys of these
 /// flows.
-pub fn full_director(flows: usize, balancers: u32) -> (FlowDirector, Vec<FlowKey>) {
+pub fn director_with_flows(flows: usize, balancers: u32) -> (FlowDirector, Vec<FlowKey>) {
     let records = (1..=14).map(|id| backend(id, 1, 3, 3)).collect();
     let keys =
         TokenKeys::new(1, RawTokenKeys { flow_hash: (1, 2), current: 1, keys: vec![(1, 3, 4)] });
     let options = FlowOptions { expected_flows: flows, ..FlowOptions::default() };
-    let mut director = FlowDirector::new(OWN, options);
+    let mut director = FlowDirector::new(OWN_ID, options);
     director.install_configuration(Arc::new(configuration(1, 1, records)));
     director.install_keys(keys.clone());
     let view = LiveView::new((0..balancers).map(|id| (id, zone_name(id as usize % 7))));
@@ -61,7 +61,7 @@
     let now = SystemTime::now();
     let callers = (0u32..).map(|number| SocketAddr::new(Ipv4Addr::from(number).into(), 4_000));
     let all = callers.map(|caller| keys.hasher().key(caller, 1));
-    let own: Vec<FlowKey> = all.filter(|key| view.home(*key) == Some(OWN)).take(flows).collect();
+    let own: Vec<FlowKey> = all.filter(|key| view.home(*key) == Some(OWN_ID)).take(flows).collect();
     for key in &own {
         let hop = HopMark { count: MAX_HOPS, ..HopMark::FIRST };
         let packet =
@@ -72,7 +72,7 @@
     (director, own)
 }
 
-struct Exceptions {
+struct ExceptionSearch {
     millis: f64,
     count: usize,
     bytes_each: f64,
@@ -80,7 +80,7 @@
 
 /// Drains one of the 14 backend servers, and measures the search for flows that have become
 /// exceptions.
-fn find_exceptions(director: &mut FlowDirector) -> Exceptions {
+fn find_exceptions(director: &mut FlowDirector) -> ExceptionSearch {
     let mut records: Vec<_> = (1..=14).map(|id| backend(id, 1, 3, 3)).collect();
     records[0].state = valvestage_core::BackendState::Draining;
     director.install_configuration(Arc::new(configuration(2, 1, records)));
@@ -88,7 +88,7 @@
     let view = director.view().clone();
 
     let began = Instant::now();
-    let finder = ExceptionFinder::new(OWN, director.history(), view)
+    let finder = ExceptionFinder::new(OWN_ID, director.history(), view)
         .expect("director must have a configuration");
     let copies = finder.copies(&bindings);
     let millis = began.elapsed().as_secs_f64() * 1_000.0;
@@ -97,5 +97,5 @@
     let bytes = postcard::to_stdvec(&all).map_or(0, |encoded| encoded.len());
     #[allow(clippy::cast_precision_loss)]
     let bytes_each = bytes as f64 / all.len().max(1) as f64;
-    Exceptions { millis, count: all.len(), bytes_each }
+    ExceptionSearch { millis, count: all.len(), bytes_each }
 }
--- a/crates/valvestage-experiment/src/data_path.rs
+++ b/crates/valvestage-experiment/src/data_path.rs
@@ -12,31 +12,31 @@
 pub fn print_tables() {
     decision_time::print_table();
 
-    let mut relay = Vec::new();
-    let mut balancer = Vec::new();
-    let mut with_token = Vec::new();
+    let mut relay_rates = Vec::new();
+    let mut balancer_rates = Vec::new();
+    let mut token_rates = Vec::new();
     for _ in 0..RUNS {
-        relay.push(packet_rate::relay());
-        balancer.push(packet_rate::balancer(false));
-        with_token.push(packet_rate::balancer(true));
+        relay_rates.push(packet_rate::measure_relay());
+        balancer_rates.push(packet_rate::measure_balancer(false));
+        token_rates.push(packet_rate::measure_balancer(true));
     }
 
     let mut table =
         Table::new(&["what", "packets a second (median)", "least", "most", "over the relay"]);
-    let base = median(&relay);
+    let relay_median = median(&relay_rates);
     for (name, rates) in [
-        ("bare relay, batched", &relay),
-        ("balancer, established flows by table", &balancer),
-        ("balancer, established flows by token", &with_token),
+        ("bare relay, batched", &relay_rates),
+        ("balancer, established flows by table", &balancer_rates),
+        ("balancer, established flows by token", &token_rates),
     ] {
         let least = rates.iter().copied().fold(f64::MAX, f64::min);
         let most = rates.iter().copied().fold(0.0, f64::max);
-        table.row(&[
+        table.add_row(&[
             name.to_owned(),
             format!("{:.0}", median(rates)),
             format!("{least:.0}"),
             format!("{most:.0}"),
-            format!("{:.2}", median(rates) / base),
+            format!("{:.2}", median(rates) / relay_median),
         ]);
     }
     table.print("One balancer, 100 bytes of payload, loopback");
--- a/crates/valvestage-experiment/src/data_path/decision_time.rs
+++ b/crates/valvestage-experiment/src/data_path/decision_time.rs
@@ -6,7 +6,7 @@
 use valvestage_core::ids::FlowKey;
 use valvestage_policy::flows::{FlowDirector, FlowPacket, HopMark};
 
-use crate::capacity::full_director;
+use crate::capacity::director_with_flows;
 use crate::table::Table;
 use valvestage_standins::draws::Draws;
 
@@ -17,12 +17,12 @@
     let mut table = Table::new(&["flows held", "balancers", "ns a decision", "bytes a flow"]);
 
     for (flows, balancers) in [(100_000, 8), (300_000, 8), (600_000, 8), (50_000, 420)] {
-        let (mut director, keys) = full_director(flows, balancers);
-        table.row(&[
+        let (mut director, keys) = director_with_flows(flows, balancers);
+        table.add_row(&[
             flows.to_string(),
             balancers.to_string(),
-            format!("{:.0}", nanoseconds(&mut director, &keys)),
-            format!("{:.1}", bytes_a_flow(&director)),
+            format!("{:.0}", decision_nanoseconds(&mut director, &keys)),
+            format!("{:.1}", bytes_per_flow(&director)),
         ]);
     }
     table.print("Established flows at their home balancer");
@@ -30,7 +30,7 @@
 
 /// Returns the mean time of a decision in nanoseconds, for packets of established flows in random
 /// order.
-pub fn nanoseconds(director: &mut FlowDirector, keys: &[FlowKey]) -> f64 {
+pub fn decision_nanoseconds(director: &mut FlowDirector, keys: &[FlowKey]) -> f64 {
     let mut draws = Draws::new(5);
     let order: Vec<FlowKey> = (0..DECISIONS).map(|_| keys[draws.below(keys.len())]).collect();
     let now = SystemTime::now();
@@ -53,7 +53,7 @@
 }
 
 /// Returns the allocated bytes of the flow table per flow held.
-pub fn bytes_a_flow(director: &FlowDirector) -> f64 {
+pub fn bytes_per_flow(director: &FlowDirector) -> f64 {
     #[allow(clippy::cast_precision_loss)]
     let bytes = director.table().allocated_bytes() as f64 / director.table().len() as f64;
 
--- a/crates/valvestage-experiment/src/data_path/packet_rate.rs
+++ b/crates/valvestage-experiment/src/data_path/packet_rate.rs
@@ -25,14 +25,14 @@
 
 use crate::deployment::{backend, configuration, service, zone_name};
 
-const MEASURED: Duration = Duration::from_secs(2);
-const WARM_UP: Duration = Duration::from_millis(300);
+const MEASURED_TIME: Duration = Duration::from_secs(2);
+const WARM_UP_TIME: Duration = Duration::from_millis(300);
 const SENDERS: usize = 3;
 const FLOWS: u32 = 10_000;
 const PAYLOAD: [u8; 100] = [7; 100];
 const SOCKET_BUFFER_BYTES: usize = 8 << 20;
 
-fn open() -> UdpSocket {
+fn open_socket() -> UdpSocket {
     let socket = UdpSocket::bind(("127.0.0.1", 0)).expect("binding to a free loopback port failed");
     socket
         .set_read_timeout(Some(Duration::from_millis(50)))
@@ -45,26 +45,29 @@
     socket
 }
 
-fn caller(number: u32) -> SocketAddr {
+fn caller_address(number: u32) -> SocketAddr {
     SocketAddr::new(Ipv4Addr::from(0xc612_0000 + number).into(), 4_000)
 }
 
-fn keys() -> RawTokenKeys {
+fn raw_token_keys() -> RawTokenKeys {
     RawTokenKeys { flow_hash: (1, 2), current: 1, keys: vec![(1, 3, 4)] }
 }
 
 /// Returns one encoded packet of each flow, with a token for a backend server if a configuration is
 /// given.
-fn packets(kind: PacketKind, tokens: Option<&valvestage_core::Configuration>) -> Vec<Vec<u8>> {
-    let keys = TokenKeys::new(1, keys());
+fn packets(
+    kind: PacketKind,
+    token_configuration: Option<&valvestage_core::Configuration>,
+) -> Vec<Vec<u8>> {
+    let keys = TokenKeys::new(1, raw_token_keys());
 
     let packet = |number: u32| {
         let mut header = Header::new(kind);
-        let key = keys.hasher().key(caller(number), 1);
-        let target = tokens.and_then(|known| known.backend(number % 14 + 1));
+        let key = keys.hasher().key(caller_address(number), 1);
+        let target = token_configuration.and_then(|known| known.backend(number % 14 + 1));
         header.token = target.and_then(|backend| keys.issue(key, backend));
         let envelope = Envelope {
-            caller: caller(number),
+            caller: caller_address(number),
             service: service(1).address,
             header,
             payload: &PAYLOAD,
@@ -75,14 +78,14 @@
 }
 
 /// Sends packets to an address as fast as possible until the stop flag is set.
-fn flood(socket: &UdpSocket, to: SocketAddr, packets: &[Vec<u8>], stops: &AtomicBool) {
+fn flood(socket: &UdpSocket, to: SocketAddr, packets: &[Vec<u8>], is_stopped: &AtomicBool) {
     let metrics = BalancerMetrics::default();
     let batches: Vec<Vec<Outbound>> = packets
         .chunks(BATCH_DATAGRAMS)
         .map(|part| part.iter().map(|bytes| Outbound { to, bytes: bytes.clone() }).collect())
         .collect();
 
-    while !stops.load(Ordering::Relaxed) {
+    while !is_stopped.load(Ordering::Relaxed) {
         for batch in &batches {
             send_all(socket, batch, &metrics);
         }
@@ -96,31 +99,31 @@
     fabric: &UdpSocket,
     packets: &[Vec<u8>],
     sent: impl Fn() -> u64,
-    stops: &AtomicBool,
+    is_stopped: &AtomicBool,
 ) -> f64 {
     thread::scope(|scope| {
         for _ in 0..SENDERS {
-            scope.spawn(|| flood(fabric, to, packets, stops));
+            scope.spawn(|| flood(fabric, to, packets, is_stopped));
         }
 
-        thread::sleep(WARM_UP);
+        thread::sleep(WARM_UP_TIME);
         let (from, began) = (sent(), Instant::now());
-        thread::sleep(MEASURED);
+        thread::sleep(MEASURED_TIME);
         let count = sent() - from;
         let rate =
             f64::from(u32::try_from(count).unwrap_or(u32::MAX)) / began.elapsed().as_secs_f64();
-        stops.store(true, Ordering::Relaxed);
+        is_stopped.store(true, Ordering::Relaxed);
         rate
     })
 }
 
 /// Measures a bare relay, which forwards batches in one thread without inspecting them. Returns the
 /// packets per second.
-pub fn relay() -> f64 {
-    let (socket, fabric, sink) = (open(), open(), open());
+pub fn measure_relay() -> f64 {
+    let (socket, fabric, sink) = (open_socket(), open_socket(), open_socket());
     let to = socket.local_addr().expect("socket must have a local address");
     let sink_address = sink.local_addr().expect("socket must have a local address");
-    let stops = AtomicBool::new(false);
+    let is_stopped = AtomicBool::new(false);
     let sent = AtomicU64::new(0);
     let packets = packets(PacketKind::Data, None);
 
@@ -128,7 +131,7 @@
         scope.spawn(|| {
             let metrics = BalancerMetrics::default();
             let mut buffers = vec![[0; BUFFER_BYTES]; BATCH_DATAGRAMS];
-            while !stops.load(Ordering::Relaxed) {
+            while !is_stopped.load(Ordering::Relaxed) {
                 let Ok(batch) = receive_batch(&socket, &mut buffers) else {
                     continue;
                 };
@@ -140,16 +143,16 @@
                 sent.fetch_add(out.len() as u64, Ordering::Relaxed);
             }
         });
-        measure(to, &fabric, &packets, || sent.load(Ordering::Relaxed), &stops)
+        measure(to, &fabric, &packets, || sent.load(Ordering::Relaxed), &is_stopped)
     })
 }
 
 /// Measures the three data path threads of a balancer with established flows, which it finds by its
 /// table or by tokens. Returns the packets per second.
-pub fn balancer(with_token: bool) -> f64 {
-    let (socket, fabric) = (open(), open());
+pub fn measure_balancer(with_token: bool) -> f64 {
+    let (socket, fabric) = (open_socket(), open_socket());
     let to = socket.local_addr().expect("socket must have a local address");
-    let sinks: Vec<UdpSocket> = (0..14).map(|_| open()).collect();
+    let sinks: Vec<UdpSocket> = (0..14).map(|_| open_socket()).collect();
     let records = (1..).zip(&sinks).map(|(id, sink)| {
         let mut record = backend(id, 1, 3, 3);
         record.address = sink.local_addr().expect("socket must have a local address");
@@ -169,7 +172,7 @@
     let view = LiveView::new([(1, zone_name(0))]);
     for command in [
         Command::InstallConfiguration(known),
-        Command::InstallKeys(TokenKeys::new(1, keys())),
+        Command::InstallKeys(TokenKeys::new(1, raw_token_keys())),
         Command::InstallView { view, addresses: BTreeMap::new() },
     ] {
         handler.on_command(SystemTime::now(), command, &mut out);
@@ -190,17 +193,17 @@
     packets: &[Vec<u8>],
     metrics: &Arc<BalancerMetrics>,
 ) -> f64 {
-    let stops = AtomicBool::new(false);
+    let is_stopped = AtomicBool::new(false);
     let (inbound_sender, inbound) = batch_ring(metrics.clone());
     let (outbound_sender, outbound) = batch_ring(metrics.clone());
     let (commands_sender, commands) = bounded(16);
 
     thread::scope(|scope| {
-        scope.spawn(|| receive_loop(&socket, &inbound_sender, metrics, &stops));
+        scope.spawn(|| receive_loop(&socket, &inbound_sender, metrics, &is_stopped));
         scope.spawn(move || decide_loop(handler, &inbound, &commands, &outbound_sender));
         scope.spawn(|| send_loop(&socket, &outbound, metrics));
 
-        let rate = measure(to, fabric, packets, || metrics.sent.get(), &stops);
+        let rate = measure(to, fabric, packets, || metrics.sent.get(), &is_stopped);
         let _ = commands_sender.send(Command::Stop);
         rate
     })
--- a/crates/valvestage-experiment/src/deployment.rs
+++ b/crates/valvestage-experiment/src/deployment.rs
@@ -9,7 +9,7 @@
 
 /// Size of one service, with the network delays of its region.
 #[derive(Debug, Clone, Copy)]
-pub struct Size {
+pub struct ServiceSize {
     /// Name in the headings of tables.
     pub name: &'static str,
     /// Number of backend servers.
@@ -19,44 +19,44 @@
     /// Number of availability zones.
     pub zones: usize,
     /// One-way delay between availability zones.
-    pub between_zones: Duration,
+    pub inter_zone_delay: Duration,
     /// One-way delay between a caller and a balancer.
-    pub to_callers: Duration,
+    pub caller_delay: Duration,
 }
 
 /// The services of both deployments: two in a region with three zones, two in one with four.
-pub const SIZES: [Size; 4] = [
-    Size {
+pub const SIZES: [ServiceSize; 4] = [
+    ServiceSize {
         name: "rencontre-core",
         backends: 14,
         slots: 3,
         zones: 3,
-        between_zones: Duration::from_millis(1),
-        to_callers: Duration::from_millis(3),
+        inter_zone_delay: Duration::from_millis(1),
+        caller_delay: Duration::from_millis(3),
     },
-    Size {
+    ServiceSize {
         name: "photo-store",
         backends: 4,
         slots: 3,
         zones: 3,
-        between_zones: Duration::from_millis(1),
-        to_callers: Duration::from_millis(3),
+        inter_zone_delay: Duration::from_millis(1),
+        caller_delay: Duration::from_millis(3),
     },
-    Size {
+    ServiceSize {
         name: "escuta",
         backends: 14,
         slots: 2,
         zones: 4,
-        between_zones: Duration::from_micros(500),
-        to_callers: Duration::from_millis(1),
+        inter_zone_delay: Duration::from_micros(500),
+        caller_delay: Duration::from_millis(1),
     },
-    Size {
+    ServiceSize {
         name: "ondas",
         backends: 4,
         slots: 2,
         zones: 4,
-        between_zones: Duration::from_micros(500),
-        to_callers: Duration::from_millis(1),
+        inter_zone_delay: Duration::from_micros(500),
+        caller_delay: Duration::from_millis(1),
     },
 ];
 
@@ -64,7 +64,7 @@
 pub const BALANCERS: u32 = 8;
 
 /// Returns the fixed point in time at which all models start.
-pub fn start() -> SystemTime {
+pub fn start_time() -> SystemTime {
     UNIX_EPOCH + Duration::from_secs(1_800_000_000)
 }
 
--- a/crates/valvestage-experiment/src/fleet.rs
+++ b/crates/valvestage-experiment/src/fleet.rs
@@ -7,34 +7,36 @@
 //! | module | contents |
 //! |---|---|
 //! | `store` | the part of the platform's store that balancers read |
-//! | `world` | simulation of balancers, datagrams and calls |
+//! | `simulation` | simulation of balancers, datagrams and calls |
 //! | `usage` | resources that the balancers use over a span of time |
 //! | `scenes` | scenarios, and the time until all balancers know of a change |
 
 mod scenes;
+mod simulation;
 mod store;
 mod usage;
-mod world;
 
-use self::scenes::SceneReport;
+use self::scenes::ScenarioReport;
 use crate::table::Table;
 
 /// Number of backend servers per balancer.
-const BACKENDS_EACH: usize = 10;
+const BACKENDS_PER_BALANCER: usize = 10;
 
 /// Prints a table for each scenario, with a column for each fleet size and the growth exponent from
 /// the first size to the last.
 pub fn print_tables(sizes: &[usize], starts_only: bool) {
-    let reports: Vec<_> =
-        sizes.iter().map(|size| scenes::play(*size, size * BACKENDS_EACH, starts_only)).collect();
+    let reports: Vec<_> = sizes
+        .iter()
+        .map(|size| scenes::run_all(*size, size * BACKENDS_PER_BALANCER, starts_only))
+        .collect();
 
-    for scene in 0..reports.first().map_or(0, Vec::len) {
-        let of_scene: Vec<_> = reports.iter().map(|report| &report[scene]).collect();
-        print_scene(sizes, &of_scene);
+    for scenario in 0..reports.first().map_or(0, Vec::len) {
+        let of_scenario: Vec<_> = reports.iter().map(|report| &report[scenario]).collect();
+        print_scenario(sizes, &of_scenario);
     }
 }
 
-fn print_scene(sizes: &[usize], reports: &[&SceneReport]) {
+fn print_scenario(sizes: &[usize], reports: &[&ScenarioReport]) {
     let [.., last] = reports else { return };
     let mut names = vec!["measure".to_owned()];
     names.extend(sizes.iter().map(|size| format!("{size} balancers")));
@@ -46,15 +48,15 @@
         let values: Vec<_> = reports.iter().map(|report| report.rows[row].1).collect();
         let mut cells = vec![(*measure).to_owned()];
         cells.extend(values.iter().map(|value| format_value(*value)));
-        cells.push(exponent(sizes, &values));
-        table.row(&cells);
+        cells.push(growth_exponent(sizes, &values));
+        table.add_row(&cells);
     }
     table.print(last.name);
 }
 
 /// Returns the power of the number of balancers with which a value grows from the first size to the
 /// last, or a dash if there are fewer than two sizes or either value is not positive.
-fn exponent(sizes: &[usize], values: &[f64]) -> String {
+fn growth_exponent(sizes: &[usize], values: &[f64]) -> String {
     let (&[first_size, .., last_size], &[first, .., last]) = (sizes, values) else {
         return "-".to_owned();
     };
--- a/crates/valvestage-experiment/src/fleet/store.rs
+++ b/crates/valvestage-experiment/src/fleet/store.rs
@@ -9,11 +9,11 @@
 };
 
 /// Maximum number of objects in one page of a list.
-const PAGE: usize = 500;
+const PAGE_OBJECTS: usize = 500;
 
 /// Services. Every fifth backend server runs the second one, the other four run the first.
 const SERVICES: [&str; 2] = ["core", "photos"];
-const FIRST_SERVICE_OF: usize = 5;
+const SECOND_SERVICE_EVERY: usize = 5;
 
 /// Number of addresses in the configuration.
 const ADDRESSES: u16 = 250;
@@ -26,7 +26,7 @@
 
 impl StoreAnswer {
     /// Returns the size of the objects in the answer, given the bytes per route and per entry.
-    pub fn objects(&self, route_bytes: usize, entry_bytes: usize) -> usize {
+    pub fn object_bytes(&self, route_bytes: usize, entry_bytes: usize) -> usize {
         match self {
             Self::Routes(
                 StoreReply::Page { objects, .. } | StoreReply::Changes { objects, .. },
@@ -63,7 +63,7 @@
         for number in 0..backends {
             store.revision += 1;
             let position = StorePosition::new(0, store.revision);
-            store.entries.push(entry(number, &zones[number % zones.len()], position));
+            store.entries.push(new_entry(number, &zones[number % zones.len()], position));
         }
         store.change_routes();
         store
@@ -97,13 +97,13 @@
         let step = (self.entries.len() / count).max(1);
         let mut last = 0;
 
-        for place in (0..self.entries.len()).step_by(step).take(count) {
+        for index in (0..self.entries.len()).step_by(step).take(count) {
             self.revision += 1;
-            let entry = &mut self.entries[place];
+            let entry = &mut self.entries[index];
             entry.phase = BackendPhase::Draining;
             entry.position = StorePosition::new(0, self.revision);
             last = entry.instance;
-            self.entry_changes.push(written(&entry.clone()));
+            self.entry_changes.push(written_change(&entry.clone()));
         }
         last
     }
@@ -119,15 +119,17 @@
                 Some(StoreAnswer::Routes(StoreReply::Page { objects, next_after: None, position }))
             }
             (StoreKind::Configuration, StoreCall::Watch { revision, .. }) => {
-                let news = self.route_changes.iter().filter(|(at, _)| at > revision);
-                let objects: Vec<_> = news.map(|(_, routes)| routes.clone()).collect();
+                let changes = self.route_changes.iter().filter(|(at, _)| at > revision);
+                let objects: Vec<_> = changes.map(|(_, routes)| routes.clone()).collect();
                 (is_over || !objects.is_empty())
                     .then_some(StoreAnswer::Routes(StoreReply::Changes { objects, position }))
             }
-            (_, StoreCall::List { after, .. }) => Some(StoreAnswer::Backends(self.page(after))),
+            (_, StoreCall::List { after, .. }) => {
+                Some(StoreAnswer::Backends(self.list_page(after)))
+            }
             (_, StoreCall::Watch { revision, .. }) => {
                 let after = StorePosition::new(0, *revision);
-                let first = self.entry_changes.partition_point(|news| news.position <= after);
+                let first = self.entry_changes.partition_point(|change| change.position <= after);
                 let objects = self.entry_changes[first..].to_vec();
                 (is_over || !objects.is_empty())
                     .then_some(StoreAnswer::Backends(StoreReply::Changes { objects, position }))
@@ -135,21 +137,21 @@
         }
     }
 
-    fn page(&self, after: &Option<String>) -> StoreReply<BackendNews> {
+    fn list_page(&self, after: &Option<String>) -> StoreReply<BackendNews> {
         let first = after.as_ref().and_then(|name| name.parse::<usize>().ok()).unwrap_or(0);
-        let end = (first + PAGE).min(self.entries.len());
+        let end = (first + PAGE_OBJECTS).min(self.entries.len());
 
         StoreReply::Page {
-            objects: self.entries[first..end].iter().map(written).collect(),
+            objects: self.entries[first..end].iter().map(written_change).collect(),
             next_after: (end < self.entries.len()).then(|| end.to_string()),
             position: StorePosition::new(0, self.revision),
         }
     }
 }
 
-fn entry(number: usize, zone: &str, position: StorePosition) -> BackendEntry {
+fn new_entry(number: usize, zone: &str, position: StorePosition) -> BackendEntry {
     let instance = 0x10_0000 + u64::try_from(number).unwrap_or(u64::MAX);
-    let service = SERVICES[usize::from(number.is_multiple_of(FIRST_SERVICE_OF))];
+    let service = SERVICES[usize::from(number.is_multiple_of(SECOND_SERVICE_EVERY))];
     let [.., second, third, fourth] = (number + 1).to_be_bytes();
 
     BackendEntry {
@@ -166,7 +168,7 @@
     }
 }
 
-fn written(entry: &BackendEntry) -> BackendNews {
+fn written_change(entry: &BackendEntry) -> BackendNews {
     BackendNews {
         name: entry.name,
         position: entry.position,
--- a/crates/valvestage-experiment/src/flows/change.rs
+++ b/crates/valvestage-experiment/src/flows/change.rs
@@ -90,7 +90,7 @@
 
     /// Returns the milliseconds from the start of the change until a balancer is killed, or `None`
     /// if none is killed.
-    pub fn kills_at(self) -> Option<u64> {
+    pub fn kill_delay_ms(self) -> Option<u64> {
         match self {
             Self::BalancerKilled | Self::DrainWhileKilled => Some(1_000),
             Self::DrainAndKill => Some(4_000),
@@ -99,7 +99,7 @@
     }
 
     /// Reports whether a balancer leaves in a planned stop.
-    pub fn stops_balancer(self) -> bool {
+    pub fn has_planned_stop(self) -> bool {
         matches!(self, Self::BalancerStops | Self::DrainAndStop)
     }
 }
--- a/crates/valvestage-experiment/src/flows/flow_way.rs
+++ b/crates/valvestage-experiment/src/flows/flow_strategy.rs
@@ -4,7 +4,7 @@
 
 /// Strategy for finding the backend server of a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum FlowWay {
+pub enum FlowStrategy {
     /// Hash modulo the number of eligible backend servers.
     Modulo,
     /// Rendezvous hashing alone.
@@ -22,7 +22,7 @@
     All,
 }
 
-impl FlowWay {
+impl FlowStrategy {
     /// All strategies, in the order of the table.
     pub const ALL: [Self; 7] = [
         Self::Modulo,
@@ -68,12 +68,12 @@
     }
 
     /// Reports whether exceptions are copied to other balancers.
-    pub fn copies(self) -> bool {
+    pub fn copies_exceptions(self) -> bool {
         matches!(self, Self::HomeAndHistory | Self::All)
     }
 
     /// Reports whether callers echo the token.
-    pub fn echoes(self) -> bool {
+    pub fn echoes_token(self) -> bool {
         matches!(self, Self::Token | Self::All)
     }
 }
--- a/crates/valvestage-experiment/src/flows/hot_keys.rs
+++ b/crates/valvestage-experiment/src/flows/hot_keys.rs
@@ -29,10 +29,10 @@
         let by_port = callers.iter().enumerate().map(|(flow, caller)| mix(*caller, flow as u64));
         let by_caller = callers.iter().map(|caller| mix(*caller, 0));
         let (spread, exceptions) = spread_hot(&callers);
-        table.row(&[
+        table.add_row(&[
             format!("{skew}"),
-            format!("{:.3}", imbalance(&count(by_port.map(place)))),
-            format!("{:.3}", imbalance(&count(by_caller.map(place)))),
+            format!("{:.3}", imbalance(&count_by_backend(by_port.map(preferred_backend)))),
+            format!("{:.3}", imbalance(&count_by_backend(by_caller.map(preferred_backend)))),
             format!("{:.3}", imbalance(&spread)),
             format!("{:.1}%", 100.0 * as_f64(exceptions) / as_f64(FLOWS)),
         ]);
@@ -73,7 +73,7 @@
         *seen += 1;
         let share = as_f64(*seen) / as_f64(flow + 1);
         let key = mix(*caller, 0);
-        let preferred = place(key);
+        let preferred = preferred_backend(key);
 
         let chosen = if share > HOT_SHARE && *seen > 10 {
             #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
@@ -91,22 +91,23 @@
 fn least_loaded(key: u64, candidates: usize, counts: &[usize]) -> usize {
     let mut ranked: Vec<usize> = (0..BACKENDS).collect();
     ranked.sort_by(|left, right| {
-        let score = |place: &usize| weighted_score(key, *place as u64, 1.0);
+        let score = |backend: &usize| weighted_score(key, *backend as u64, 1.0);
         score(right).total_cmp(&score(left))
     });
 
-    ranked.into_iter().take(candidates).min_by_key(|place| counts[*place]).unwrap_or(0)
+    ranked.into_iter().take(candidates).min_by_key(|backend| counts[*backend]).unwrap_or(0)
 }
 
-fn place(key: u64) -> usize {
-    best((0..BACKENDS).map(|place| (place, weighted_score(key, place as u64, 1.0)))).unwrap_or(0)
+fn preferred_backend(key: u64) -> usize {
+    best((0..BACKENDS).map(|backend| (backend, weighted_score(key, backend as u64, 1.0))))
+        .unwrap_or(0)
 }
 
-fn count(places: impl Iterator<Item = usize>) -> Vec<usize> {
+fn count_by_backend(backends: impl Iterator<Item = usize>) -> Vec<usize> {
     let mut counts = vec![0; BACKENDS];
 
-    for place in places {
-        counts[place] += 1;
+    for backend in backends {
+        counts[backend] += 1;
     }
     counts
 }
--- a/crates/valvestage-experiment/src/placement.rs
+++ b/crates/valvestage-experiment/src/placement.rs
@@ -5,8 +5,8 @@
 
 use crate::table::Table;
 
-use model::{PlacementLoad, PlacementMeasures, ideal, run};
-use placement_way::PlacementWay;
+use model::{PlacementLoad, PlacementMeasures, ideal_p99_ms, run};
+use placement_way::PlacementStrategy;
 
 /// Deployments to compare: a small one of the present size, an intermediate one, and a large one
 /// with three and with five availability zones.
@@ -45,8 +45,8 @@
             "waited 80%",
             "imbalance 1 s at 50%",
         ]);
-        for way in PlacementWay::ALL {
-            table.row(&row(&size, way));
+        for strategy in PlacementStrategy::ALL {
+            table.add_row(&table_row(&size, strategy));
         }
         table.print(&format!(
             "{} balancers in {} availability zones, {} backend servers with {} slots",
@@ -55,17 +55,17 @@
     }
 }
 
-fn row(size: &PlacementSize, way: PlacementWay) -> Vec<String> {
+fn table_row(size: &PlacementSize, strategy: PlacementStrategy) -> Vec<String> {
     let runs: Vec<(PlacementMeasures, f64)> = SHARES
         .iter()
         .map(|share| {
             let load = PlacementLoad { share: *share, seed: 42 };
-            (run(size, way, load), ideal(size, load))
+            (run(size, strategy, load), ideal_p99_ms(size, load))
         })
         .collect();
 
-    let mut cells = vec![way.name().to_owned()];
-    cells.extend(runs.iter().map(|(measures, ideal)| format!("{:.2}", measures.p99 / ideal)));
+    let mut cells = vec![strategy.label().to_owned()];
+    cells.extend(runs.iter().map(|(measures, ideal)| format!("{:.2}", measures.p99_ms / ideal)));
     cells.extend(runs[1..].iter().map(|(measures, _)| format!("{:.3}", measures.waited)));
     cells.push(format!("{:.2}", runs[1].0.imbalance));
     cells
--- a/crates/valvestage-experiment/src/placement/model.rs
+++ b/crates/valvestage-experiment/src/placement/model.rs
@@ -13,33 +13,33 @@
 use valvestage_standins::draws::Draws;
 
 use super::PlacementSize;
-use super::placement_way::PlacementWay;
+use super::placement_way::PlacementStrategy;
 
 /// Mean run time in milliseconds: that of a preview.
-const RUN_MS: f64 = 15.0;
+const MEAN_RUN_MS: f64 = 15.0;
 
 /// Number of requests in each run.
-const REQUESTS: usize = 60_000;
+const REQUESTS_PER_RUN: usize = 60_000;
 
 /// Round-trip time in milliseconds between a balancer and a backend server of its zone.
-const WAY_MS: f64 = 1.0;
+const ROUND_TRIP_MS: f64 = 1.0;
 
 /// Milliseconds that a backend server in another zone adds to the round trip.
-const OTHER_ZONE_MS: f64 = 2.0;
+const CROSS_ZONE_EXTRA_MS: f64 = 2.0;
 
 /// Load in requests per slot by which the own zone may exceed another one and still be preferred:
 /// the default of `SteeringOptions`.
 const ZONE_PREFERENCE: f64 = 1.5;
 
 /// Number of backend servers in a balancer's preferred subset.
-const SUBSET: usize = 4;
+const SUBSET_SIZE: usize = 4;
 
 /// Load in own requests per slot from which a balancer considers all backend servers instead of its
 /// subset.
-const SPILL_FROM: f64 = 1.0;
+const SPILL_THRESHOLD: f64 = 1.0;
 
 /// Interval of gossip rounds in milliseconds, and number of receivers in each round.
-const TELLING: (f64, usize) = (400.0, 4);
+const GOSSIP_ROUND: (f64, usize) = (400.0, 4);
 
 /// Length in milliseconds of the windows in which the imbalance is measured.
 const WINDOW_MS: f64 = 1_000.0;
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementMeasures {
     /// 99th percentile of the time from arrival at the balancer to the answer, in milliseconds.
-    pub p99: f64,
+    pub p99_ms: f64,
     /// Share of requests that found all slots of their backend server busy.
     pub waited: f64,
     /// Mean over windows of 1 s of (max - mean) / mean of the requests that arrive at each backend
@@ -69,9 +69,9 @@
 struct BalancerView {
     zone: usize,
     /// Requests in flight at each backend server that this balancer has sent.
-    own: Vec<u32>,
+    in_flight: Vec<u32>,
     /// Last counts received from each other balancer, by backend server.
-    told: Vec<Vec<u32>>,
+    reported: Vec<Vec<u32>>,
     subset: Vec<usize>,
 }
 
@@ -89,162 +89,174 @@
 
 struct PlacementModel<'a> {
     size: &'a PlacementSize,
-    way: PlacementWay,
+    strategy: PlacementStrategy,
     draws: Draws,
     balancers: Vec<BalancerView>,
     backends: Vec<BackendQueue>,
-    ends: BinaryHeap<RunEnd>,
-    times: Vec<f64>,
+    run_ends: BinaryHeap<RunEnd>,
+    response_times: Vec<f64>,
     waited: usize,
 }
 
 /// Simulates a load under one strategy.
-pub fn run(size: &PlacementSize, way: PlacementWay, load: PlacementLoad) -> PlacementMeasures {
-    let mut model = PlacementModel::new(size, way, load.seed);
-    let mean_gap = RUN_MS / (as_f64(size.backends * size.slots) * load.share);
-    let (mut now, mut next_telling, mut next_window) = (0.0, 0.0, WINDOW_MS);
+pub fn run(
+    size: &PlacementSize,
+    strategy: PlacementStrategy,
+    load: PlacementLoad,
+) -> PlacementMeasures {
+    let mut model = PlacementModel::new(size, strategy, load.seed);
+    let mean_gap = MEAN_RUN_MS / (as_f64(size.backends * size.slots) * load.share);
+    let (mut now, mut next_gossip, mut next_window) = (0.0, 0.0, WINDOW_MS);
     let mut imbalances = Vec::new();
 
-    for _ in 0..REQUESTS {
+    for _ in 0..REQUESTS_PER_RUN {
         now += -model.draws.unit().ln() * mean_gap;
-        model.end_until(now);
-        if way == PlacementWay::ToldCounts && now >= next_telling {
-            next_telling = now + TELLING.0;
-            model.tell();
+        model.complete_runs_until(now);
+        if strategy == PlacementStrategy::GossipedCounts && now >= next_gossip {
+            next_gossip = now + GOSSIP_ROUND.0;
+            model.gossip_counts();
         }
         if now >= next_window {
             next_window += WINDOW_MS;
             imbalances.push(model.take_imbalance());
         }
-        model.arrive(now);
+        model.place_request(now);
     }
 
-    model.times.sort_by(f64::total_cmp);
+    model.response_times.sort_by(f64::total_cmp);
     PlacementMeasures {
-        p99: model.times[model.times.len() * 99 / 100],
-        waited: as_f64(model.waited) / as_f64(REQUESTS),
+        p99_ms: model.response_times[model.response_times.len() * 99 / 100],
+        waited: as_f64(model.waited) / as_f64(REQUESTS_PER_RUN),
         imbalance: imbalances.iter().sum::<f64>() / as_f64(imbalances.len().max(1)),
     }
 }
 
 /// Returns the 99th percentile of response times in milliseconds for one queue in front of all
 /// slots.
-pub fn ideal(size: &PlacementSize, load: PlacementLoad) -> f64 {
+pub fn ideal_p99_ms(size: &PlacementSize, load: PlacementLoad) -> f64 {
     let mut draws = Draws::new(load.seed);
     let slots = size.backends * size.slots;
-    let mean_gap = RUN_MS / (as_f64(slots) * load.share);
+    let mean_gap = MEAN_RUN_MS / (as_f64(slots) * load.share);
     let mut free_at: BinaryHeap<Reverse<u64>> = vec![Reverse(0); slots].into();
     let mut now = 0.0;
-    let mut times = Vec::with_capacity(REQUESTS);
+    let mut response_times = Vec::with_capacity(REQUESTS_PER_RUN);
 
-    for _ in 0..REQUESTS {
+    for _ in 0..REQUESTS_PER_RUN {
         now += -draws.unit().ln() * mean_gap;
         let Some(Reverse(free)) = free_at.pop() else { continue };
-        let end = now.max(millis_of(free)) - draws.unit().ln() * RUN_MS;
+        let end = now.max(millis_of(free)) - draws.unit().ln() * MEAN_RUN_MS;
         free_at.push(Reverse(nanos_of(end)));
-        times.push(end - now + WAY_MS);
+        response_times.push(end - now + ROUND_TRIP_MS);
     }
-    times.sort_by(f64::total_cmp);
-    times[times.len() * 99 / 100]
+    response_times.sort_by(f64::total_cmp);
+    response_times[response_times.len() * 99 / 100]
 }
 
 impl<'a> PlacementModel<'a> {
-    fn new(size: &'a PlacementSize, way: PlacementWay, seed: u64) -> Self {
+    fn new(size: &'a PlacementSize, strategy: PlacementStrategy, seed: u64) -> Self {
         let balancers = (0..size.balancers).map(|number| BalancerView::new(size, number)).collect();
 
         Self {
             size,
-            way,
+            strategy,
             draws: Draws::new(seed),
             balancers,
             backends: (0..size.backends).map(|_| BackendQueue::default()).collect(),
-            ends: BinaryHeap::new(),
-            times: Vec::with_capacity(REQUESTS),
+            run_ends: BinaryHeap::new(),
+            response_times: Vec::with_capacity(REQUESTS_PER_RUN),
             waited: 0,
         }
     }
 
-    fn arrive(&mut self, now: f64) {
+    fn place_request(&mut self, now: f64) {
         let balancer = self.draws.below(self.size.balancers);
-        let backend = self.choose(balancer);
-        self.balancers[balancer].own[backend] += 1;
+        let backend = self.choose_backend(balancer);
+        self.balancers[balancer].in_flight[backend] += 1;
         let queue = &mut self.backends[backend];
         queue.arrivals += 1;
 
         if queue.busy < self.size.slots {
             queue.busy += 1;
-            self.begin(now, now, backend, balancer);
+            self.start_run(now, now, backend, balancer);
         } else {
             self.waited += 1;
             queue.waiting.push_back((now, balancer));
         }
     }
 
-    fn begin(&mut self, now: f64, sent: f64, backend: usize, balancer: usize) {
-        let end = now - self.draws.unit().ln() * RUN_MS;
+    fn start_run(&mut self, now: f64, sent: f64, backend: usize, balancer: usize) {
+        let end = now - self.draws.unit().ln() * MEAN_RUN_MS;
 
-        self.ends.push(Reverse((nanos_of(end), backend, balancer, nanos_of(sent))));
+        self.run_ends.push(Reverse((nanos_of(end), backend, balancer, nanos_of(sent))));
     }
 
-    fn end_until(&mut self, now: f64) {
-        while let Some(Reverse((end, ..))) = self.ends.peek()
+    fn complete_runs_until(&mut self, now: f64) {
+        while let Some(Reverse((end, ..))) = self.run_ends.peek()
             && millis_of(*end) <= now
         {
-            let Some(Reverse((end, backend, balancer, sent))) = self.ends.pop() else { return };
+            let Some(Reverse((end, backend, balancer, sent))) = self.run_ends.pop() else { return };
             let end = millis_of(end);
             let is_near = self.balancers[balancer].zone == backend % self.size.zones;
-            let way = if is_near { WAY_MS } else { WAY_MS + OTHER_ZONE_MS };
-            self.times.push(end - millis_of(sent) + way);
-            self.balancers[balancer].own[backend] -= 1;
+            let round_trip =
+                if is_near { ROUND_TRIP_MS } else { ROUND_TRIP_MS + CROSS_ZONE_EXTRA_MS };
+            self.response_times.push(end - millis_of(sent) + round_trip);
+            self.balancers[balancer].in_flight[backend] -= 1;
 
             match self.backends[backend].waiting.pop_front() {
-                Some((sent, balancer)) => self.begin(end, sent, backend, balancer),
+                Some((sent, balancer)) => self.start_run(end, sent, backend, balancer),
                 None => self.backends[backend].busy -= 1,
             }
         }
     }
 
-    fn choose(&mut self, balancer: usize) -> usize {
+    fn choose_backend(&mut self, balancer: usize) -> usize {
         let view = &self.balancers[balancer];
         let in_zone: Vec<usize> = (0..self.size.backends)
             .filter(|backend| backend % self.size.zones == view.zone)
             .collect();
 
-        match self.way {
-            PlacementWay::Random => in_zone[self.draws.below(in_zone.len())],
-            PlacementWay::TwoChoices => {
+        match self.strategy {
+            PlacementStrategy::Random => in_zone[self.draws.below(in_zone.len())],
+            PlacementStrategy::TwoChoices => {
                 let two = [0; 2].map(|_| in_zone[self.draws.below(in_zone.len())]);
-                if view.own[two[1]] < view.own[two[0]] { two[1] } else { two[0] }
+                if view.in_flight[two[1]] < view.in_flight[two[0]] { two[1] } else { two[0] }
             }
-            PlacementWay::Subset => {
+            PlacementStrategy::Subset => {
                 let draw = self.draws.word();
                 let view = &self.balancers[balancer];
-                let best = self.least(balancer, view.subset.iter().copied(), draw);
-                let load = f64::from(view.own[best]) / as_f64(self.size.slots);
-                if load < SPILL_FROM { best } else { self.least_of_all(balancer, draw) }
+                let best = self.least_loaded(balancer, view.subset.iter().copied(), draw);
+                let load = f64::from(view.in_flight[best]) / as_f64(self.size.slots);
+                if load < SPILL_THRESHOLD { best } else { self.least_loaded_of_all(balancer, draw) }
             }
-            PlacementWay::OwnCounts | PlacementWay::ToldCounts | PlacementWay::Exact => {
+            PlacementStrategy::LocalCounts
+            | PlacementStrategy::GossipedCounts
+            | PlacementStrategy::Exact => {
                 let draw = self.draws.word();
-                self.least_of_all(balancer, draw)
+                self.least_loaded_of_all(balancer, draw)
             }
         }
     }
 
-    fn least_of_all(&self, balancer: usize, draw: u64) -> usize {
-        self.least(balancer, 0..self.size.backends, draw)
+    fn least_loaded_of_all(&self, balancer: usize, draw: u64) -> usize {
+        self.least_loaded(balancer, 0..self.size.backends, draw)
     }
 
-    fn least(&self, balancer: usize, among: impl Iterator<Item = usize>, draw: u64) -> usize {
+    fn least_loaded(
+        &self,
+        balancer: usize,
+        among: impl Iterator<Item = usize>,
+        draw: u64,
+    ) -> usize {
         let view = &self.balancers[balancer];
         let load = |backend: usize| {
-            let requests = match self.way {
-                PlacementWay::Exact => {
+            let requests = match self.strategy {
+                PlacementStrategy::Exact => {
                     let queue = &self.backends[backend];
                     as_f64(queue.busy + queue.waiting.len())
                 }
                 _ => {
-                    let told: u32 = view.told.iter().map(|counts| counts[backend]).sum();
-                    f64::from(view.own[backend] + told)
+                    let reported: u32 = view.reported.iter().map(|counts| counts[backend]).sum();
+                    f64::from(view.in_flight[backend] + reported)
                 }
             };
             let is_near = backend % self.size.zones == view.zone;
@@ -261,13 +273,13 @@
     }
 
     /// Lets each balancer send its counts to some others, where they replace its former counts.
-    fn tell(&mut self) {
-        for teller in 0..self.size.balancers {
-            let counts = self.balancers[teller].own.clone();
-            for _ in 0..TELLING.1 {
-                let hearer = self.draws.below(self.size.balancers);
-                if hearer != teller {
-                    self.balancers[hearer].told[teller].clone_from(&counts);
+    fn gossip_counts(&mut self) {
+        for sender in 0..self.size.balancers {
+            let counts = self.balancers[sender].in_flight.clone();
+            for _ in 0..GOSSIP_ROUND.1 {
+                let receiver = self.draws.below(self.size.balancers);
+                if receiver != sender {
+                    self.balancers[receiver].reported[sender].clone_from(&counts);
                 }
             }
         }
@@ -294,9 +306,9 @@
 
         Self {
             zone,
-            own: vec![0; size.backends],
-            told: vec![vec![0; size.backends]; size.balancers],
-            subset: in_zone.into_iter().take(SUBSET).collect(),
+            in_flight: vec![0; size.backends],
+            reported: vec![vec![0; size.backends]; size.balancers],
+            subset: in_zone.into_iter().take(SUBSET_SIZE).collect(),
         }
     }
 }
--- a/crates/valvestage-experiment/src/requests.rs
+++ b/crates/valvestage-experiment/src/requests.rs
@@ -1,5 +1,6 @@
 //! Strategies for spreading requests over slots.
 
+mod dispatch_strategy;
 mod event_queue;
 mod ideal;
 mod measures;
@@ -9,48 +10,47 @@
 mod model_occupancy;
 mod model_server;
 mod scenario;
-mod way;
 
 use std::time::Duration;
 
 use crate::deployment::SIZES;
 use crate::table::Table;
 
+use dispatch_strategy::DispatchStrategy;
 use measures::Measures;
 use model::{Load, run};
 use scenario::Scenario;
-use way::Way;
 
 const SEED: u64 = 42;
 
 /// Number of requests in each run, without retries.
-const REQUESTS: usize = 60_000;
+const REQUESTS_PER_RUN: usize = 60_000;
 
 /// Share of bulk requests in runs with both classes.
 const BULK_SHARE: f64 = 0.3;
 
 /// Time to the deadline in runs that are meant to have no refusals.
-const PATIENT: Duration = Duration::from_secs(9);
+const LONG_DEADLINE: Duration = Duration::from_secs(9);
 
 /// Prints the tables for steady load, faults and overload.
 pub fn print_tables() {
-    steady();
-    faults();
-    overload();
+    print_steady_load();
+    print_faults();
+    print_overload();
 }
 
-fn load(share: f64, patience: Duration) -> Load {
-    Load { share, requests: REQUESTS, patience, bulk_share: BULK_SHARE, seed: SEED }
+fn mixed_load(share: f64, time_to_deadline: Duration) -> Load {
+    Load { share, requests: REQUESTS_PER_RUN, time_to_deadline, bulk_share: BULK_SHARE, seed: SEED }
 }
 
 /// Returns a load of urgent requests only, which are served in order of arrival as in the ideal
 /// queue.
-fn one_class(share: f64) -> Load {
-    Load { bulk_share: 0.0, ..load(share, PATIENT) }
+fn urgent_only_load(share: f64) -> Load {
+    Load { bulk_share: 0.0, ..mixed_load(share, LONG_DEADLINE) }
 }
 
 /// Compares all strategies with one ideal shared queue, at 50, 80 and 95% of the slots.
-fn steady() {
+fn print_steady_load() {
     for size in &SIZES {
         let mut table = Table::new(&[
             "way",
@@ -66,13 +66,14 @@
             "imbalance 100 ms / 1 s at 80%",
         ]);
 
-        for way in Way::ALL {
-            let mut cells = vec![way.label().to_owned()];
+        for strategy in DispatchStrategy::ALL {
+            let mut cells = vec![strategy.label().to_owned()];
             let mut at_80 = Measures::default();
             let mut at_95 = Measures::default();
             for share in [0.5, 0.8, 0.95] {
-                let ideal = run(size, Way::Ideal, Scenario::Steady, one_class(share));
-                let measured = run(size, way, Scenario::Steady, one_class(share));
+                let ideal =
+                    run(size, DispatchStrategy::Ideal, Scenario::Steady, urgent_only_load(share));
+                let measured = run(size, strategy, Scenario::Steady, urgent_only_load(share));
                 cells.push(ratio(measured.percentile(0.5), ideal.percentile(0.5)));
                 cells.push(ratio(measured.percentile(0.99), ideal.percentile(0.99)));
                 if share > 0.9 {
@@ -85,7 +86,7 @@
             cells.push(format!("{:.4}", at_95.retries_per_try()));
             cells.push(at_95.refusals());
             cells.push(format!("{:.2} / {:.2}", at_80.imbalance_100ms(), at_80.imbalance_1s()));
-            table.row(&cells);
+            table.add_row(&cells);
         }
         table.print(&format!(
             "{}: {} backend servers with {} slots, times over one ideal shared queue",
@@ -95,7 +96,7 @@
 }
 
 /// Compares the chosen strategy with the local baselines under faults, at 80% of the slots.
-fn faults() {
+fn print_faults() {
     for size in [&SIZES[0], &SIZES[2]] {
         let mut table = Table::new(&[
             "fault",
@@ -110,11 +111,16 @@
         ]);
 
         for scenario in Scenario::FAULTS {
-            for way in [Way::Owner, Way::LocalTwoChoices, Way::LocalRandom] {
-                let measured = run(size, way, scenario, load(0.8, Duration::from_secs(5)));
-                table.row(&[
+            for strategy in [
+                DispatchStrategy::Owner,
+                DispatchStrategy::LocalTwoChoices,
+                DispatchStrategy::LocalRandom,
+            ] {
+                let measured =
+                    run(size, strategy, scenario, mixed_load(0.8, Duration::from_secs(5)));
+                table.add_row(&[
                     scenario.label().to_owned(),
-                    way.label().to_owned(),
+                    strategy.label().to_owned(),
                     format!("{:.2}%", measured.answered_percent()),
                     format!("{:.1}", measured.percentile(0.5)),
                     format!("{:.1}", measured.percentile(0.99)),
@@ -130,7 +136,7 @@
 }
 
 /// Shows goodput and both request classes at and beyond capacity.
-fn overload() {
+fn print_overload() {
     for size in [&SIZES[0], &SIZES[2]] {
         let mut table = Table::new(&[
             "load",
@@ -144,10 +150,14 @@
         ]);
 
         for share in [1.0, 1.5, 3.0] {
-            let measured =
-                run(size, Way::Owner, Scenario::Steady, load(share, Duration::from_secs(2)));
+            let measured = run(
+                size,
+                DispatchStrategy::Owner,
+                Scenario::Steady,
+                mixed_load(share, Duration::from_secs(2)),
+            );
             let (urgent, bulk) = (measured.class(false), measured.class(true));
-            table.row(&[
+            table.add_row(&[
                 format!("{share}x"),
                 format!("{:.3}", measured.goodput_over_capacity()),
                 format!("{:.1}%", urgent.answered_percent),
--- a/crates/valvestage-experiment/src/requests/way.rs
+++ b/crates/valvestage-experiment/src/requests/dispatch_strategy.rs
@@ -4,7 +4,7 @@
 
 /// Strategy for assigning slots to requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum DispatchStrategy {
     /// One queue in front of all slots, without network delays to backend servers: the baseline of
     /// the other strategies.
     Ideal,
@@ -29,7 +29,7 @@
     Credits,
 }
 
-impl Way {
+impl DispatchStrategy {
     /// All strategies that have a row in the tables; the ideal queue is their baseline.
     pub const ALL: [Self; 7] = [
         Self::IdealWithDelay,
--- a/crates/valvestage-experiment/src/requests/measures.rs
+++ b/crates/valvestage-experiment/src/requests/measures.rs
@@ -4,7 +4,7 @@
 
 /// Time and class of one answered request.
 #[derive(Debug, Clone, Copy)]
-pub struct Sample {
+pub struct AnswerSample {
     /// Time from the caller's first packet to the answer, in milliseconds.
     pub millis: f64,
     /// Whether the request is of the bulk class; otherwise it is urgent.
@@ -26,7 +26,7 @@
     /// Number of requests sent: urgent, then bulk.
     pub sent: [u64; 2],
     /// One sample for each answered request.
-    pub samples: Vec<Sample>,
+    pub samples: Vec<AnswerSample>,
     /// Number of refusals that reached callers, by reason.
     pub refused: BTreeMap<&'static str, u64>,
     /// Number of retries sent to backend servers.
@@ -34,11 +34,11 @@
     /// Number of tries that backend servers refused: no free slot, or shedding as a fault.
     pub shed: u64,
     /// Number of requests with neither an answer nor a refusal by the end of the run.
-    pub untold: u64,
+    pub unresolved: u64,
     /// Sum of the imbalances sampled every 100 ms, and their number.
-    pub imbalance: (f64, u64),
+    pub imbalance_100ms_sum: (f64, u64),
     /// Sum of the imbalances over windows of 1 s, and their number.
-    pub imbalance_second: (f64, u64),
+    pub imbalance_1s_sum: (f64, u64),
     /// Seconds from the start of the run to the last arrival.
     pub seconds: f64,
     /// Runs per second that all slots together can complete.
@@ -80,21 +80,21 @@
     /// Returns the mean of (max - mean) / mean of the busy slots of the backend servers, over
     /// samples taken every 100 ms.
     pub fn imbalance_100ms(&self) -> f64 {
-        self.imbalance.0 / as_f64(self.imbalance.1.max(1))
+        self.imbalance_100ms_sum.0 / as_f64(self.imbalance_100ms_sum.1.max(1))
     }
 
     /// Returns the mean of (max - mean) / mean of the busy slots of the backend servers, summed
     /// over windows of 1 s.
     pub fn imbalance_1s(&self) -> f64 {
-        self.imbalance_second.0 / as_f64(self.imbalance_second.1.max(1))
+        self.imbalance_1s_sum.0 / as_f64(self.imbalance_1s_sum.1.max(1))
     }
 
     /// Lists the refusals by reason, and the requests without any outcome.
     pub fn refusals(&self) -> String {
         let mut parts: Vec<_> =
             self.refused.iter().map(|(reason, count)| format!("{reason} {count}")).collect();
-        if self.untold > 0 {
-            parts.push(format!("told nothing {}", self.untold));
+        if self.unresolved > 0 {
+            parts.push(format!("told nothing {}", self.unresolved));
         }
 
         if parts.is_empty() { "0".to_owned() } else { parts.join(", ") }
@@ -106,8 +106,8 @@
     sorted.sort_by(f64::total_cmp);
 
     #[allow(clippy::cast_precision_loss, clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    let place = (sorted.len() as f64 * share) as usize;
-    sorted.get(place.min(sorted.len().saturating_sub(1))).copied().unwrap_or(0.0)
+    let index = (sorted.len() as f64 * share) as usize;
+    sorted.get(index.min(sorted.len().saturating_sub(1))).copied().unwrap_or(0.0)
 }
 
 fn as_f64(count: u64) -> f64 {
--- a/crates/valvestage-experiment/src/requests/model.rs
+++ b/crates/valvestage-experiment/src/requests/model.rs
@@ -10,31 +10,31 @@
     Authority, PoolOptions, Request, RequestAction, RequestOptions, ServiceDispatcher,
 };
 
+use super::dispatch_strategy::DispatchStrategy;
 use super::event_queue::EventQueue;
-use super::ideal::{capacity, ideal, mean_way};
-use super::measures::{Measures, Sample};
+use super::ideal::{capacity, ideal, mean_round_trip};
+use super::measures::{AnswerSample, Measures};
 use super::model_event::Event;
-use super::model_occupancy::SAMPLE;
-use super::model_server::Server;
+use super::model_occupancy::SAMPLE_INTERVAL;
+use super::model_server::SimulatedServer;
 use super::scenario::Scenario;
-use super::way::Way;
-use crate::deployment::{BALANCERS, Size, backend, configuration, start, zone_name};
+use crate::deployment::{BALANCERS, ServiceSize, backend, configuration, start_time, zone_name};
 use valvestage_standins::draws::Draws;
 
 /// Mean of the exponentially distributed run times.
-pub const RUN_TIME: Duration = Duration::from_millis(50);
+pub const MEAN_RUN_TIME: Duration = Duration::from_millis(50);
 
 /// Interval between two ticks of a dispatcher.
-const TICK: Duration = Duration::from_millis(5);
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Interval at which a caller resends a request that has neither an answer nor a refusal.
-const RESEND: Duration = Duration::from_millis(500);
+const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time until the failure of a balancer is detected.
-pub(super) const NOTICED_AFTER: Duration = Duration::from_secs(2);
+pub(super) const FAILURE_DETECTION_DELAY: Duration = Duration::from_secs(2);
 
 /// One-way delay within an availability zone.
-pub const WITHIN_ZONE: Duration = Duration::from_micros(100);
+pub const INTRA_ZONE_DELAY: Duration = Duration::from_micros(100);
 
 const SERVICE: u16 = 1;
 
@@ -46,25 +46,25 @@
     /// Total number of requests.
     pub requests: usize,
     /// Time from the sending of a request to its deadline.
-    pub patience: Duration,
+    pub time_to_deadline: Duration,
     /// Share of requests of the bulk class.
     pub bulk_share: f64,
     /// Seed of the random draws.
     pub seed: u64,
 }
 
-pub(super) struct Pending {
+pub(super) struct PendingRequest {
     sent: SystemTime,
     deadline: SystemTime,
     is_bulk: bool,
-    is_told: bool,
+    has_outcome: bool,
     /// Drawn with the arrival, so that it is the same under every strategy.
     pub(super) run_time: Duration,
 }
 
 pub(super) struct Model<'a> {
-    pub(super) size: &'a Size,
-    pub(super) way: Way,
+    pub(super) size: &'a ServiceSize,
+    pub(super) strategy: DispatchStrategy,
     pub(super) scenario: Scenario,
     pub(super) load: Load,
     pub(super) now: SystemTime,
@@ -72,35 +72,45 @@
     pub(super) arrivals: Draws,
     pub(super) routes: Draws,
     pub(super) dispatchers: Vec<ServiceDispatcher<()>>,
-    pub(super) servers: BTreeMap<BackendId, Server>,
-    pub(super) pending: HashMap<RequestId, Pending>,
+    pub(super) servers: BTreeMap<BackendId, SimulatedServer>,
+    pub(super) pending: HashMap<RequestId, PendingRequest>,
     pub(super) measures: Measures,
     pub(super) samples: u32,
     /// Whether the owner of the service has failed and has no successor yet.
-    pub(super) owner_is_lost: bool,
-    pub(super) strikes_at: SystemTime,
+    pub(super) is_owner_lost: bool,
+    pub(super) fault_at: SystemTime,
 }
 
 /// Simulates a load under one strategy and scenario.
-pub fn run(size: &Size, way: Way, scenario: Scenario, load: Load) -> Measures {
-    match way {
-        Way::Ideal => return ideal(size, load, Duration::ZERO),
-        Way::IdealWithDelay => return ideal(size, load, mean_way(size)),
+pub fn run(
+    size: &ServiceSize,
+    strategy: DispatchStrategy,
+    scenario: Scenario,
+    load: Load,
+) -> Measures {
+    match strategy {
+        DispatchStrategy::Ideal => return ideal(size, load, Duration::ZERO),
+        DispatchStrategy::IdealWithDelay => return ideal(size, load, mean_round_trip(size)),
         _ => {}
     }
 
-    let mut model = Model::new(size, way, scenario, load);
-    model.prepare();
+    let mut model = Model::new(size, strategy, scenario, load);
+    model.schedule_initial_events();
     model.run();
     model.finish()
 }
 
 impl<'a> Model<'a> {
-    fn new(size: &'a Size, way: Way, scenario: Scenario, load: Load) -> Self {
+    fn new(
+        size: &'a ServiceSize,
+        strategy: DispatchStrategy,
+        scenario: Scenario,
+        load: Load,
+    ) -> Self {
         let records: Vec<Backend> =
             (1..=size.backends).map(|id| backend(id, SERVICE, size.slots, size.zones)).collect();
         let servers = records.iter().map(|record| {
-            let server = Server {
+            let server = SimulatedServer {
                 record: record.clone(),
                 running: BTreeMap::new(),
                 slow_factor: 1,
@@ -115,10 +125,10 @@
 
         Self {
             size,
-            way,
+            strategy,
             scenario,
             load,
-            now: start(),
+            now: start_time(),
             queue: EventQueue::new(),
             arrivals: Draws::new(load.seed),
             routes: Draws::new(load.seed + 1),
@@ -127,43 +137,43 @@
             pending: HashMap::new(),
             measures: Measures { capacity: capacity(size), ..Measures::default() },
             samples: 0,
-            owner_is_lost: false,
-            strikes_at: start() + length / 3,
+            is_owner_lost: false,
+            fault_at: start_time() + length / 3,
         }
     }
 
-    fn prepare(&mut self) {
-        let count = if self.way.has_owner() { 1 } else { BALANCERS };
+    fn schedule_initial_events(&mut self) {
+        let count = if self.strategy.has_owner() { 1 } else { BALANCERS };
         for index in 0..count {
-            let dispatcher = self.make_dispatcher(index, self.records_for(index, count));
+            let dispatcher = self.make_dispatcher(index, self.dispatcher_records(index, count));
             self.dispatchers.push(dispatcher);
-            self.schedule(TICK, Event::Tick(index as usize));
+            self.schedule(TICK_INTERVAL, Event::Tick(index as usize));
         }
 
-        self.schedule_new_request(0);
-        self.schedule(SAMPLE, Event::Sample);
+        self.schedule_arrival(0);
+        self.schedule(SAMPLE_INTERVAL, Event::Sample);
         if self.scenario != Scenario::Steady {
-            let after = self.strikes_at.duration_since(self.now).unwrap_or_default();
+            let after = self.fault_at.duration_since(self.now).unwrap_or_default();
             self.schedule(after, Event::Fault);
         }
     }
 
     /// Returns the backend servers that a dispatcher may use: all with all their slots, or, under
     /// fixed credits, those with slots in the dispatcher's share.
-    pub(super) fn records_for(&self, index: u32, count: u32) -> Vec<Backend> {
+    pub(super) fn dispatcher_records(&self, index: u32, count: u32) -> Vec<Backend> {
         let all = self.servers.values().map(|server| server.record.clone());
-        if self.way != Way::Credits {
+        if self.strategy != DispatchStrategy::Credits {
             return all.collect();
         }
 
         // Slots are assigned to the dispatchers in rotation.
-        let mut dealt = 0;
+        let mut assigned = 0;
         let mut share = Vec::new();
         for mut record in all {
             let slots =
-                (0..record.slots).filter(|slot| (dealt + u32::from(*slot)) % count == index);
+                (0..record.slots).filter(|slot| (assigned + u32::from(*slot)) % count == index);
             let own = slots.count();
-            dealt += u32::from(record.slots);
+            assigned += u32::from(record.slots);
             record.slots = u16::try_from(own).unwrap_or(0);
             if record.slots > 0 {
                 share.push(record);
@@ -177,7 +187,8 @@
         index: u32,
         records: Vec<Backend>,
     ) -> ServiceDispatcher<()> {
-        let options = RequestOptions { choice: self.way.choice(), ..RequestOptions::default() };
+        let options =
+            RequestOptions { choice: self.strategy.choice(), ..RequestOptions::default() };
         let pool = PoolOptions {
             own_zone: zone_name(index as usize % self.size.zones),
             seed: self.load.seed + u64::from(index),
@@ -200,31 +211,31 @@
 
         while let Some((at, event)) = self.queue.pop() {
             self.now = at;
-            if matches!(event, Event::NewRequest(_)) {
+            if matches!(event, Event::Arrival(_)) {
                 last_arrival = self.now;
             }
-            if self.now > last_arrival + self.load.patience * 2 {
+            if self.now > last_arrival + self.load.time_to_deadline * 2 {
                 break;
             }
             self.handle(event);
         }
-        let length = last_arrival.duration_since(start()).unwrap_or_default();
+        let length = last_arrival.duration_since(start_time()).unwrap_or_default();
         self.measures.seconds = length.as_secs_f64();
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::NewRequest(number) => self.new_request(number),
-            Event::Resend(id) => self.send(id),
-            Event::AtDispatcher(index, id) => self.at_dispatcher(index, id),
-            Event::AtBackend { dispatcher, backend, id, attempt } => {
-                self.at_backend(dispatcher, backend, id, attempt);
+            Event::Arrival(number) => self.handle_arrival(number),
+            Event::Resend(id) => self.send_request(id),
+            Event::ReachDispatcher(index, id) => self.deliver_to_dispatcher(index, id),
+            Event::ReachBackend { dispatcher, backend, id, attempt } => {
+                self.deliver_to_backend(dispatcher, backend, id, attempt);
             }
-            Event::Cancelled { dispatcher, backend, id, attempt } => {
-                self.cancelled(dispatcher, backend, id, attempt);
+            Event::CancelRun { dispatcher, backend, id, attempt } => {
+                self.cancel_run(dispatcher, backend, id, attempt);
             }
-            Event::Done { dispatcher, backend, id, attempt } => {
-                self.done(dispatcher, backend, id, attempt);
+            Event::CompleteRun { dispatcher, backend, id, attempt } => {
+                self.complete_run(dispatcher, backend, id, attempt);
             }
             Event::Answer { dispatcher, reply } => {
                 let mut out = Vec::new();
@@ -237,20 +248,20 @@
                     authority,
                     &mut out,
                 );
-                self.perform(dispatcher, out);
+                self.perform_actions(dispatcher, out);
             }
             Event::Refusal { dispatcher, reply, reason } => {
                 let mut out = Vec::new();
                 let authority = Some(self.authority());
                 self.dispatchers[dispatcher]
                     .on_refused(self.now, reply, reason, authority, &mut out);
-                self.perform(dispatcher, out);
+                self.perform_actions(dispatcher, out);
             }
-            Event::AtCaller(id, refusal) => self.at_caller(id, refusal),
+            Event::ReachCaller(id, refusal) => self.deliver_to_caller(id, refusal),
             Event::Tick(index) => self.tick(index),
-            Event::Sample => self.sample(),
-            Event::Fault => self.strike(),
-            Event::TakeOver => self.take_over(),
+            Event::Sample => self.sample_occupancy(),
+            Event::Fault => self.inject_fault(),
+            Event::Failover => self.fail_over_owner(),
         }
     }
 
@@ -260,66 +271,66 @@
         Authority { covers_from: SystemTime::UNIX_EPOCH, fence: self.now + Duration::from_secs(60) }
     }
 
-    fn schedule_new_request(&mut self, number: usize) {
+    fn schedule_arrival(&mut self, number: usize) {
         let rate = capacity(self.size) * self.load.share;
         let pause = self.arrivals.exponential(Duration::from_secs(1).div_f64(rate));
 
-        self.schedule(pause, Event::NewRequest(number));
+        self.schedule(pause, Event::Arrival(number));
     }
 
-    fn new_request(&mut self, number: usize) {
+    fn handle_arrival(&mut self, number: usize) {
         let id = number as RequestId;
-        let run_time = self.arrivals.exponential(RUN_TIME);
+        let run_time = self.arrivals.exponential(MEAN_RUN_TIME);
         let is_bulk = self.arrivals.unit() < self.load.bulk_share;
-        let pending = Pending {
+        let pending = PendingRequest {
             sent: self.now,
-            deadline: self.now + self.load.patience,
+            deadline: self.now + self.load.time_to_deadline,
             is_bulk,
-            is_told: false,
+            has_outcome: false,
             run_time,
         };
 
         self.measures.sent[usize::from(is_bulk)] += 1;
         self.pending.insert(id, pending);
-        self.send(id);
+        self.send_request(id);
         if number + 1 < self.load.requests {
-            self.schedule_new_request(number + 1);
+            self.schedule_arrival(number + 1);
         }
     }
 
     /// Sends a request from its caller through the fabric to a balancer, and from there to the
     /// owner if the strategy has one.
-    fn send(&mut self, id: RequestId) {
-        let Some(pending) = self.pending.get(&id).filter(|pending| !pending.is_told) else {
+    fn send_request(&mut self, id: RequestId) {
+        let Some(pending) = self.pending.get(&id).filter(|pending| !pending.has_outcome) else {
             return;
         };
         if pending.deadline <= self.now {
             return;
         }
 
-        let skewed = self.scenario == Scenario::SkewedCallers && id.is_multiple_of(2);
-        let entry = if skewed { 0 } else { self.routes.below(BALANCERS as usize) };
-        let index = if self.way.has_owner() { 0 } else { entry };
-        let hop = if self.way.has_owner() && entry != 0 {
-            self.between(entry % self.size.zones, 0)
+        let is_skewed = self.scenario == Scenario::SkewedCallers && id.is_multiple_of(2);
+        let entry = if is_skewed { 0 } else { self.routes.below(BALANCERS as usize) };
+        let index = if self.strategy.has_owner() { 0 } else { entry };
+        let relay_delay = if self.strategy.has_owner() && entry != 0 {
+            self.zone_delay(entry % self.size.zones, 0)
         } else {
             Duration::ZERO
         };
-        self.schedule(self.size.to_callers + hop, Event::AtDispatcher(index, id));
-        self.schedule(RESEND, Event::Resend(id));
+        self.schedule(self.size.caller_delay + relay_delay, Event::ReachDispatcher(index, id));
+        self.schedule(RESEND_INTERVAL, Event::Resend(id));
     }
 
-    fn between(&self, left: usize, right: usize) -> Duration {
-        if left == right { WITHIN_ZONE } else { self.size.between_zones }
+    fn zone_delay(&self, left: usize, right: usize) -> Duration {
+        if left == right { INTRA_ZONE_DELAY } else { self.size.inter_zone_delay }
     }
 
     /// Returns the one-way delay between a dispatcher's balancer and a backend server.
-    pub(super) fn to_backend(&self, dispatcher: usize, backend: BackendId) -> Duration {
-        self.between(dispatcher % self.size.zones, backend as usize % self.size.zones)
+    pub(super) fn backend_delay(&self, dispatcher: usize, backend: BackendId) -> Duration {
+        self.zone_delay(dispatcher % self.size.zones, backend as usize % self.size.zones)
     }
 
-    fn at_dispatcher(&mut self, index: usize, id: RequestId) {
-        if self.owner_is_lost && index == 0 {
+    fn deliver_to_dispatcher(&mut self, index: usize, id: RequestId) {
+        if self.is_owner_lost && index == 0 {
             return;
         }
         let pending = &self.pending[&id];
@@ -336,46 +347,46 @@
         let mut out = Vec::new();
         let authority = Some(self.authority());
         self.dispatchers[index].accept(self.now, request, authority, &mut out);
-        self.perform(index, out);
+        self.perform_actions(index, out);
     }
 
-    fn perform(&mut self, dispatcher: usize, actions: Vec<RequestAction<()>>) {
+    fn perform_actions(&mut self, dispatcher: usize, actions: Vec<RequestAction<()>>) {
         for action in actions {
             match action {
                 RequestAction::Dispatch { backend, attempt, request, retry, .. } => {
                     self.measures.retries += u64::from(retry.is_some());
-                    let after = self.to_backend(dispatcher, backend);
+                    let after = self.backend_delay(dispatcher, backend);
                     let id = request.id;
-                    self.schedule(after, Event::AtBackend { dispatcher, backend, id, attempt });
+                    self.schedule(after, Event::ReachBackend { dispatcher, backend, id, attempt });
                 }
                 RequestAction::Cancel { backend, id, attempt, .. } => {
-                    let after = self.to_backend(dispatcher, backend);
-                    self.schedule(after, Event::Cancelled { dispatcher, backend, id, attempt });
+                    let after = self.backend_delay(dispatcher, backend);
+                    self.schedule(after, Event::CancelRun { dispatcher, backend, id, attempt });
                 }
                 RequestAction::Answer { id, .. } => {
-                    self.schedule(self.size.to_callers, Event::AtCaller(id, None));
+                    self.schedule(self.size.caller_delay, Event::ReachCaller(id, None));
                 }
                 RequestAction::Refuse { id, refusal, .. } => {
-                    let event = Event::AtCaller(id, Some(refusal.reason));
-                    self.schedule(self.size.to_callers, event);
+                    let event = Event::ReachCaller(id, Some(refusal.reason));
+                    self.schedule(self.size.caller_delay, event);
                 }
                 RequestAction::Relay { .. } => unreachable!("dispatchers do not relay requests"),
             }
         }
     }
 
-    fn at_caller(&mut self, id: RequestId, refusal: Option<RefusalReason>) {
+    fn deliver_to_caller(&mut self, id: RequestId, refusal: Option<RefusalReason>) {
         let now = self.now;
-        let Some(pending) = self.pending.get_mut(&id).filter(|pending| !pending.is_told) else {
+        let Some(pending) = self.pending.get_mut(&id).filter(|pending| !pending.has_outcome) else {
             return;
         };
 
-        pending.is_told = true;
+        pending.has_outcome = true;
         match refusal {
             None => {
-                let taken = now.duration_since(pending.sent).unwrap_or_default();
-                let millis = taken.as_secs_f64() * 1_000.0;
-                self.measures.samples.push(Sample { millis, is_bulk: pending.is_bulk });
+                let elapsed = now.duration_since(pending.sent).unwrap_or_default();
+                let millis = elapsed.as_secs_f64() * 1_000.0;
+                self.measures.samples.push(AnswerSample { millis, is_bulk: pending.is_bulk });
             }
             Some(reason) => *self.measures.refused.entry(reason.label()).or_insert(0) += 1,
         }
@@ -385,15 +396,15 @@
         let mut out = Vec::new();
         let authority = Some(self.authority());
 
-        if !(self.owner_is_lost && index == 0) {
+        if !(self.is_owner_lost && index == 0) {
             self.dispatchers[index].tick(self.now, authority, &mut out);
         }
-        self.perform(index, out);
-        self.schedule(TICK, Event::Tick(index));
+        self.perform_actions(index, out);
+        self.schedule(TICK_INTERVAL, Event::Tick(index));
     }
 
     fn finish(mut self) -> Measures {
-        self.measures.untold = self.pending.values().filter(|p| !p.is_told).count() as u64;
+        self.measures.unresolved = self.pending.values().filter(|p| !p.has_outcome).count() as u64;
         self.measures
     }
 }
--- a/crates/valvestage-experiment/src/requests/model_faults.rs
+++ b/crates/valvestage-experiment/src/requests/model_faults.rs
@@ -2,17 +2,17 @@
 
 use valvestage_core::BackendState;
 
-use super::model::{Model, NOTICED_AFTER};
+use super::model::{FAILURE_DETECTION_DELAY, Model};
 use super::model_event::Event;
-use super::model_server::Server;
+use super::model_server::SimulatedServer;
 use super::scenario::Scenario;
 use crate::deployment::{configuration, zone_name};
 
 impl Model<'_> {
-    pub(super) fn strike(&mut self) {
+    pub(super) fn inject_fault(&mut self) {
         match self.scenario {
-            Scenario::TwoSlow => self.each_server(2, |server| server.slow_factor = 10),
-            Scenario::OneShedding => self.each_server(1, |server| server.is_shedding = true),
+            Scenario::TwoSlow => self.change_servers(2, |server| server.slow_factor = 10),
+            Scenario::OneShedding => self.change_servers(1, |server| server.is_shedding = true),
             // Reported load is a hint that the policy does not use, because it counts occupancy
             // itself; so a false report has no effect. Skewed callers are handled at sending.
             Scenario::Steady | Scenario::OneLying | Scenario::SkewedCallers => {}
@@ -20,11 +20,11 @@
                 for server in self.servers.values_mut() {
                     server.record.incarnation += 1;
                 }
-                self.reinstall(2);
+                self.install_configuration(2);
             }
             Scenario::ThreeDraining => {
-                self.each_server(3, |server| server.record.state = BackendState::Draining);
-                self.reinstall(2);
+                self.change_servers(3, |server| server.record.state = BackendState::Draining);
+                self.install_configuration(2);
             }
             Scenario::ZoneCut => {
                 for server in self.servers.values_mut() {
@@ -35,33 +35,33 @@
                 }
             }
             Scenario::BalancerLost => {
-                self.owner_is_lost = true;
-                self.schedule(NOTICED_AFTER, Event::TakeOver);
+                self.is_owner_lost = true;
+                self.schedule(FAILURE_DETECTION_DELAY, Event::Failover);
             }
         }
     }
 
-    fn each_server(&mut self, count: usize, change: impl Fn(&mut Server)) {
+    fn change_servers(&mut self, count: usize, change: impl Fn(&mut SimulatedServer)) {
         for server in self.servers.values_mut().take(count) {
             change(server);
         }
     }
 
-    fn reinstall(&mut self, version: u64) {
+    fn install_configuration(&mut self, version: u64) {
         let count = self.dispatchers.len() as u32;
 
         for index in 0..count {
-            let records = self.records_for(index, count);
+            let records = self.dispatcher_records(index, count);
             let next = configuration(version, 1, records);
             self.dispatchers[index as usize].install(&next, self.now);
         }
     }
 
     /// Replaces the failed owner by a successor that has no state of the running requests.
-    pub(super) fn take_over(&mut self) {
+    pub(super) fn fail_over_owner(&mut self) {
         let count = self.dispatchers.len() as u32;
 
-        self.dispatchers[0] = self.make_dispatcher(0, self.records_for(0, count));
-        self.owner_is_lost = false;
+        self.dispatchers[0] = self.make_dispatcher(0, self.dispatcher_records(0, count));
+        self.is_owner_lost = false;
     }
 }
--- a/crates/valvestage-experiment/src/requests/model_occupancy.rs
+++ b/crates/valvestage-experiment/src/requests/model_occupancy.rs
@@ -6,15 +6,15 @@
 use super::model_event::Event;
 
 /// Interval at which the occupancy of slots is sampled.
-pub(super) const SAMPLE: Duration = Duration::from_millis(100);
+pub(super) const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Number of samples in a window of one second.
 const SAMPLES_PER_SECOND: u32 = 10;
 
 impl Model<'_> {
-    pub(super) fn sample(&mut self) {
+    pub(super) fn sample_occupancy(&mut self) {
         let busy: Vec<u32> = self.servers.values().map(|s| s.running.len() as u32).collect();
-        add_imbalance(&mut self.measures.imbalance, &busy);
+        add_imbalance(&mut self.measures.imbalance_100ms_sum, &busy);
 
         for (server, busy) in self.servers.values_mut().zip(&busy) {
             server.busy_sum += busy;
@@ -23,9 +23,9 @@
         if self.samples.is_multiple_of(SAMPLES_PER_SECOND) {
             let sums: Vec<u32> =
                 self.servers.values_mut().map(|s| std::mem::take(&mut s.busy_sum)).collect();
-            add_imbalance(&mut self.measures.imbalance_second, &sums);
+            add_imbalance(&mut self.measures.imbalance_1s_sum, &sums);
         }
-        self.schedule(SAMPLE, Event::Sample);
+        self.schedule(SAMPLE_INTERVAL, Event::Sample);
     }
 }
 
--- a/crates/valvestage-experiment/src/requests/model_server.rs
+++ b/crates/valvestage-experiment/src/requests/model_server.rs
@@ -10,7 +10,7 @@
 use super::model_event::Event;
 
 /// A simulated backend server with its running requests and injected faults.
-pub(super) struct Server {
+pub(super) struct SimulatedServer {
     pub(super) record: Backend,
     pub(super) running: BTreeMap<(RequestId, Attempt), ()>,
     pub(super) slow_factor: u32,
@@ -21,14 +21,14 @@
 }
 
 impl Model<'_> {
-    pub(super) fn at_backend(
+    pub(super) fn deliver_to_backend(
         &mut self,
         dispatcher: usize,
         backend: BackendId,
         id: RequestId,
         attempt: Attempt,
     ) {
-        let after = self.to_backend(dispatcher, backend);
+        let after = self.backend_delay(dispatcher, backend);
         let reply = BackendReply { backend, id, attempt };
         let Some(server) = self.servers.get_mut(&backend).filter(|server| !server.is_cut) else {
             return;
@@ -42,17 +42,17 @@
         }
         server.running.insert((id, attempt), ());
         let run_time = self.pending[&id].run_time * server.slow_factor;
-        self.schedule(run_time, Event::Done { dispatcher, backend, id, attempt });
+        self.schedule(run_time, Event::CompleteRun { dispatcher, backend, id, attempt });
     }
 
-    pub(super) fn done(
+    pub(super) fn complete_run(
         &mut self,
         dispatcher: usize,
         backend: BackendId,
         id: RequestId,
         attempt: Attempt,
     ) {
-        let after = self.to_backend(dispatcher, backend);
+        let after = self.backend_delay(dispatcher, backend);
         let Some(server) = self.servers.get_mut(&backend) else {
             return;
         };
@@ -64,14 +64,14 @@
     }
 
     /// Stops a run at its backend server, which frees the slot and reports the cancellation.
-    pub(super) fn cancelled(
+    pub(super) fn cancel_run(
         &mut self,
         dispatcher: usize,
         backend: BackendId,
         id: RequestId,
         attempt: Attempt,
     ) {
-        let after = self.to_backend(dispatcher, backend);
+        let after = self.backend_delay(dispatcher, backend);
         let Some(server) = self.servers.get_mut(&backend).filter(|server| !server.is_cut) else {
             return;
         };
--- a/crates/valvestage-experiment/src/table.rs
+++ b/crates/valvestage-experiment/src/table.rs
@@ -21,7 +21,7 @@
     /// # Panics
     ///
     /// Panics if the number of cells differs from the number of columns.
-    pub fn row(&mut self, cells: &[String]) {
+    pub fn add_row(&mut self, cells: &[String]) {
         assert_eq!(cells.len(), self.columns, "a row must have one cell per column");
 
         self.lines.push(format!("| {} |", cells.join(" | ")));
