--- a/crates/valvestage-experiment/src/fleet/scenes.rs
+++ b/crates/valvestage-experiment/src/fleet/scenes.rs
@@ -27,6 +27,7 @@
 
 /// Measurements of one scenario.
 pub struct ScenarioReport {
+    /// Title of the scenario's table.
     pub name: &'static str,
     /// Each measure with its value. The time of a condition that was not met within the limit is
     /// infinite.
--- a/crates/valvestage-experiment/src/fleet/simulation.rs
+++ b/crates/valvestage-experiment/src/fleet/simulation.rs
@@ -99,8 +99,11 @@
     now: Duration,
     sequence: u64,
     queue: BinaryHeap<Reverse<TimedEvent>>,
+    /// The simulated store, to which scenarios write changes.
     pub store: FleetStore,
+    /// Policy of each balancer, or `None` while it is not running.
     pub nodes: Vec<Option<EntryPolicy>>,
+    /// Number of times that each balancer was killed, which tells its processes apart.
     incarnations: Vec<u32>,
     wake_at: Vec<Duration>,
     nodes_by_address: HashMap<SocketAddrV4, usize>,
@@ -112,6 +115,7 @@
     /// Zone that is partitioned from the other zones and from the store, or `None` if all zones
     /// reach each other.
     pub partitioned_zone: Option<usize>,
+    /// Cumulative resource usage of each balancer, over all of its incarnations.
     pub usage: Vec<NodeUsage>,
 }
 
--- a/crates/valvestage-experiment/src/fleet/store.rs
+++ b/crates/valvestage-experiment/src/fleet/store.rs
@@ -20,7 +20,9 @@
 
 /// Answer of the store to a call, by kind of call.
 pub enum StoreAnswer {
+    /// Answer to a call for the configuration.
     Routes(StoreReply<RouteMap>),
+    /// Answer to a call for backend servers.
     Backends(StoreReply<BackendNews>),
 }
 
--- a/crates/valvestage-experiment/src/flows/hot_keys.rs
+++ b/crates/valvestage-experiment/src/flows/hot_keys.rs
@@ -61,8 +61,8 @@
 }
 
 /// Places the flows of hot callers on the least loaded of several candidates, whose number grows
-/// with the caller's share of flows. Returns the flows of each backend server and the number of
-/// flows that are not on their preferred one.
+/// with the caller's share of flows. Returns the number of flows on each backend server and the
+/// number of flows that are not on their preferred one.
 fn spread_hot(callers: &[u64]) -> (Vec<usize>, usize) {
     let mut counts = vec![0; BACKENDS];
     let mut popularity = vec![0usize; CALLERS];
