--- a/crates/valvestage-experiment/src/capacity/claim_slope.rs
+++ b/crates/valvestage-experiment/src/capacity/claim_slope.rs
@@ -1,4 +1,4 @@
-//! Claims at the owner of a service: memory and time, by the claims held.
+//! Memory and time of claims at the owner of a service, by the number of claims held.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -12,11 +12,11 @@
 use crate::deployment::{backend, configuration};
 use crate::table::Table;
 
-/// Bytes of a request and of its answer.
+/// Payload bytes of a request and of its answer.
 const REQUEST_BYTES: usize = 200;
 const ANSWER_BYTES: usize = 1_000;
 
-/// Prints the table.
+/// Prints memory per claim and time per request, by the number of claims held.
 pub fn print_table() {
     let mut table = Table::new(&[
         "answered claims held",
@@ -24,12 +24,13 @@
         "µs a request, from acceptance to answer",
     ]);
 
-    // All are kept, so that none is given memory that another one has left.
-    let mut kept = Vec::new();
+    // All dispatchers stay alive: a dispatcher that reused the memory of a dropped one would show
+    // too little growth.
+    let mut dispatchers = Vec::new();
     for claims in [25_000, 50_000, 100_000] {
         let (bytes, micros, dispatcher) = measure(claims);
-        kept.push(dispatcher);
-        table.row(&[claims.to_string(), format!("{bytes:.0}"), format!("{micros:.2}")]);
+        dispatchers.push(dispatcher);
+        table.add_row(&[claims.to_string(), format!("{bytes:.0}"), format!("{micros:.2}")]);
     }
     table.print("Claims at the owner of a service");
 }
@@ -69,14 +70,15 @@
         out.clear();
     }
     let spent = began.elapsed();
-    let grown = resident_bytes().saturating_sub(before);
+    let growth = resident_bytes().saturating_sub(before);
 
     #[allow(clippy::cast_precision_loss)]
-    let (bytes, count) = (grown as f64, claims as f64);
+    let (bytes, count) = (growth as f64, claims as f64);
     (bytes / count, spent.as_secs_f64() * 1e6 / count, dispatcher)
 }
 
-/// Resident memory of this process, from the second field of /proc/self/statm (pages).
+/// Returns the resident memory of this process, from the second field of /proc/self/statm, which
+/// counts pages.
 fn resident_bytes() -> u64 {
     const PAGE_BYTES: u64 = 4_096;
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/valvestage-experiment/src/fleet/store.rs
+++ b/crates/valvestage-experiment/src/fleet/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store, as far as balancers follow it.
+//! Simulated store of the platform, limited to what balancers read.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -8,25 +8,27 @@
     StoreCall, StoreKind, StoreReply,
 };
 
-/// Objects of one page of a list.
-const PAGE: usize = 500;
+/// Maximum number of objects in one page of a list.
+const PAGE_OBJECTS: usize = 500;
 
-/// Services, and the share of the backend servers that run the first one: four of five.
+/// Services. Every fifth backend server runs the second one, the other four run the first.
 const SERVICES: [&str; 2] = ["core", "photos"];
-const FIRST_SERVICE_OF: usize = 5;
+const SECOND_SERVICE_EVERY: usize = 5;
 
-/// Addresses of the configuration.
+/// Number of addresses in the configuration.
 const ADDRESSES: u16 = 250;
 
-/// `StoreAnswer` is the answer to a call of one kind.
+/// Answer of the store to a call, by kind of call.
 pub enum StoreAnswer {
+    /// Answer to a call for the configuration.
     Routes(StoreReply<RouteMap>),
+    /// Answer to a call for backend servers.
     Backends(StoreReply<BackendUpdate>),
 }
 
 impl StoreAnswer {
-    /// Returns the bytes of its objects, with so many for each route and each entry.
-    pub fn objects(&self, route_bytes: usize, entry_bytes: usize) -> usize {
+    /// Returns the size of the objects in the answer, given the bytes per route and per entry.
+    pub fn object_bytes(&self, route_bytes: usize, entry_bytes: usize) -> usize {
         match self {
             Self::Routes(
                 StoreReply::Page { objects, .. } | StoreReply::Changes { objects, .. },
@@ -39,18 +41,18 @@
     }
 }
 
-/// `FleetStore` keeps a configuration and the entries of backend servers, with their history.
+/// A store with a configuration, the entries of backend servers and the history of both.
 pub struct FleetStore {
     revision: u64,
     routes: RouteMap,
     route_changes: Vec<(u64, RouteMap)>,
-    /// In the order of their names.
+    /// Entries in the order of their names, which lists follow.
     entries: Vec<BackendEntry>,
     entry_changes: Vec<BackendUpdate>,
 }
 
 impl FleetStore {
-    /// Creates a store with a configuration and so many backend servers, spread over the zones.
+    /// Creates a store with a configuration and a number of backend servers spread over the zones.
     pub fn new(backends: usize, zones: &[String]) -> Self {
         let mut store = Self {
             revision: 1,
@@ -63,13 +65,13 @@
         for number in 0..backends {
             store.revision += 1;
             let position = StorePosition::new(0, store.revision);
-            store.entries.push(entry(number, &zones[number % zones.len()], position));
+            store.entries.push(new_entry(number, &zones[number % zones.len()], position));
         }
         store.change_routes();
         store
     }
 
-    /// Writes the next version of the configuration, and returns it.
+    /// Writes a new configuration, and returns its version.
     pub fn change_routes(&mut self) -> u64 {
         let version = self.routes.version + 3;
         let targets = |port: u16| {
@@ -91,23 +93,25 @@
         version
     }
 
-    /// Marks so many backend servers as leaving, spread over all, and returns the last one's number.
+    /// Marks a number of backend servers, evenly spread over all, as draining. Returns the instance
+    /// number of the last one.
     pub fn drain(&mut self, count: usize) -> u64 {
         let step = (self.entries.len() / count).max(1);
         let mut last = 0;
 
-        for place in (0..self.entries.len()).step_by(step).take(count) {
+        for index in (0..self.entries.len()).step_by(step).take(count) {
             self.revision += 1;
-            let entry = &mut self.entries[place];
+            let entry = &mut self.entries[index];
             entry.phase = BackendPhase::Draining;
             entry.position = StorePosition::new(0, self.revision);
             last = entry.instance;
-            self.entry_changes.push(written(&entry.clone()));
+            self.entry_changes.push(written_change(&entry.clone()));
         }
         last
     }
 
-    /// Returns the answer to a call, if there is something to say or its wait is over.
+    /// Returns the answer to a call, or `None` for a watch that has no changes to report and whose
+    /// wait is not over.
     pub fn answer(&self, kind: StoreKind, call: &StoreCall, is_over: bool) -> Option<StoreAnswer> {
         let position = StorePosition::new(0, self.revision);
 
@@ -117,15 +121,17 @@
                 Some(StoreAnswer::Routes(StoreReply::Page { objects, next_after: None, position }))
             }
             (StoreKind::Configuration, StoreCall::Watch { revision, .. }) => {
-                let news = self.route_changes.iter().filter(|(at, _)| at > revision);
-                let objects: Vec<_> = news.map(|(_, routes)| routes.clone()).collect();
+                let changes = self.route_changes.iter().filter(|(at, _)| at > revision);
+                let objects: Vec<_> = changes.map(|(_, routes)| routes.clone()).collect();
                 (is_over || !objects.is_empty())
                     .then_some(StoreAnswer::Routes(StoreReply::Changes { objects, position }))
             }
-            (_, StoreCall::List { after, .. }) => Some(StoreAnswer::Backends(self.page(after))),
+            (_, StoreCall::List { after, .. }) => {
+                Some(StoreAnswer::Backends(self.list_page(after)))
+            }
             (_, StoreCall::Watch { revision, .. }) => {
                 let after = StorePosition::new(0, *revision);
-                let first = self.entry_changes.partition_point(|news| news.position <= after);
+                let first = self.entry_changes.partition_point(|change| change.position <= after);
                 let objects = self.entry_changes[first..].to_vec();
                 (is_over || !objects.is_empty())
                     .then_some(StoreAnswer::Backends(StoreReply::Changes { objects, position }))
@@ -133,21 +139,21 @@
         }
     }
 
-    fn page(&self, after: &Option<String>) -> StoreReply<BackendUpdate> {
+    fn list_page(&self, after: &Option<String>) -> StoreReply<BackendUpdate> {
         let first = after.as_ref().and_then(|name| name.parse::<usize>().ok()).unwrap_or(0);
-        let end = (first + PAGE).min(self.entries.len());
+        let end = (first + PAGE_OBJECTS).min(self.entries.len());
 
         StoreReply::Page {
-            objects: self.entries[first..end].iter().map(written).collect(),
+            objects: self.entries[first..end].iter().map(written_change).collect(),
             next_after: (end < self.entries.len()).then(|| end.to_string()),
             position: StorePosition::new(0, self.revision),
         }
     }
 }
 
-fn entry(number: usize, zone: &str, position: StorePosition) -> BackendEntry {
+fn new_entry(number: usize, zone: &str, position: StorePosition) -> BackendEntry {
     let instance = 0x10_0000 + u64::try_from(number).unwrap_or(u64::MAX);
-    let service = SERVICES[usize::from(number.is_multiple_of(FIRST_SERVICE_OF))];
+    let service = SERVICES[usize::from(number.is_multiple_of(SECOND_SERVICE_EVERY))];
     let [.., second, third, fourth] = (number + 1).to_be_bytes();
 
     BackendEntry {
@@ -164,7 +170,7 @@
     }
 }
 
-fn written(entry: &BackendEntry) -> BackendUpdate {
+fn written_change(entry: &BackendEntry) -> BackendUpdate {
     BackendUpdate {
         name: entry.name,
         position: entry.position,
