--- a/crates/valvestage-policy/tests/simulation/backends.rs
+++ b/crates/valvestage-policy/tests/simulation/backends.rs
@@ -1,4 +1,4 @@
-//! Backend servers: they answer what they hold, and keep their entries.
+//! The simulated backend servers: they serve their flows and write their entries to the store.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -11,54 +11,57 @@
 use crate::events::{FlowNumber, Millis};
 use crate::site::{SERVICES, ZONES};
 
-/// Time between two writes of an entry, and silence after which it lapses.
+/// Interval between two writes of an entry, and the time without a write after which it lapses.
 pub const BEAT_MS: Millis = 770;
 pub const LAPSE_MS: Millis = 3 * BEAT_MS;
 
-/// Time that one serves on after it said that it leaves.
+/// How long a draining backend server keeps serving its flows.
 pub const LEAVES_AFTER: Millis = 5_000;
 
-/// Time of one request.
+/// Processing time of one request.
 pub const WORK_MS: Millis = 40;
 
-/// A flow at a backend server.
+/// State of a flow at its backend server.
 #[derive(Debug, Default)]
 pub struct HeldFlow {
     pub is_open: bool,
-    /// Number after the last byte that came.
+    /// Sequence number after the last byte received.
     pub received: u32,
     pub is_working: bool,
-    /// The token of the last packet.
+    /// Token of the last packet received.
     pub token: u32,
 }
 
-/// `Backend` is one incarnation.
+/// One incarnation of a backend server: a process, from its start to its end.
 pub struct Backend {
     pub instance: InstanceId,
     pub name: BackendName,
-    /// Another one that has started under its name.
+    /// The next incarnation, once one has started under the same name.
     pub heir: Option<InstanceId>,
-    /// When the store first had its entry, if it started under the name of another one.
+    /// When the store first had the entry of this incarnation; None again if a restore lost it. It
+    /// means something only for the successor of another incarnation.
     pub born_at: Option<Millis>,
     pub service: usize,
     pub zone: usize,
     pub address: SocketAddrV4,
     pub has_ended: bool,
     pub silent_until: Millis,
-    /// When it said that it leaves.
+    /// When draining began.
     pub drains_since: Option<Millis>,
-    /// When the store took that, unless it lost it.
+    /// When the store accepted the draining entry; None again if a restore lost it.
     pub drain_stored_at: Option<Millis>,
     pub flows: BTreeMap<FlowNumber, HeldFlow>,
-    /// Until when it bears little, if it has started during traffic.
+    /// End of the cold phase, if the backend server started during traffic.
     pub cold_until: Option<Millis>,
-    /// Opening packets that it took while it was cold: when they were sent, and when they arrived.
+    /// Opening packets received while cold: the time at which each was sent to its balancer, and
+    /// the time at which it arrived here.
     pub cold_openings: Vec<(Millis, Millis)>,
-    /// When it last wrote its entry.
+    /// When the entry was last written. After a restore of the store it lies in the future, so that
+    /// the next write comes later.
     pub last_beat: Millis,
-    /// Whether another one comes in its place, with those that ended together with it.
+    /// Whether a cold backend server is to replace this one when its zone returns.
     pub comes_back: bool,
-    /// When something last happened to it.
+    /// From when on another backend server may get the address; 0 if none is to get it.
     pub disturbed_at: Millis,
 }
 
@@ -89,7 +92,8 @@
         self.silent_until > now
     }
 
-    /// What it writes, at a place where times are counted from an instant.
+    /// Returns the entry that the backend server writes. `base` is the instant of the simulation's
+    /// start.
     pub fn entry(&self, base: Instant) -> BackendEntry {
         let phase =
             if self.drains_since.is_some() { BackendPhase::Draining } else { BackendPhase::Ready };
@@ -109,20 +113,20 @@
     }
 }
 
-/// Bits of an incarnation's number that are those of its name.
+/// Number of low bits of an instance id that identify the name; the higher ones count incarnations.
 const NAME_BITS: u32 = 40;
 
-/// The name under which a backend server writes its entry.
+/// Returns the name under which a backend server writes its entry.
 fn name_of(instance: InstanceId) -> BackendName {
     BackendName { digest: 0, number: instance & ((1 << NAME_BITS) - 1) }
 }
 
-/// The next incarnation under the name of one.
+/// Returns the id of the next incarnation under the same name.
 pub fn next_birth(instance: InstanceId) -> InstanceId {
     instance + (1 << NAME_BITS)
 }
 
-/// Where the backend server of a number listens.
+/// Returns the address on which the backend server of a number listens.
 pub fn backend_address(number: u64) -> SocketAddrV4 {
     let [.., high, low] = number.to_be_bytes();
 
--- a/crates/valvestage-policy/tests/simulation/balancers.rs
+++ b/crates/valvestage-policy/tests/simulation/balancers.rs
@@ -1,4 +1,4 @@
-//! Balancers, and what happens to them.
+//! The simulated balancers: their policy, and the faults that affect them.
 
 use std::time::Instant;
 
@@ -7,38 +7,38 @@
 use crate::events::{BalancerNumber, FlowNumber, Millis};
 use crate::site::{SitePlan, ZONES, balancer_address};
 
-/// Copies of one packet that wait at a balancer.
+/// The copies of one packet that a balancer holds.
 #[derive(Debug, Clone, Copy)]
 pub struct HeldCopies {
     pub flow: FlowNumber,
-    /// How many of them count as dropped if they wait in vain: those that could be decided about when they came, as far as the
-    /// world was then.
+    /// How many of them count as dropped packets if the hold time ends: those that the balancer
+    /// should have been able to decide about when they arrived.
     pub counted: u32,
 }
 
-/// One balancer.
+/// A simulated balancer, running or down.
 pub struct Balancer {
-    /// None while it is down.
+    /// The policy of the running process; None while the balancer is down.
     pub policy: Option<EntryPolicy>,
-    /// How often it has started.
+    /// Number of starts so far.
     pub life: u32,
-    /// When it first knew enough in this life.
+    /// When the present process first became ready.
     pub ready_at: Option<Millis>,
-    /// Until when it stands still.
+    /// End of the current or last pause.
     pub frozen_until: Millis,
     pub is_cut_from_store: bool,
-    /// It hears no other balancer; it is heard by none.
+    /// Whether messages of other balancers are lost, and whether messages to them are lost.
     pub is_deaf: bool,
     pub is_mute: bool,
-    /// When something last happened to it.
+    /// End of the last fault that affected the balancer.
     pub disturbed_at: Millis,
-    /// The highest version that was in force in this life.
+    /// The highest configuration version that was in force since the last start.
     pub version: u64,
-    /// When it looks at what is due; an earlier look replaces it.
+    /// When the timer fires next. Timer events for earlier times are ignored.
     pub wakes_at: Millis,
-    /// Packets about which it could not decide yet.
+    /// Packets that the balancer cannot decide about yet.
     pub held: HeldPackets<HeldCopies>,
-    /// Messages that it sent in the last seconds.
+    /// Messages sent in the final phase, which has no faults.
     pub late_messages: usize,
 }
 
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Starts it; it knows nothing.
+    /// Starts a new process without any knowledge.
     pub fn start(&mut self, number: BalancerNumber, plan: &SitePlan, seed: u64, now: Instant) {
         self.life += 1;
         self.version = 0;
--- a/crates/valvestage-policy/tests/simulation/callers.rs
+++ b/crates/valvestage-policy/tests/simulation/callers.rs
@@ -1,4 +1,4 @@
-//! Callers and their flows.
+//! The simulated callers and their flows.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -8,25 +8,25 @@
 
 use crate::events::Millis;
 
-/// When an opening packet is sent again, and when its flow is given up.
+/// Times after the first opening packet at which it is sent again, and the timeout of the opening.
 pub const COPIES_AT: [Millis; 2] = [200, 600];
 pub const OPEN_WITHIN: Millis = 1_400;
 
-/// First wait for an answer; doubled each time up to the longest.
+/// Delay before a request is sent again for the first time; it doubles each time up to the longest.
 pub const FIRST_RESEND: Millis = 200;
 pub const LONGEST_RESEND: Millis = 1_600;
 
-/// Time that a caller gives a request.
+/// Time after which a caller gives up a request.
 pub const DEADLINE: Millis = 3_000;
 
-/// Bytes of a request, and of an answer.
+/// Size of a request and of an answer, in bytes.
 pub const REQUEST_BYTES: u32 = 300;
 pub const ANSWER_BYTES: u32 = 900;
 
-/// Number before a flow's first byte.
+/// Sequence number of a flow's first byte.
 const FIRST_SEQUENCE: u32 = 1_000;
 
-/// Where a flow stands.
+/// State of a flow as its caller sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FlowState {
     Opening,
@@ -40,11 +40,11 @@
     pub since: Millis,
     pub resend_at: Millis,
     pub wait: Millis,
-    /// Its packets that balancers dropped, though its backend server lived.
+    /// Number of the request's packets that balancers dropped although the flow could go on.
     pub drops: u32,
 }
 
-/// One flow of a caller.
+/// A flow of a caller.
 pub struct CallerFlow {
     pub caller: usize,
     pub zone: usize,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// What routers hash.
+    /// Returns the hash of the flow's addresses that routers use.
     pub fn hash(&self) -> u64 {
         let FlowAddresses { caller, service } = self.addresses;
         let ends = (u64::from(u32::from(*caller.ip())) << 16) | u64::from(caller.port());
@@ -111,7 +111,7 @@
         }
     }
 
-    /// A packet with the bytes before what was sent last, or none.
+    /// Returns a packet with the last `bytes` bytes that were sent, or without data for 0.
     pub fn packet(&self, bytes: u32) -> CallerPacket {
         CallerPacket {
             opening: false,
--- a/crates/valvestage-policy/tests/simulation/events.rs
+++ b/crates/valvestage-policy/tests/simulation/events.rs
@@ -1,4 +1,4 @@
-//! What happens when.
+//! Simulated time, and the events of a simulation in the order of their times.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -6,21 +6,21 @@
 use valvestage_core::ids::InstanceId;
 use valvestage_policy::steering::{CallerPacket, PeerMessage};
 
-/// Simulated time, milliseconds from the start.
+/// Simulated time in milliseconds, as a duration or since the start of the simulation.
 pub type Millis = u64;
 
-/// Number of a balancer.
+/// Index of a balancer, from 0.
 pub type BalancerNumber = usize;
 
-/// Number of a caller's flow.
+/// Index of a caller's flow, from 0 in the order of opening.
 pub type FlowNumber = usize;
 
-/// One thing that happens.
+/// An event of the simulation.
 #[derive(Debug)]
 pub enum Event {
-    /// A balancer looks at what is due.
+    /// A balancer's timer fires.
     Wake(BalancerNumber),
-    /// A message of another balancer arrives.
+    /// A message arrives, with its sender and its receiver.
     Message(BalancerNumber, BalancerNumber, PeerMessage),
     /// A caller's packet arrives at a balancer.
     Packet(BalancerNumber, FlowNumber, CallerPacket),
@@ -33,40 +33,40 @@
         token: u32,
         sent_at: Millis,
     },
-    /// A backend server has done its work.
+    /// A backend server has finished a request.
     Worked(InstanceId, FlowNumber),
-    /// Something arrives at a caller.
+    /// A packet arrives at a caller.
     Answer(FlowNumber, Answer),
-    /// A caller looks at one of its flows.
+    /// A timer of a caller's flow fires.
     CallerTimer(FlowNumber),
-    /// A caller begins.
+    /// A caller opens a flow.
     CallerStart(usize),
-    /// The store looks at its calls, and entries at their age.
+    /// The store answers due calls, and entries are written or lapse.
     StoreScan,
-    /// Routers ask balancers whether they are ready; oracles look at them.
+    /// Routers probe the readiness of balancers, and oracles check their knowledge.
     Probe,
-    /// The operator writes again what the store has lost.
+    /// The operator writes again what a restore of the store has lost.
     OperatorWrites,
-    /// A fault begins.
+    /// A fault begins, given by its index in the fault plan.
     FaultBegins(usize),
-    /// It ends.
+    /// A fault ends, given by its index in the fault plan.
     FaultEnds(usize),
 }
 
-/// What arrives at a caller.
+/// A packet that arrives at a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answer {
-    /// Its flow may open at a backend server.
+    /// A backend server accepts the flow.
     Opened { instance: InstanceId, token: u32 },
-    /// An answer to its request.
+    /// The answer to the open request; `is_last` if the backend server closes the flow with it.
     Data { token: u32, is_last: bool },
-    /// The backend server does not hold the flow.
+    /// A reset by a backend server that does not know the flow.
     BackendReset,
-    /// A balancer ends the flow.
+    /// A reset by a balancer.
     BalancerReset(BalancerNumber),
 }
 
-/// An event with its time; those of one moment come in the order in which they were added.
+/// An event with its time. Events of the same time are handled in the order of insertion.
 struct TimedEvent {
     at: Millis,
     number: u64,
@@ -93,7 +93,7 @@
     }
 }
 
-/// All that is still to happen.
+/// The pending events, earliest first.
 #[derive(Default)]
 pub struct EventQueue {
     heap: BinaryHeap<TimedEvent>,
--- a/crates/valvestage-policy/tests/simulation/fault.rs
+++ b/crates/valvestage-policy/tests/simulation/fault.rs
@@ -1,123 +1,132 @@
-//! The events of a seed: ordinary ones, in series and overlapping.
+//! Fault kinds, and the fault plan of a seed: faults of ordinary operation that overlap.
 
 use valvestage_policy::steering::seeded_draw::SeededDraw;
 
 use crate::events::Millis;
 use crate::store::MAX_ROUTES;
 
-/// Events begin from here on; before, everything has started.
+/// Earliest start of a fault. All processes have started by then.
 const FIRST_AT: Millis = 5_000;
 
-/// The last one begins before this.
+/// Every fault starts before this time.
 const LAST_AT: Millis = 15_000;
 
-/// The longest that one lasts.
+/// Longest duration of a fault, in milliseconds.
 const MAX_MS: usize = 4_500;
 
-/// The least by which the configuration grows after calls fell silent, in addresses, and how much later that is at most.
+/// Smallest growth of the configuration after store calls stopped answering, in addresses, and the
+/// longest delay of the growth after that.
 const LARGE_GROWTH: usize = 4_300;
 const GROWTH_LATER_MS: usize = 900;
 
-/// The longest that a store is away which is restored.
+/// Longest outage of a store that is restored from an older copy.
 const LONGEST_AWAY_MS: usize = 2_500;
 
-/// Other faults begin from so long before a restore on, over so long a time.
+/// Most faults of a restore seed begin within a window around the first restore: the window's start
+/// before the restore, and its length.
 const BEFORE_RESTORE_MS: Millis = 3_000;
 const NEAR_RESTORE_MS: usize = 8_000;
 
-/// What happens. Numbers choose a balancer, zone or backend server among those that there are.
+/// A kind of fault. Unless a variant says otherwise, its number selects an address, a balancer, a
+/// zone or a backend server, modulo their count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultKind {
-    /// An address leads to the other service.
+    /// An address is routed to the other service.
     RouteChange(usize),
-    /// Another address is dropped, or comes back.
+    /// An address is removed from the configuration, or added again.
     RouteDrop(usize),
-    /// The configuration grows by so many addresses.
+    /// The configuration grows by this number of addresses.
     RouteGrowth(usize),
-    /// A balancer is killed, and starts again a moment later.
+    /// A balancer is killed, and restarts at the end of the fault.
     Restart(usize),
-    /// All balancers one after the other.
+    /// All balancers restart one after the other.
     RollingRestart,
-    /// All of them at once.
+    /// All balancers restart at once.
     Herd,
-    /// A balancer does not reach the store; nor, with the flag, does the store reach it.
+    /// A balancer is cut off from the store.
     StoreCut(usize),
-    /// A balancer does not hear others, or is not heard.
+    /// A balancer is cut off from the other balancers in one direction: it receives no messages if
+    /// `is_deaf` is set, and otherwise its own messages are lost.
     PeerCut { balancer: usize, is_deaf: bool },
-    /// A zone is cut off from the others and from the store.
+    /// A zone is partitioned from the other zones and from the store.
     ZoneCut(usize),
-    /// A balancer stands still.
+    /// A balancer is paused.
     Freeze(usize),
-    /// Open calls to the store fall silent for good.
+    /// All open calls to the store never get an answer.
     SilentCalls,
-    /// The store refuses.
+    /// The store refuses all calls.
     StoreRefuses,
-    /// The store says nothing.
+    /// The store does not answer.
     StoreSilent,
-    /// Entries lapse while the store refuses.
+    /// The store refuses all calls, and entries lapse meanwhile.
     StoreLapse,
-    /// The store forgets its history.
+    /// The store drops its change history, so that watches of older revisions fail.
     StoreForgets,
-    /// The store is away, and comes back from an older copy. What its callers wrote since is written again.
+    /// The store fails and is restored from an older copy. Its clients then write again what was
+    /// lost.
     StoreRestored(RestoreDepth),
     /// A share of the store's answers is lost.
     StoreLoses,
-    /// A backend server says nothing.
+    /// A backend server does not respond.
     BackendSilent(usize),
-    /// A backend server ends without a word.
+    /// A backend server crashes.
     BackendCrash(usize),
-    /// A backend server leaves, and a new one comes.
+    /// A backend server drains, and a new one starts.
     BackendReplaced(usize),
-    /// A backend server leaves, and one of the other service has its address.
+    /// A backend server crashes, and a backend server of the other service starts at its address.
     AddressReused(usize),
-    /// A backend server ends without a word, and starts again under its name.
+    /// A backend server crashes, and a new incarnation starts under its name.
     Rebirth(usize),
-    /// Another writer puts an entry that names no backend server to use in the place of one.
+    /// Another writer overwrites an entry with one that names no usable backend server.
     ForeignEntry(usize),
-    /// The operator evacuates a zone, and takes it back.
+    /// The operator evacuates a zone, and ends the evacuation later.
     Evacuation(usize),
-    /// The backend servers of a zone end together, and others come together.
+    /// All backend servers of a zone crash together, and cold ones replace them together.
     ColdReturn(usize),
 }
 
-/// How much a store has lost that was restored.
+/// How much a restored store has lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RestoreDepth {
-    /// The last changes.
+    /// The last so many changes.
     Changes(u64),
-    /// The changes of the last milliseconds.
+    /// The changes of the last milliseconds before the outage.
     Age(Millis),
 }
 
-/// Seeds from here on have starts under the same name and entries of other writers besides.
+/// First seed of the series with restarts under the same name and entries of other writers, besides
+/// the ordinary faults.
 pub const REBIRTH_SEEDS: u64 = 1_000_000;
 
-/// Seeds from here on have evacuations and backend servers that bear little while they are cold besides those.
+/// First seed of the series that adds to those evacuations, and cold backend servers with their low
+/// limits.
 pub const PLACES_SEEDS: u64 = 2_000_000;
 
-/// Seeds from here on have only cuts, standstills and outages, which overlap.
+/// First seed of the series with only overlapping partitions, pauses, restarts and store outages.
 pub const CUT_SEEDS: u64 = 3_000_000;
 
-/// Seeds from here on have calls that fall silent just before the configuration grows to nearly all that the store takes.
+/// First seed of the series in which store calls stop answering just before the configuration grows
+/// to nearly the largest size that the store accepts.
 pub const GROWTH_SEEDS: u64 = 4_000_000;
 
-/// Seeds from here on have stores that are restored from an older copy, and other faults near them.
+/// First seed of the series in which the store is restored from an older copy, with other faults
+/// around that time.
 pub const RESTORE_SEEDS: u64 = 5_000_000;
 
-/// Which faults a seed draws from.
+/// The set of faults that a seed draws from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultSeries {
-    /// Those of every deployment.
+    /// Faults of every deployment.
     Ordinary,
-    /// Starts under a former name and entries of other writers besides.
+    /// Ordinary faults, restarts under the same name, and entries of other writers.
     Rebirths,
-    /// Evacuations and cold returns besides those.
+    /// The faults of `Rebirths`, with evacuations and replacements by cold backend servers.
     Places,
-    /// Only what keeps balancers from the store, from each other and from callers.
+    /// Only faults that keep balancers from the store, from each other and from callers.
     Cuts,
-    /// Silent calls and a growth of the configuration, and few others.
+    /// Unanswered store calls and a growth of the configuration, with up to two ordinary faults.
     Growths,
-    /// Restored stores, and faults of all kinds near them.
+    /// Restores of the store, with faults of all kinds around them.
     Restores,
 }
 
@@ -134,16 +143,16 @@
     }
 }
 
-/// One fault with its time.
+/// A fault with its time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Fault {
     pub kind: FaultKind,
     pub at: Millis,
-    /// How long it lasts, where it does.
+    /// Duration; faults that happen at one moment ignore it.
     pub for_ms: Millis,
 }
 
-/// The faults of a seed.
+/// The faults of a seed, in the order of their times.
 #[derive(Debug, Clone)]
 pub struct FaultPlan {
     pub faults: Vec<Fault>,
@@ -209,7 +218,8 @@
     timed(kind, draw)
 }
 
-/// All open calls fall silent, and the configuration grows while nobody has noticed.
+/// Draws a loss of all open store calls, and a growth of the configuration before any balancer has
+/// detected it.
 fn draw_growth(draw: &mut SeededDraw) -> Vec<Fault> {
     let silent = timed(FaultKind::SilentCalls, draw);
     let routes = LARGE_GROWTH + draw.below(MAX_ROUTES - LARGE_GROWTH);
@@ -222,7 +232,8 @@
     faults
 }
 
-/// One restored store or two, with most other faults shortly before and after the first one.
+/// Draws one or two restores of the store, and other faults, most of them shortly before or after
+/// the first restore.
 fn draw_restores(draw: &mut SeededDraw) -> Vec<Fault> {
     let restores = 1 + draw.below(2);
     let others = 1 + draw.below(6);
--- a/crates/valvestage-policy/tests/simulation/main.rs
+++ b/crates/valvestage-policy/tests/simulation/main.rs
@@ -1,8 +1,9 @@
-//! Many balancers in one process, by seed: which faults does a combination of ordinary events bring about?
+//! Deterministic simulation of a whole deployment: many balancers in one process, driven by a seed.
 //!
-//! Each seed draws a deployment and a series of events that overlap, and plays them in simulated time against the real
-//! policy through its real interface. There are no sockets, threads or sleeps in it. Oracles watch what callers, backend
-//! servers and the store see. One line replays a seed:
+//! Each seed draws a deployment and a series of overlapping faults, and runs them in simulated time
+//! against the real policy code through its public interface, without sockets, threads or sleeps.
+//! Oracles check what callers, backend servers and the store observe. This command runs one seed
+//! again:
 //!
 //! ```text
 //! VALVESTAGE_SEEDS=17 cargo test -p valvestage-policy --test simulation by_hand -- --ignored --nocapture
@@ -10,18 +11,18 @@
 //!
 //! | module | contents |
 //! |---|---|
-//! | `site` | what a deployment consists of |
-//! | `events` | what happens when |
-//! | `fault` | the events of a seed |
-//! | `store` | the platform's store |
-//! | `balancers`, `links` | balancers and what lies between them |
-//! | `router` | which balancer a packet meets |
+//! | `site` | size and topology of a deployment |
+//! | `events` | simulated time and the event queue |
+//! | `fault` | fault kinds, and the fault plan of a seed |
+//! | `store` | fake of the platform's store |
+//! | `balancers`, `links` | balancers, and the network links between them |
+//! | `router` | the routers' choice of a balancer for each packet |
 //! | `backends`, `callers` | the two ends of flows |
-//! | `oracles` | what must hold |
-//! | `mutation` | what is broken on purpose, so that each oracle is seen to fail |
-//! | `seeds` | seeds that showed a fault, with their stories |
-//! | `trace` | what is printed of one seed |
-//! | `world` | all of it, one event after the other |
+//! | `oracles` | the promises that are checked, and their bounds |
+//! | `mutation` | deliberate defects that show that each oracle can fail |
+//! | `seeds` | regression seeds, grouped by the failure they showed |
+//! | `trace` | what is printed while one seed runs |
+//! | `world` | the simulation itself: handles one event after the other |
 
 mod backends;
 mod balancers;
@@ -47,69 +48,73 @@
 use oracles::{Oracle, Violation};
 use world::World;
 
-/// Seeds that are played each time.
+/// Number of seeds that each test of a series runs.
 const SEEDS: u64 = 2_000;
 
-/// Seeds that ever failed, with their causes.
+/// Seeds that failed before, each with the cause of its failure.
 const KNOWN: &[(u64, &str)] = &[
-    (455, "entries lapsed in a cut, and the store went away before they could return"),
-    (887, "the same, with a store that says nothing"),
-    (955, "the same, with a rolling restart"),
-    (1484, "the same, once the store had answered for 74 ms"),
-    (3627, "a peer's word of the same revision brought a missing entry back"),
-    (6268, "the same"),
-    (8914, "the same"),
-    (6528, "a peer's word of an older revision than was read did the same"),
-    (3943, "one that hears nobody was asked again at each of its heartbeats"),
-    (6706, "the same"),
-    (10611, "the same"),
-    (11258, "the same"),
+    (455, "entries lapsed in a partition, and the store failed before they could be written again"),
+    (887, "as seed 455, with a store that does not answer"),
+    (955, "as seed 455, with a rolling restart"),
+    (1484, "as seed 455, after the store had answered for 74 ms"),
+    (3627, "a peer's report of the same revision restored a missing entry"),
+    (6268, "as seed 3627"),
+    (8914, "as seed 3627"),
+    (6528, "a peer's report of an older revision than the one read restored a missing entry"),
+    (3943, "a balancer that receives no messages was queried again at each of its heartbeats"),
+    (6706, "as seed 3943"),
+    (10611, "as seed 3943"),
+    (11258, "as seed 3943"),
     (
         1_000_057,
-        "a start under a former name, of a service that no address led to, was taken for another writer's",
+        "a restart under the same name, for a service without an address, was taken for another writer's entry",
     ),
-    (1_001_326, "a start that became known after an outage ended flows of the new process"),
-    (1_003_965, "the same"),
-    (1_003_987, "the same"),
-    (1_004_374, "the same"),
-    (1_004_692, "the same"),
-    (1_006_076, "the same"),
-    (1_005_796, "a fault of the simulation: two processes at one address"),
-    (1_006_241, "the same"),
-    (1_013_264, "an incarnation that had lapsed was taken for one that another had followed"),
+    (1_001_326, "a restart that became known after an outage ended flows of the new process"),
+    (1_003_965, "as seed 1001326"),
+    (1_003_987, "as seed 1001326"),
+    (1_004_374, "as seed 1001326"),
+    (1_004_692, "as seed 1001326"),
+    (1_006_076, "as seed 1001326"),
+    (1_005_796, "fault of the simulation: two processes at one address"),
+    (1_006_241, "as seed 1005796"),
+    (1_013_264, "an incarnation whose entry had lapsed was taken for one with a successor"),
     (
         1_014_749,
         "an end that some balancers concluded from a configuration did not reach the others",
     ),
     (
         1_014_960,
-        "flows that opened before a start was known had a token that nobody knew after a restart of all",
+        "flows opened before a restart was known had a token that nobody knew after all balancers restarted",
     ),
-    (1_015_120, "the same"),
-    (2_001_313, "three flows missed answers in a cut, and a copy came just after it"),
-    (2_001_430, "the same"),
-    (2_001_601, "the same"),
-    (2_006_296, "the same"),
-    (2_008_897, "the same"),
-    (2_009_463, "the same"),
-    (2_002_123, "callers of an ended backend server were told in another order on each run"),
+    (1_015_120, "as seed 1014960"),
+    (
+        2_001_313,
+        "three flows missed answers in a partition, and a resent packet came just after it",
+    ),
+    (2_001_430, "as seed 2001313"),
+    (2_001_601, "as seed 2001313"),
+    (2_006_296, "as seed 2001313"),
+    (2_008_897, "as seed 2001313"),
+    (2_009_463, "as seed 2001313"),
+    (2_002_123, "callers of an ended backend server got their resets in another order on each run"),
     (
         2_008_842,
-        "a fault of the simulation: a late refusal of an opening packet ended a flow that was open",
+        "fault of the simulation: a late refusal of an opening packet ended a flow that was open",
     ),
-    (2_005_915, "the same"),
+    (2_005_915, "as seed 2008842"),
     (
         1_016_567,
-        "allowed: one that starts while an entry is spoiled cannot know where its backend server is",
+        "allowed: a balancer that starts while an entry is unusable cannot know the backend server's address",
     ),
 ];
 
-/// Plays one seed.
+/// Runs one seed; returns its violations.
 fn play(seed: u64, mutation: Option<Mutation>) -> Vec<Violation> {
     World::new(seed, FaultPlan::draw(seed), mutation).run()
 }
 
-/// Leaves out events as long as something is still violated.
+/// Returns a smaller fault plan of a failing seed: removes each fault without which a promise is
+/// still violated.
 fn shrink(seed: u64) -> FaultPlan {
     let mut plan = FaultPlan::draw(seed);
     let mut place = 0;
@@ -126,7 +131,7 @@
     plan
 }
 
-/// Plays seeds on all processors; gives those that violate something.
+/// Runs `count` seeds from `first` on, on all processors; returns those that violate a promise.
 fn play_all(first: u64, count: u64) -> Vec<(u64, Vec<Violation>)> {
     let next = AtomicU64::new(first);
     let workers = thread::available_parallelism().map_or(1, usize::from);
@@ -146,7 +151,10 @@
             }
         };
         let workers: Vec<_> = (0..workers).map(|_| scope.spawn(work)).collect();
-        workers.into_iter().flat_map(|worker| worker.join().expect("it plays")).collect()
+        workers
+            .into_iter()
+            .flat_map(|worker| worker.join().expect("the seed thread does not panic"))
+            .collect()
     });
     failed.sort_by_key(|(seed, _)| *seed);
     failed
@@ -162,7 +170,7 @@
     }
     for (seed, violations) in failed.iter().take(8) {
         println!("seed {seed}: {} violations, the first {:?}", violations.len(), violations[0]);
-        println!("  by {:?}", shrink(*seed));
+        println!("  smallest plan that fails: {:?}", shrink(*seed));
     }
 }
 
@@ -171,7 +179,7 @@
     let failed = play_all(0, SEEDS);
 
     report(&failed);
-    assert!(failed.is_empty(), "{} of {SEEDS} seeds", failed.len());
+    assert!(failed.is_empty(), "{} of {SEEDS} seeds violate a promise", failed.len());
 }
 
 #[test]
@@ -179,7 +187,7 @@
     let failed = play_all(REBIRTH_SEEDS, SEEDS);
 
     report(&failed);
-    assert!(failed.is_empty(), "{} of {SEEDS} seeds", failed.len());
+    assert!(failed.is_empty(), "{} of {SEEDS} seeds violate a promise", failed.len());
 }
 
 #[test]
@@ -187,7 +195,7 @@
     let failed = play_all(PLACES_SEEDS, SEEDS);
 
     report(&failed);
-    assert!(failed.is_empty(), "{} of {SEEDS} seeds", failed.len());
+    assert!(failed.is_empty(), "{} of {SEEDS} seeds violate a promise", failed.len());
 }
 
 #[test]
@@ -195,7 +203,7 @@
     let failed = play_all(CUT_SEEDS, SEEDS);
 
     report(&failed);
-    assert!(failed.is_empty(), "{} of {SEEDS} seeds", failed.len());
+    assert!(failed.is_empty(), "{} of {SEEDS} seeds violate a promise", failed.len());
 }
 
 #[test]
@@ -203,7 +211,7 @@
     let failed = play_all(GROWTH_SEEDS, SEEDS);
 
     report(&failed);
-    assert!(failed.is_empty(), "{} of {SEEDS} seeds", failed.len());
+    assert!(failed.is_empty(), "{} of {SEEDS} seeds violate a promise", failed.len());
 }
 
 #[test]
@@ -211,7 +219,7 @@
     let failed = play_all(RESTORE_SEEDS, SEEDS);
 
     report(&failed);
-    assert!(failed.is_empty(), "{} of {SEEDS} seeds", failed.len());
+    assert!(failed.is_empty(), "{} of {SEEDS} seeds violate a promise", failed.len());
 }
 
 #[test]
@@ -222,8 +230,9 @@
     }
 }
 
-/// A flow moves from a frozen balancer to one that has seen nothing of its backend server, whose entry lapsed in a cut,
-/// while the store says nothing; and back to the frozen one, which wakes after the time in which the entry may return.
+/// While the store does not answer, a flow moves from a paused balancer to one that has seen no
+/// traffic of its backend server, whose entry lapsed in a partition. The flow then moves back to
+/// the paused balancer, which resumes after the time in which the entry may be written again.
 #[test]
 fn a_flow_that_moves_while_the_store_is_silent_stays() {
     let violations = play(11_828, None);
@@ -231,7 +240,8 @@
     assert!(violations.is_empty(), "{:?}", violations[0]);
 }
 
-/// A balancer starts 0.7 s before the entries of a zone that is cut off lapse, and gets a flow there just after the cut.
+/// A balancer starts 0.7 s before the entries of a partitioned zone lapse, and receives a flow to
+/// that zone just after the partition.
 #[test]
 fn a_cut_and_a_herd_end_no_flow_that_was_answered() {
     let violations = play(1_008_481, None);
@@ -239,7 +249,8 @@
     assert!(violations.is_empty(), "{:?}", violations[0]);
 }
 
-/// All open calls fall silent, and 0.2 s later the configuration grows to the most that the store takes.
+/// All open store calls stop answering, and 0.2 s later the configuration grows to the largest size
+/// that the store accepts.
 #[test]
 fn a_configuration_that_grows_twice_is_in_force_in_time_after_calls_fell_silent() {
     let violations = play(1_013_943, None);
@@ -247,9 +258,11 @@
     assert!(violations.is_empty(), "{:?}", violations[0]);
 }
 
-/// After two cuts one balancer has a record of a flow that another one serves, and learns that the entry of its backend server has
-/// lapsed, 30 ms before the end of the second cut. It took the lapse for an end and told the caller, answered 626 ms before.
-/// `Reset` by balancer 2 shows it, where each packet since 13 s went through balancer 1.
+/// Guards against a reset that follows from a lapsed entry. After two partitions a balancer has a
+/// record of a flow that another balancer serves, and learns 30 ms before the end of the second
+/// partition that the backend server's entry has lapsed. Taking the lapse for an end, it reset the
+/// flow, which had been answered 626 ms before: the trace shows a `Reset` by balancer 2, while
+/// every packet since 13 s had gone through balancer 1.
 #[test]
 fn a_flow_that_moves_after_two_cuts_stays() {
     let violations = play(2_004_775, None);
@@ -257,7 +270,7 @@
     assert!(violations.is_empty(), "{:?}", violations[0]);
 }
 
-/// The second copy of a packet comes 0.1 s after the end of a cut in which the first one was lost.
+/// The second copy of a packet arrives 0.1 s after the end of a partition that lost the first copy.
 #[test]
 fn a_second_copy_just_after_a_cut_ends_no_flow() {
     let violations = play(2_008_948, None);
@@ -265,9 +278,11 @@
     assert!(violations.is_empty(), "{:?}", violations[0]);
 }
 
-/// An entry lapses in a cut, and a balancer that learns of it after the cut is heard by nobody from then on, so that the return of the
-/// entry never reaches it. It ended flows when the time to return was over by its own clock. `BackendChanged` with the phase
-/// ready stands at all others, and `Reset` three seconds later at this one, answered 536 ms before.
+/// An entry lapses in a partition. A balancer learns of the lapse after the partition and from then
+/// on is heard by nobody, so that it never learns that the entry was written again. It ended flows
+/// when the return time had passed by its own clock. The trace shows `BackendChanged` with the
+/// phase ready at all other balancers, and three seconds later at this one a `Reset` of a flow that
+/// had been answered 536 ms before.
 #[test]
 fn a_flow_that_moves_between_two_outages_stays() {
     let violations = play(2_009_812, None);
@@ -294,7 +309,7 @@
         let found = seeds.into_iter().any(|seed| {
             play(seed, Some(mutation)).iter().any(|violation| violation.oracle == oracle)
         });
-        assert!(found, "{mutation:?} is not seen as {oracle:?}");
+        assert!(found, "no seed with the mutation {mutation:?} violates {oracle:?}");
     }
 }
 
@@ -305,7 +320,7 @@
     }
 }
 
-/// Plays `FIRST..END` or one seed, given in `VALVESTAGE_SEEDS`.
+/// Runs the seeds that `VALVESTAGE_SEEDS` names: `FIRST..END`, or one seed.
 #[test]
 #[ignore = "by hand"]
 fn by_hand() {
@@ -316,12 +331,12 @@
 
     let failed = play_all(first, end - first);
     report(&failed);
-    println!("{} of {} seeds violate something", failed.len(), end - first);
+    println!("{} of {} seeds violate a promise", failed.len(), end - first);
     assert!(failed.is_empty());
 }
 
-/// Plays one seed with the fewest events that it still fails with, once all is known of which they are, and prints what
-/// `VALVESTAGE_TRACE` asks for.
+/// Runs one seed and prints what `VALVESTAGE_TRACE` asks for. A failing seed runs with the smaller
+/// fault plan that still makes it fail.
 #[test]
 #[ignore = "by hand"]
 fn traced() {
--- a/crates/valvestage-policy/tests/simulation/mutation.rs
+++ b/crates/valvestage-policy/tests/simulation/mutation.rs
@@ -1,10 +1,10 @@
-//! What is broken on purpose.
+//! Deliberate defects that show that each oracle can fail.
 
 use valvestage_policy::steering::PeerMessage;
 
 use crate::oracles::Oracle;
 
-/// Something between the policy and the world that goes wrong.
+/// A defect between the policy and the simulated deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutation {
     /// Some packets of open flows are answered with resets.
@@ -13,28 +13,28 @@
     DropOpenFlows,
     /// Some opening packets go to the other service.
     MixServices,
-    /// The store shows those that leave as ready.
+    /// The store shows draining backend servers as ready.
     HideDrains,
-    /// Entries do not say which start of a backend server they are of.
+    /// Entries hide the incarnation of their backend servers.
     HideBirths,
     /// The store does not show evacuations.
     HideEvacuations,
-    /// Entries do not say that their backend servers are cold.
+    /// The store shows no backend server as cold.
     HideCold,
-    /// Balancers hear of no configuration from others, and do not read their own.
+    /// Balancers receive no configuration from their peers, and their own watches report none.
     MissRoutes,
-    /// Balancers fall back to the configuration before.
+    /// Balancers return to an older configuration.
     RevertRoutes,
-    /// Balancers do not hear of backend servers from others.
+    /// Balancers do not learn of backend servers from their peers.
     MissBackends,
-    /// Balancers do not hear who follows the store.
+    /// Balancers do not learn from their peers who follows the store.
     HideFollowers,
     /// Each message is sent ten times.
     RepeatMessages,
 }
 
 impl Mutation {
-    /// Each one with the oracle that notices it.
+    /// Each mutation, with the oracle that must detect it.
     pub const ALL: [(Self, Oracle); 12] = [
         (Self::ResetFlows, Oracle::LivingFlowsStay),
         (Self::DropOpenFlows, Oracle::OpenFlowsGoOn),
@@ -50,7 +50,7 @@
         (Self::RepeatMessages, Oracle::FewMessages),
     ];
 
-    /// What arrives of a message; none if it is lost.
+    /// Returns the message as it arrives under this mutation; None if it is lost.
     pub fn on_message(self, message: PeerMessage) -> Option<PeerMessage> {
         match (self, message) {
             (Self::MissRoutes, PeerMessage::RoutesIndex(_))
--- a/crates/valvestage-policy/tests/simulation/oracles.rs
+++ b/crates/valvestage-policy/tests/simulation/oracles.rs
@@ -1,33 +1,33 @@
-//! What must hold.
+//! The promises that oracles check, and their bounds.
 
 use crate::events::Millis;
 
 /// A promise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Oracle {
-    /// A balancer ends no flow whose backend server lives and has just answered on it.
+    /// A balancer resets no flow that its running backend server answered a moment ago.
     LivingFlowsStay,
-    /// Packets of an open flow are not dropped again and again while its backend server lives.
+    /// A balancer does not repeatedly drop packets of an open flow whose backend server is running.
     OpenFlowsGoOn,
     /// No flow opens at a service that no configuration ever allowed for its address.
     RightService,
-    /// A backend server that leaves gets no opening packets after its bound.
+    /// A draining backend server gets no opening packets once `KNOWN_WITHIN` has passed.
     DrainsAreKept,
-    /// That another process has started under the name of one that has ended is known in time.
+    /// A new incarnation of a backend server is known within `KNOWN_WITHIN`.
     BirthsAreKnown,
-    /// A zone that is evacuated gets no opening packets after the bound.
+    /// An evacuated zone gets no opening packets once `KNOWN_WITHIN` has passed.
     EvacuationsAreKept,
-    /// A cold backend server gets no more opening packets in any second than it bears.
+    /// A cold backend server gets no more opening packets in any second than its limit allows.
     ColdRatesAreKept,
-    /// A configuration is in force in time.
+    /// A configuration is in force within `KNOWN_WITHIN` of its acknowledgement.
     RoutesInTime,
-    /// And never gives way to an older one.
+    /// A configuration is never replaced by an older one.
     RoutesStay,
-    /// After the last fault all balancers know the same, and what is true.
+    /// Some seconds after the last fault, every balancer's knowledge agrees with the store.
     KnowledgeConverges,
-    /// Few follow the store, and call it seldom.
+    /// Few balancers follow the store, and make few calls.
     FewFollowers,
-    /// What balancers tell each other stays bounded.
+    /// The number of messages between balancers stays bounded.
     FewMessages,
 }
 
@@ -56,24 +56,26 @@
     pub what: String,
 }
 
-/// A flow lives if its backend server answered on it within this time.
+/// A flow counts as living if its backend server answered on it within this time.
 pub const ANSWERED_WITHIN: Millis = 1_500;
 
-/// Packets of one request that balancers may drop.
+/// Number of packets of one request that balancers may drop.
 pub const DROPS_ALLOWED: u32 = 2;
 
-/// A balancer or a store is held to bounds when nothing has happened to it for this time.
+/// Time since the last fault of a balancer or of the store after which the time bounds apply to it.
 pub const CALM_AFTER: Millis = 4_000;
 
-/// Time for a configuration, for a drain, for a start, and for an evacuation.
+/// Time within which balancers have to know a configuration, a drain, a new incarnation or an
+/// evacuation.
 pub const KNOWN_WITHIN: Millis = 3_000;
 
-/// Followers at the end.
+/// Most balancers that may follow the store at the end.
 pub const MAX_FOLLOWERS: usize = 3;
 
-/// Calls to the store in the last five seconds: two followers with a watch of at least 0.75 s for each kind, and one that
-/// comes or goes.
+/// Most calls to the store in the last five seconds: two followers with a watch of at least 0.75 s
+/// for each kind of object, and another balancer that starts or stops following.
 pub const MAX_CALLS: usize = 45;
 
-/// Messages of one balancer in the last five seconds: four heartbeats each 400 ms, twice as many for those that answer.
+/// Most messages of one balancer in the last five seconds: four heartbeats every 400 ms, and twice
+/// as many for a balancer that answers requests.
 pub const MAX_MESSAGES_EACH: usize = 110;
--- a/crates/valvestage-policy/tests/simulation/router.rs
+++ b/crates/valvestage-policy/tests/simulation/router.rs
@@ -1,14 +1,14 @@
-//! Which balancer a packet meets.
+//! The routers' choice of a balancer for each packet.
 
 use valvestage_policy::rendezvous::mix;
 
 use crate::site::SitePlan;
 
-/// `RouterTable` holds what the platform's routers believe of balancers.
+/// The health of all balancers as the platform's routers see it.
 pub struct RouterTable {
     is_steady: bool,
     zones: Vec<usize>,
-    /// Misses in a row; two, and it gets no packets.
+    /// Consecutive failed probes of each balancer, up to 2. A balancer with two gets no packets.
     misses: Vec<u32>,
 }
 
@@ -25,7 +25,9 @@
         self.misses[balancer] = if is_ready { 0 } else { (self.misses[balancer] + 1).min(2) };
     }
 
-    /// The balancer for a packet from a zone.
+    /// Returns the balancer for a packet from a zone: a healthy one of the zone, or of all zones if
+    /// the zone has none. If fewer than half of the zone's balancers are healthy, but at least one,
+    /// or if there is no healthy balancer at all, the choice ignores health within the zone.
     pub fn choose(&self, zone: usize, flow_hash: u64) -> usize {
         let is_own = |balancer: &usize| self.zones[*balancer] == zone;
         let is_in = |balancer: &usize| self.misses[*balancer] < 2;
--- a/crates/valvestage-policy/tests/simulation/seeds.rs
+++ b/crates/valvestage-policy/tests/simulation/seeds.rs
@@ -1,4 +1,4 @@
-//! Seeds that showed a fault, by what callers and operators saw. Each file tells what happens.
+//! Regression seeds, grouped by the failure that callers and operators observed.
 
 mod dropped_packets;
 mod held_watches;
@@ -11,7 +11,7 @@
 
 use crate::play;
 
-/// Plays seeds; none may violate anything.
+/// Runs seeds, and fails on the first one that violates a promise.
 fn assert_hold(seeds: &[u64]) {
     for seed in seeds {
         let violations = play(*seed, None);
--- a/crates/valvestage-policy/tests/simulation/seeds/dropped_packets.rs
+++ b/crates/valvestage-policy/tests/simulation/seeds/dropped_packets.rs
@@ -1,13 +1,16 @@
-//! Balancers drop packet after packet of an open flow whose backend server lives and is reached.
+//! Balancers repeatedly drop packets of an open flow whose backend server is running and reachable.
 //!
-//! What happens: all balancers restart while a zone is cut off. The entries of its backend servers have lapsed, so that no
-//! balancer knows where the flows there are. Once the cut is over, three and more packets of one request are dropped.
+//! All balancers restart while a zone is partitioned. The entries of its backend servers have
+//! lapsed, so that no balancer knows the backend servers of the flows there. After the partition,
+//! three or more packets of one request are dropped.
 //!
-//! Why: what cannot be decided yet was dropped, also the packets that had waited for the balancer to be ready, and the next
-//! copy comes only after twice the time. Where the store's word comes later than the caller's deadline, nobody can help.
+//! Cause: packets that could not be decided about yet were dropped, also those that had waited for
+//! the balancer to be ready, and the caller doubles its delay before each further copy. If the
+//! store reports the entry only after the caller's deadline, no balancer can prevent the failure.
 //!
-//! What showed it: `Dropped` with the reason unknown token for each copy, by a balancer whose `RoutesInForce` came in the same
-//! millisecond, while the store had no entry of the backend server; its `BackendChanged` some 0.4 to 2 s later.
+//! In the trace: `Dropped` with the reason unknown token for each copy, by a balancer whose
+//! `RoutesInForce` has the same millisecond, while the store has no entry of the backend server;
+//! and its `BackendChanged` 0.4 to 2 s later.
 
 use super::assert_hold;
 
@@ -19,8 +22,9 @@
     ]);
 }
 
-/// Two zones are cut off at once. A balancer in one of them has read the store before, and holds the entries for missing; those in the other one read
-/// the store after the entries lapsed, and nobody tells them.
+/// Two zones are partitioned at once. A balancer in one of them read the store before and records
+/// the entries as missing. The balancers in the other zone read the store after the entries lapsed,
+/// and no peer reports the entries to them.
 #[test]
 fn packets_for_backend_servers_that_one_balancer_knows_are_not_dropped() {
     assert_hold(&[3_023_681]);
--- a/crates/valvestage-policy/tests/simulation/seeds/held_watches.rs
+++ b/crates/valvestage-policy/tests/simulation/seeds/held_watches.rs
@@ -1,10 +1,13 @@
-//! An entry that is good again just after a restart of all is not read for 1.2 s.
+//! An entry that becomes usable again just after a restart of all balancers is not read for 1.2 s.
 //!
-//! What happened: another writer spoils an entry while all balancers are down. They read it so; 0.3 s later it is good again,
-//! and 0.6 s after that the store says nothing for 3.5 s. Packets of open flows at its backend server wait for all that time.
+//! Another writer makes an entry unusable while all balancers are down. They read it in this state.
+//! After 0.3 s the entry is usable again, and 0.6 s later the store stops answering for 3.5 s.
+//! Packets of open flows to its backend server are held for all that time.
 //!
-//! Why: one that has just started reads lists at once and begins watches 1.2 s later, as most of those that start together stop
-//! following before. What showed it: no `WatchRole` and no `BackendChanged` between 7.56 and 8.36 s, and none of 8.36 s before 11.8 s.
+//! Cause: a balancer that has just started lists the store at once, but begins its watches 1.2 s
+//! later, since most of the balancers that start together stop following the store before that. In
+//! the trace: no `WatchRole` and no `BackendChanged` between 7.56 and 8.36 s, and the change of
+//! 8.36 s only at 11.8 s.
 
 use super::assert_hold;
 
--- a/crates/valvestage-policy/tests/simulation/seeds/late_routes.rs
+++ b/crates/valvestage-policy/tests/simulation/seeds/late_routes.rs
@@ -1,14 +1,17 @@
-//! A configuration is not in force at balancers in touch 3 s after its acknowledgement.
+//! A configuration is not in force at undisturbed balancers 3 s after its acknowledgement.
 //!
-//! What happens: all open calls to the store fall silent, and up to 0.9 s later the configuration grows to some 5,500
-//! addresses, which is below what the store takes. One or most balancers do not have it 4 s after the calls fell silent.
+//! All open calls to the store stop answering, and up to 0.9 s later the configuration grows to
+//! some 5,500 addresses, fewer than the store accepts. Some or most balancers do not have it 4 s
+//! after the calls stopped answering.
 //!
-//! What showed the causes: the moments of `WatchRole`, of the first `RoutesInForce` and of the last one.
+//! In the trace: the times of `WatchRole`, and of the first and last `RoutesInForce`.
 
 use super::assert_hold;
 
-/// Four balancers have it after 2.7 s and are asked by twenty each. All of these had the same turns, so that the last of ninety
-/// had it 1.7 s later: `RoutesInForce` stands four times in one moment, and hardly again for 0.7 s.
+/// Four balancers have the configuration after 2.7 s, and twenty others request it from each of
+/// them. The requests were served in the same order everywhere, so that the last of ninety
+/// balancers had it 1.7 s later: in the trace `RoutesInForce` stands four times at one moment, and
+/// hardly again for 0.7 s.
 #[test]
 fn a_large_configuration_is_in_force_in_time_after_calls_fell_silent() {
     assert_hold(&[
@@ -17,15 +20,18 @@
     ]);
 }
 
-/// A balancer stands still and reads messages that had waited. It took the ages in them for ages now, and told everybody that
-/// followers were answered which were not: heartbeats show an age of 0.43 s 2.1 s after the silence.
+/// A paused balancer resumes and reads queued messages. It took the ages in them as counted from
+/// the time of reading, and reported to all peers that followers had recent answers of the store
+/// that they did not have: heartbeats show an age of 0.43 s although the store calls stopped
+/// answering 2.1 s before.
 #[test]
 fn nobody_takes_old_news_for_fresh() {
     assert_hold(&[4_004_051]);
 }
 
-/// All have restarted and read the configuration when their calls fall silent. All gave way to others at once, and rested:
-/// `WatchRole` is false everywhere for 1.5 to 2.4 s.
+/// All balancers have restarted and read the configuration when their store calls stop answering.
+/// All of them stopped following at once in favour of others, and backed off: `WatchRole` is false
+/// everywhere for 1.5 to 2.4 s.
 #[test]
 fn those_that_have_started_do_not_all_rest() {
     assert_hold(&[4_003_265, 4_020_242]);
--- a/crates/valvestage-policy/tests/simulation/seeds/many_calls.rs
+++ b/crates/valvestage-policy/tests/simulation/seeds/many_calls.rs
@@ -1,9 +1,10 @@
 //! Two followers make 53 calls to the store in 5 s, nine seconds after the last fault.
 //!
-//! What happens: after an outage of the store one balancer after the other reads the configuration, which has 4,850 addresses, and
-//! none goes on to follow it.
+//! After an outage of the store one balancer after the other reads the configuration, which has
+//! 4,850 addresses, and none of them keeps following the store.
 //!
-//! Why: the same as in `many_messages`. What showed it: the same lines, for twelve balancers in turn, from 19 to 24 s.
+//! The cause is the same as in `many_messages`, and so are the trace lines, for twelve balancers in
+//! turn from 19 to 24 s.
 
 use super::assert_hold;
 
--- a/crates/valvestage-policy/tests/simulation/seeds/many_messages.rs
+++ b/crates/valvestage-policy/tests/simulation/seeds/many_messages.rs
@@ -1,10 +1,12 @@
 //! Balancers send three times as many messages as usual, for ten seconds.
 //!
-//! What happens: a zone is cut off, calls fall silent, and the configuration grows. For ten seconds nobody in that zone follows the
-//! store, sixteen in the other zone follow in their place, and all tell each other of each of their answers.
+//! A zone is partitioned, store calls stop answering, and the configuration grows. For ten seconds
+//! no balancer of that zone follows the store, sixteen balancers of the other zone follow it
+//! instead, and all of them notify each other of every answer.
 //!
-//! Why: a balancer whose calls had failed once gave way to others after 0.4 s of its next try, and reading the configuration takes
-//! 0.7 s. What showed it: `WatchRole` true, false 0.5 s later, and `StoreLink` answers true 0.17 s after that, for each in turn.
+//! Cause: a balancer whose calls had failed once stopped in favour of others 0.4 s into its next
+//! attempt, but reading the configuration takes 0.7 s. In the trace, for each balancer in turn:
+//! `WatchRole` true, `WatchRole` false 0.5 s later, and `StoreLink` answers true 0.17 s after that.
 
 use super::assert_hold;
 
--- a/crates/valvestage-policy/tests/simulation/seeds/stale_beliefs.rs
+++ b/crates/valvestage-policy/tests/simulation/seeds/stale_beliefs.rs
@@ -1,15 +1,19 @@
-//! Nine seconds after the last fault a balancer still believes in a backend server that is gone.
+//! Nine seconds after the last fault a balancer still takes an ended backend server for a running
+//! one.
 //!
-//! What happens: backend servers of a zone that is cut off end, and others start under their names or in their places. Two
-//! balancers conclude different ends, each at the revision that it read last, which is the same.
+//! Backend servers of a partitioned zone end, and others start under their names or as their
+//! replacements. Two balancers conclude different ends, each at the revision that it read last,
+//! which is the same for both.
 //!
-//! Why: whoever was told by one of them knows all changes up to that revision and asks nobody else. And they concluded different ends since one of
-//! them did not know an entry that the others knew: it had read the store without it, and took in what a peer told of it later
-//! as if it were there (2,014,712); or it had read it spoiled, and held the one under its name for gone since an
-//! earlier lapse (2,016,408).
+//! Cause: a balancer that got the changes from either of them knows all changes up to that
+//! revision, and queries no other peer. The conclusions differed because one balancer did not know
+//! an entry that the others knew: it had read the store without the entry, and accepted a peer's
+//! later report of it as if it were in the store (2,014,712); or it had read the entry as unusable,
+//! and took the incarnation under that name for gone since an earlier lapse (2,016,408).
 //!
-//! What showed it: heartbeats with the same `complete_until` and `changed_at` by balancers of which one has `BackendChanged` with
-//! the phase gone at that revision, and another one has not.
+//! In the trace: heartbeats that report the same complete position and the same last change, by
+//! balancers of which one has `BackendChanged` with the phase gone at that revision and the other
+//! does not.
 
 use super::assert_hold;
 
@@ -18,18 +22,21 @@
     assert_hold(&[2_014_712, 2_016_408]);
 }
 
-/// An entry is missing at a balancer that follows the store, which then leaves that to others. They conclude its end at the revision
-/// that it knows already, and it did not compare itself with them while it missed an entry, also when the time of that was over.
-/// `BackendMissing` is its last line about the entry; heartbeats have the same `complete_until` and another digest for ten seconds.
+/// A follower of the store records an entry as missing, and then stops following. Other balancers
+/// conclude the entry's end at a revision that it already knows. It did not compare its knowledge
+/// with theirs while an entry was missing, not even after the return time had passed. In the trace
+/// `BackendMissing` is its last line about the entry, and heartbeats have the same complete
+/// position but another digest for ten seconds.
 #[test]
 fn one_that_stopped_following_does_not_believe_in_a_missing_entry_for_good() {
     assert_hold(&[27_783, 20_702]);
 }
 
-/// A balancer that starts reads the store while it may have been away, misses an entry, and leaves the store to others. They know at an earlier
-/// revision that the entry went, and tell it changes after the one up to which it knows everything; what it misses keeps that
-/// where it is. `BackendMissing` is its last line about the entry; its heartbeats keep one `complete_until`, and it asks for
-/// changes at each heartbeat that it hears.
+/// A starting balancer reads the store when an outage may just have ended, records an entry as
+/// missing, and stops following. Its peers learned of the entry's end at an earlier revision, and
+/// send it only the changes after its complete position, which cannot advance while the entry is
+/// missing. In the trace `BackendMissing` is its last line about the entry, its heartbeats keep the
+/// same complete position, and it requests changes at each heartbeat that it receives.
 #[test]
 fn one_that_misses_an_entry_learns_of_an_end_that_others_knew_before() {
     assert_hold(&[2_000_749, 2_001_739]);
@@ -40,17 +47,21 @@
     assert_hold(&[2_203_988]);
 }
 
-/// An entry lapses in a cut, and a balancer that starts meanwhile learns of it as of one that was gone before: at the position that the
-/// entry had while it was there. Another one misses the entry, reads everything from the first again and again, and takes what it is told
-/// of as gone for what is there. `Asked` from the start stands once a second until the end.
+/// An entry lapses in a partition. A balancer that starts meanwhile learns of it as already gone,
+/// at the position that the entry had while it was present. Another balancer records the entry as
+/// missing, requests everything from the first one again and again, and takes the entry, which is
+/// reported as gone, for present. In the trace `Asked` from the start position stands once a second
+/// until the end.
 #[test]
 fn an_end_that_is_told_at_the_position_of_the_entry_is_learned() {
     assert_hold(&[2_300_643, 2_302_693, 2_303_151]);
 }
 
-/// A new incarnation writes its entry, and another writer spoils it before any balancer reads it. A list of the store shows that the
-/// entry of the name cannot be used, at a later position than the start, which was taken for older than the process before.
-/// `BackendChanged` with the phase unusable stands before that of the new incarnation, which ends as superseded.
+/// A new incarnation writes its entry, and another writer makes it unusable before any balancer
+/// reads it. A list of the store shows the name's entry as unusable, at a later position than that
+/// of the new incarnation, which was therefore taken for older than its predecessor. In the trace
+/// `BackendChanged` with the phase unusable precedes that of the new incarnation, which ends as
+/// superseded.
 #[test]
 fn a_start_whose_entry_is_spoiled_is_learned() {
     assert_hold(&[2_203_988, 1_100_903]);
--- a/crates/valvestage-policy/tests/simulation/site.rs
+++ b/crates/valvestage-policy/tests/simulation/site.rs
@@ -1,4 +1,4 @@
-//! What a deployment consists of.
+//! Size and topology of a simulated deployment.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -7,43 +7,44 @@
 
 use crate::events::Millis;
 
-/// Services of every deployment.
+/// Names of the services of every deployment.
 pub const SERVICES: [&str; 2] = ["streams", "photos"];
 
-/// Availability zones, of which a deployment has some.
+/// Availability zones; a deployment uses the first one, two or all three.
 pub const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 
-/// Size of one deployment.
+/// Size and network conditions of one deployment.
 #[derive(Debug, Clone)]
 pub struct SitePlan {
     pub zones: usize,
-    /// Balancers, dealt to the zones in turn.
+    /// Number of balancers; they are assigned to the zones round-robin.
     pub balancers: usize,
-    /// Backend servers of each service in each zone.
+    /// Number of backend servers of each service in each zone.
     pub backends_each: usize,
-    /// Callers in each zone.
+    /// Number of callers in each zone.
     pub callers_each: usize,
-    /// Whether routers keep nearly all flows where they are when a balancer comes or goes.
+    /// Whether routers hash consistently, so that nearly all flows keep their balancer when one is
+    /// added or removed.
     pub is_steady: bool,
-    /// Whether links between balancers have 10 Mbit/s and a short queue; otherwise 1,000.
+    /// Whether links between balancers have 10 Mbit/s and a short queue; otherwise 1,000 Mbit/s.
     pub has_slow_links: bool,
-    /// What holds of zones and cold backend servers; none: nothing.
+    /// Limits for cold backend servers. None disables evacuations and cold starts.
     pub places: Option<PlaceRules>,
 }
 
-/// What cold backend servers bear.
+/// How many requests cold backend servers can take.
 #[derive(Debug, Clone, Copy)]
 pub struct PlaceRules {
     pub limit: ColdLimit,
     pub rate: ColdRate,
-    /// For how long one is cold.
+    /// How long a backend server is cold after its start.
     pub cold_ms: Millis,
 }
 
 impl SitePlan {
     pub fn draw(draw: &mut SeededDraw) -> Self {
         let zones = 1 + draw.below(3);
-        // Now and then many.
+        // One deployment in 25 is large: 30 to 100 balancers.
         let balancers = if draw.below(25) == 0 { 30 + draw.below(71) } else { 3 + draw.below(10) };
 
         Self {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// What operators may do with zones, and what cold backend servers bear.
+    /// Draws the limits of cold backend servers, which enables evacuations and cold starts.
     pub fn add_places(&mut self, draw: &mut SeededDraw) {
         let number = |draw: &mut SeededDraw, limit| u32::try_from(draw.below(limit)).expect("few");
         let limit = ColdLimit { over: 1.5, slack: f64::from(number(draw, 4)) };
@@ -78,7 +79,8 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, last), 7_000)
 }
 
-/// Addresses of services, those that stand for both services in turn and those without traffic.
+/// Returns the service address of a number. The first few addresses carry traffic and lead to the
+/// two services alternately; all others only enlarge the configuration.
 pub fn service_address(number: usize) -> SocketAddrV4 {
     let [.., high, low] = number.to_be_bytes();
 
--- a/crates/valvestage-policy/tests/simulation/store.rs
+++ b/crates/valvestage-policy/tests/simulation/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store.
+//! A fake of the platform's store.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,17 +11,17 @@
 
 use crate::events::{BalancerNumber, Millis};
 
-/// What the client waits beyond the wait of a watch.
+/// Client timeout of a call, beyond the wait of a watch.
 const CALL_TIMEOUT: Millis = 1_000;
 
-/// Bytes of one route as the store has it, and of a link of 10 Mbit/s in a millisecond.
+/// Size of one route in the store, and bytes that a link of 10 Mbit/s carries in a millisecond.
 const ROUTE_BYTES: usize = 180;
 const LINK_BYTES_EACH_MS: usize = 1_250;
 
-/// The store takes values of up to 1 MiB, so a configuration has no more routes than these.
+/// Most routes of a configuration: the store accepts values of up to 1 MiB.
 pub const MAX_ROUTES: usize = (1 << 20) / ROUTE_BYTES;
 
-/// How the store answers.
+/// Whether the store answers calls, refuses them, or does not respond.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreMode {
     Answers,
@@ -29,62 +29,65 @@
     Silent,
 }
 
-/// A call that waits for its answer.
+/// A call to the store that has no answer yet.
 #[derive(Debug)]
 pub struct OpenCall {
     pub balancer: BalancerNumber,
-    /// The life of the balancer that made it.
+    /// The balancer's start count when it made the call. A restarted balancer gets no answers to
+    /// calls of its former process.
     pub life: u32,
     pub kind: StoreKind,
     pub call: StoreCall,
     pub answer_at: Millis,
     pub ends_at: Millis,
     pub gives_up_at: Millis,
-    /// Its connection says nothing more, or its answer is lost.
+    /// Whether the connection is dead or the answer was lost, so that the call times out.
     pub is_silent: bool,
 }
 
-/// The answer to a call.
+/// The answer to a call, by the kind of object.
 pub enum StoreAnswer {
     Routes(StoreReply<RouteMap>),
     Backends(StoreReply<BackendNews>),
     Evacuations(StoreReply<EvacuationNews>),
 }
 
-/// A time without an entry.
+/// A period in which the store had no entry of a backend server.
 #[derive(Debug, Clone, Copy)]
 pub struct Absence {
     pub since: Millis,
-    /// When the entry was written again; none if it was not.
+    /// When the entry was written again; None if it was not.
     pub until: Option<Millis>,
 }
 
-/// `FakeStore` keeps the configuration and the entries of backend servers, with their history.
+/// The store's state: the configuration, the entries of backend servers and the evacuations, each
+/// with its change history.
 pub struct FakeStore {
-    /// How often it was restored from an older copy.
+    /// Number of restores from an older copy.
     pub era: StoreEra,
     pub revision: u64,
     pub routes: RouteMap,
     pub entries: BTreeMap<InstanceId, BackendEntry>,
-    /// The last time in which the store had no entry of a backend server that had had one.
+    /// For each backend server whose entry was deleted, the last period without an entry.
     absences: BTreeMap<InstanceId, Absence>,
     route_changes: Vec<(u64, RouteMap)>,
     entry_changes: Vec<BackendNews>,
     pub evacuated: BTreeSet<String>,
     evacuation_changes: Vec<EvacuationNews>,
+    /// Watches after an older revision than this fail.
     forgotten: u64,
-    /// When each revision was given out.
+    /// When each revision was first seen by the periodic scan.
     changed_at: Vec<(u64, Millis)>,
     pub mode: StoreMode,
     /// Whether one answer in three is lost.
     pub loses: bool,
     pub calls: Vec<OpenCall>,
     pub call_count: usize,
-    /// Shows draining entries as ready ones.
+    /// Whether watches show draining entries as ready.
     pub hides_drains: bool,
-    /// Whether entries do not say which start they are of.
+    /// Whether entries hide the incarnation of their backend servers.
     pub hides_births: bool,
-    /// Shows no evacuations; no entry as cold.
+    /// Whether no evacuations are shown, and no entry is shown as cold.
     pub hides_evacuations: bool,
     pub hides_cold: bool,
 }
@@ -147,7 +150,7 @@
         });
     }
 
-    /// The operator evacuates a zone, or takes it back.
+    /// Writes the operator's request to evacuate a zone, or to end its evacuation.
     pub fn evacuate(&mut self, zone: &str, is_asked: bool) {
         self.revision += 1;
         if is_asked {
@@ -161,7 +164,8 @@
         }
     }
 
-    /// Another writer puts what names no backend server in the place of an entry.
+    /// Overwrites an entry as another writer does, with a value that names no usable backend
+    /// server.
     pub fn spoil_entry(&mut self, instance: InstanceId) {
         let Some(entry) = self.entries.get_mut(&instance) else { return };
 
@@ -172,7 +176,8 @@
         self.entry_changes.push(BackendNews { name, position, change: EntryChange::Unusable });
     }
 
-    /// The last time in which the store had no entry of a backend server; none if it always had one.
+    /// Returns the last period without an entry of a backend server; None if its entry was never
+    /// deleted.
     pub fn absence(&self, instance: InstanceId) -> Option<Absence> {
         self.absences.get(&instance).copied()
     }
@@ -190,21 +195,21 @@
         StorePosition::new(self.era, self.revision)
     }
 
-    /// Keeps when the last revision was given out.
+    /// Records the time of the current revision if it is new.
     pub fn note_time(&mut self, now: Millis) {
         if self.changed_at.last().is_none_or(|(revision, _)| *revision < self.revision) {
             self.changed_at.push((self.revision, now));
         }
     }
 
-    /// The last revision before a time.
+    /// Returns the last revision recorded up to a time, or 0.
     pub fn revision_at(&self, time: Millis) -> u64 {
         let before = self.changed_at.iter().rev().find(|(_, at)| *at <= time);
 
         before.map_or(0, |(revision, _)| *revision)
     }
 
-    /// Goes back to what there was at a revision, in the next era.
+    /// Restores the state of a revision, in the next store era.
     pub fn restore(&mut self, revision: u64, now: Millis) {
         let former: Vec<_> = self.entries.keys().copied().collect();
         self.era += 1;
@@ -235,7 +240,8 @@
         }
     }
 
-    /// What it tells now is told in its present era, also what was written in a former one.
+    /// Moves the change history to the present era: the store reports all positions in this era,
+    /// also those of writes in a former one.
     fn enter_era(&mut self) {
         let era = self.era;
 
@@ -250,7 +256,7 @@
         }
     }
 
-    /// Takes a change of an entry in that was there before.
+    /// Applies a change of the history to the entries again.
     fn replay(&mut self, news: BackendNews) {
         let former = self.entries.values().find(|entry| entry.name == news.name).cloned();
         self.entries.retain(|_, entry| entry.name != news.name);
@@ -266,7 +272,7 @@
         self.entries.insert(entry.instance, entry);
     }
 
-    /// Whether changes after a revision cannot be told.
+    /// Reports whether the changes after a revision are not available.
     fn lacks(&self, after: u64) -> bool {
         after < self.forgotten || after > self.revision
     }
@@ -302,7 +308,8 @@
         });
     }
 
-    /// The answer to a call, if there is something to say.
+    /// Returns the answer to a call. Returns None for a watch that has nothing to report and may
+    /// still wait.
     pub fn answer(&self, kind: StoreKind, call: &StoreCall, is_over: bool) -> Option<StoreAnswer> {
         let position = self.position();
         let after = match call {
--- a/crates/valvestage-policy/tests/simulation/trace.rs
+++ b/crates/valvestage-policy/tests/simulation/trace.rs
@@ -1,4 +1,4 @@
-//! What is printed of one seed, to find out why something happened.
+//! Trace output of one seed, to find the cause of a violation.
 //!
 //! ```text
 //! VALVESTAGE_TRACE=decisions,faults VALVESTAGE_TRACE_FLOW=9 VALVESTAGE_SEEDS=17 cargo test ... traced -- --ignored --nocapture
@@ -6,16 +6,16 @@
 
 use crate::events::FlowNumber;
 
-/// `TraceOptions` says what is printed. Nothing without the variables of the environment.
+/// What a trace prints, as set by environment variables; by default nothing.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TraceOptions {
-    /// What balancers decide and learn.
+    /// Decisions of balancers, and changes of their knowledge.
     pub decisions: bool,
     /// Faults as they begin and end.
     pub faults: bool,
     /// Messages between balancers.
     pub messages: bool,
-    /// Packets of this flow, with what becomes of them.
+    /// Packets of this flow, with the verdicts on them and the answers.
     pub flow: Option<FlowNumber>,
 }
 
--- a/crates/valvestage-policy/tests/simulation/world.rs
+++ b/crates/valvestage-policy/tests/simulation/world.rs
@@ -1,4 +1,4 @@
-//! All of it, one event after the other.
+//! The simulation of one seed: its state, and the loop that handles one event after the other.
 
 mod checks;
 mod faults;
@@ -26,26 +26,26 @@
 use crate::store::FakeStore;
 use crate::trace::TraceOptions;
 
-/// When callers begin.
+/// When callers start.
 const CALLERS_AT: Millis = 3_500;
 
-/// When the last seconds begin, in which there is no fault, and when all ends.
+/// Start of the final phase, which has no faults, and end of the simulation.
 const LATE_AT: Millis = 24_000;
 const END_AT: Millis = 29_000;
 
-/// Time of a packet between balancers and backend servers, and from them to callers.
+/// Latency of each packet to a balancer or a backend server, and of each packet to a caller.
 const NEAR_MS: Millis = 1;
 const FAR_MS: Millis = 2;
 
-/// Time between two looks of the store, and of the routers.
+/// Intervals of the store's scan, of the oracles' checks, and of the routers' health probes.
 const SCAN_EVERY: Millis = 5;
 const PROBE_EVERY: Millis = 100;
 const ROUTER_PROBES: Millis = 500;
 
-/// Addresses with traffic.
+/// Number of addresses with traffic.
 const ADDRESSES: usize = 4;
 
-/// `World` is one seed's deployment.
+/// The simulated deployment of one seed.
 pub struct World {
     plan: SitePlan,
     draw: SeededDraw,
@@ -54,35 +54,35 @@
     now: Millis,
     queue: EventQueue,
     store: FakeStore,
-    /// When something last happened to the store.
+    /// End of the last fault that affected the store.
     store_disturbed_at: Millis,
+    /// Whether entries lapse although the store is away.
     lapses: bool,
     balancers: Vec<Balancer>,
     links: Option<LinkTable>,
     router: RouterTable,
     cut_zones: Vec<bool>,
-    /// When the operator last asked for the evacuation of each zone; none: it has not, or took it back.
+    /// When the present evacuation of each zone was stored; None without one.
     evacuated_since: Vec<Option<Millis>>,
     backends: BTreeMap<InstanceId, Backend>,
     flows: Vec<CallerFlow>,
     flow_numbers: HashMap<FlowAddresses, FlowNumber>,
     faults: Vec<Fault>,
-    /// Which service each address leads to, as the operator wants it.
+    /// The service of each address in the operator's desired configuration.
     wanted: BTreeMap<SocketAddrV4, usize>,
-    /// When each address was last dropped.
+    /// When each address was last removed from the configuration.
     dropped_at: BTreeMap<SocketAddrV4, Millis>,
-    /// All that was ever allowed.
+    /// Every pair of address and service that any configuration has allowed.
     allowed: BTreeSet<(SocketAddrV4, usize)>,
-    /// Versions and when they were acknowledged.
+    /// Configuration versions, and when the store acknowledged them.
     acknowledged: Vec<(u64, Millis)>,
-    /// The newest configuration that the operator has written, also where the store has lost it.
+    /// The newest configuration that the operator has written, even if a restore has lost it.
     newest_routes: RouteMap,
     /// Which zones the operator wants to be evacuated.
     wants_evacuated: Vec<bool>,
     mutation: Option<Mutation>,
     violations: Vec<Violation>,
     late_calls: usize,
-    /// What is printed, for a trace by hand.
     trace: TraceOptions,
 }
 
@@ -159,7 +159,7 @@
         }
     }
 
-    /// The deployment of the seed, in words for a trace.
+    /// Describes the seed's deployment for a trace.
     pub fn describe(&self) -> String {
         let backends = self.backends.values();
         let backends: Vec<_> =
@@ -168,7 +168,7 @@
         format!("{:?}; {}", self.plan, backends.join(", "))
     }
 
-    /// Plays it to its end; gives what was violated.
+    /// Runs the simulation to its end; returns the violations.
     pub fn run(mut self) -> Vec<Violation> {
         while let Some((at, event)) = self.queue.next() {
             if at > END_AT {
@@ -200,7 +200,7 @@
         }
     }
 
-    /// The time that the policy is given.
+    /// Returns the present simulated time as the instant that is passed to the policy.
     fn instant(&self) -> Instant {
         self.base + Duration::from_millis(self.now)
     }
@@ -211,7 +211,7 @@
         Millis::try_from(since.as_micros().div_ceil(1_000)).unwrap_or(Millis::MAX)
     }
 
-    /// The operator writes what it wants.
+    /// Writes the operator's desired configuration to the store, as a new version.
     fn configure(&mut self) {
         let version = self.newest_routes.version + 1 + self.draw.next_number() % 3;
         let routes = self.wanted.iter().map(|(address, service)| {
@@ -234,7 +234,7 @@
         self.allowed.extend(self.wanted.iter().map(|(address, service)| (*address, *service)));
     }
 
-    /// Starts a backend server, at an address of its own or at the one given.
+    /// Starts a backend server at the given address, or else at a new one.
     fn add_backend(&mut self, service: usize, zone: usize, address: Option<SocketAddrV4>) {
         let number = u64::try_from(self.backends.len()).expect("few") + 1;
         let instance = 0xab_0000_0000 + number * 0x1_0001;
@@ -243,14 +243,15 @@
         let mut backend = Backend::new(instance, service, zone, address);
         backend.last_beat = self.now;
         backend.cold_until = self.cold_until();
-        // It is slow to come into the store while that does not answer.
+        // While the store is not reachable, the periodic writes store the entry later.
         if self.reaches_store(zone) {
             self.store.put_entry(backend.entry(self.base), self.now);
         }
         self.backends.insert(instance, backend);
     }
 
-    /// Until when a backend server is cold that starts now; none before there is traffic.
+    /// Returns the end of the cold phase of a backend server that starts now. Returns None before
+    /// there is traffic, and in deployments without cold starts.
     fn cold_until(&self) -> Option<Millis> {
         let places = self.plan.places.filter(|_| self.now >= CALLERS_AT)?;
 
@@ -265,7 +266,7 @@
         self.queue.add(self.now, Event::Wake(balancer));
     }
 
-    /// Whether two zones reach each other.
+    /// Reports whether packets pass between two zones.
     fn is_joined(&self, one: usize, other: usize) -> bool {
         one == other || !self.cut_zones[one] && !self.cut_zones[other]
     }
--- a/crates/valvestage-policy/tests/simulation/world/checks.rs
+++ b/crates/valvestage-policy/tests/simulation/world/checks.rs
@@ -1,4 +1,4 @@
-//! Oracles that look at balancers, and at all of it in the end.
+//! Oracles that check the balancers' knowledge, opening packets, and the state at the end.
 
 use valvestage_core::ids::InstanceId;
 use valvestage_policy::steering::BackendPhase;
@@ -26,7 +26,8 @@
         }
     }
 
-    /// No balancer in touch believes in an incarnation after which another one has begun.
+    /// Checks that an undisturbed balancer does not take an incarnation for running whose successor
+    /// has been in the store for longer than `KNOWN_WITHIN`.
     fn check_births(&mut self, balancer: BalancerNumber) {
         if !self.is_in_touch(balancer) {
             return;
@@ -42,7 +43,10 @@
         let mut believed = followed
             .filter(|old| directory.get(old.instance).is_some_and(|entry| !entry.is_gone()));
         if let Some(old) = believed.next() {
-            let what = format!("balancer {balancer} believes in {:x}, born again", old.instance);
+            let what = format!(
+                "balancer {balancer} takes {:x}, which has a successor, for running",
+                old.instance
+            );
             self.violate(Oracle::BirthsAreKnown, what);
         }
     }
@@ -57,7 +61,7 @@
 
         let highest = node.version;
         if version < highest {
-            let what = format!("balancer {balancer} has {version} after {highest}");
+            let what = format!("balancer {balancer} has version {version} after {highest}");
             self.violate(Oracle::RoutesStay, what);
         }
         self.balancers[balancer].version = version.max(highest);
@@ -66,19 +70,23 @@
             && version < due
             && self.is_in_touch(balancer)
         {
-            let what = format!("balancer {balancer} has {version}, and {due} is of {at} ms");
+            let what = format!(
+                "balancer {balancer} has version {version}, but {due} was acknowledged at {at} ms"
+            );
             self.violate(Oracle::RoutesInTime, what);
         }
     }
 
-    /// Whether nothing has happened to a balancer and the store for a while.
+    /// Reports whether neither the balancer nor the store had a fault in the last `CALM_AFTER`.
     fn is_in_touch(&self, balancer: BalancerNumber) -> bool {
         let is_calm = |disturbed_at: Millis| disturbed_at + CALM_AFTER <= self.now;
 
         is_calm(self.balancers[balancer].disturbed_at) && is_calm(self.store_disturbed_at)
     }
 
-    /// An opening packet has reached a backend server.
+    /// Checks an opening packet that reaches a backend server: no undisturbed balancer may send one
+    /// to a backend server that has drained for longer than `KNOWN_WITHIN`, unless every other
+    /// backend server of the service has ended or drains too.
     pub(super) fn check_drain(
         &mut self,
         through: BalancerNumber,
@@ -95,12 +103,13 @@
 
         if sent_at > since + KNOWN_WITHIN && has_others && self.is_in_touch(through) {
             let what =
-                format!("balancer {through} sends to {instance:x}, which leaves since {since} ms");
+                format!("balancer {through} sends to {instance:x}, draining since {since} ms");
             self.violate(Oracle::DrainsAreKept, what);
         }
     }
 
-    /// An opening packet has reached a backend server.
+    /// Checks an opening packet that reaches a backend server: no undisturbed balancer may send one
+    /// to a zone that has been evacuated for longer than `KNOWN_WITHIN`.
     pub(super) fn check_evacuation(
         &mut self,
         through: BalancerNumber,
@@ -118,14 +127,15 @@
         }
     }
 
-    /// An opening packet has reached a backend server, perhaps not the first one of its flow.
+    /// Checks an opening packet that reaches a backend server against the rate limit of cold ones.
+    /// Copies of an opening packet whose flow is already known are not counted.
     pub(super) fn check_cold_rate(
         &mut self,
         instance: InstanceId,
         flow: FlowNumber,
         sent_at: Millis,
     ) {
-        /// Time in which a packet counts that was both sent and received in it.
+        /// Window of the rate: it counts packets that were both sent and received within it.
         const WINDOW: Millis = 1_000;
         let Some(places) = self.plan.places else { return };
         let now = self.now;
@@ -140,24 +150,29 @@
         let count = backend.cold_openings.iter().filter(counts).count();
         let allowed = places.limit.allowed(places.rate);
         if f64::from(u32::try_from(count).expect("few")) > allowed {
-            let what = format!("{instance:x} gets {count} opening packets in a second: {allowed}");
+            let what = format!(
+                "{instance:x} gets {count} opening packets in a second, of {allowed} allowed"
+            );
             self.violate(Oracle::ColdRatesAreKept, what);
         }
     }
 
-    /// What holds some seconds after the last fault.
+    /// Checks the promises about the state some seconds after the last fault.
     pub(super) fn check_end(&mut self) {
         self.check_knowledge();
         let followers = self.balancers.iter().filter_map(|node| node.policy.as_ref());
         let followers = followers.filter(|policy| policy.keeper().is_watching()).count();
         if followers > MAX_FOLLOWERS || self.late_calls > MAX_CALLS {
-            let what = format!("{followers} follow the store, {} calls", self.late_calls);
+            let what = format!(
+                "{followers} balancers follow the store, {} calls in the final phase",
+                self.late_calls
+            );
             self.violate(Oracle::FewFollowers, what);
         }
         for balancer in 0..self.plan.balancers {
             let sent = self.balancers[balancer].late_messages;
             if sent > MAX_MESSAGES_EACH {
-                let what = format!("balancer {balancer} sent {sent} messages");
+                let what = format!("balancer {balancer} sent {sent} messages in the final phase");
                 self.violate(Oracle::FewMessages, what);
             }
         }
@@ -171,7 +186,7 @@
         }
     }
 
-    /// What a balancer believes that is not so.
+    /// Returns the first difference between a balancer's knowledge and the store, if any.
     fn difference(&self, balancer: BalancerNumber) -> Option<String> {
         let Some(policy) = &self.balancers[balancer].policy else {
             return Some(format!("balancer {balancer} is down"));
@@ -187,20 +202,24 @@
 
         let evacuated = knowledge.evacuated.zones();
         if self.plan.places.is_some() && *evacuated != self.store.evacuated {
-            return Some(format!("balancer {balancer} takes {evacuated:?} for evacuated"));
+            return Some(format!(
+                "balancer {balancer} takes the zones {evacuated:?} for evacuated"
+            ));
         }
         for (instance, entry) in &self.store.entries {
             let known = knowledge.directory.get(*instance);
             let is_known = known
                 .is_some_and(|known| known.phase == entry.phase && known.missing_until.is_none());
             if !is_known {
-                return Some(format!("balancer {balancer} does not know {instance:x}: {known:?}"));
+                return Some(format!(
+                    "balancer {balancer} does not have the entry of {instance:x}: {known:?}"
+                ));
             }
         }
         let is_stale = |instance: &InstanceId| !self.store.entries.contains_key(instance);
         let believed = knowledge.directory.iter();
         let believed = believed.filter(|entry| !matches!(entry.phase, BackendPhase::Gone { .. }));
         let stale = believed.map(|entry| entry.instance).find(|instance| is_stale(instance));
-        stale.map(|instance| format!("balancer {balancer} believes in {instance:x}"))
+        stale.map(|instance| format!("balancer {balancer} takes {instance:x} for running"))
     }
 }
--- a/crates/valvestage-policy/tests/simulation/world/faults.rs
+++ b/crates/valvestage-policy/tests/simulation/world/faults.rs
@@ -1,4 +1,4 @@
-//! What faults do.
+//! What each fault does when it begins and ends.
 
 use std::net::SocketAddrV4;
 
@@ -13,21 +13,23 @@
 use crate::site::{SitePlan, ZONES, service_address};
 use crate::store::{MAX_ROUTES, StoreMode};
 
-/// The longest that a balancer is down, and all of them are.
+/// Longest time for which one balancer is down, and for which all balancers are down.
 const DOWN_MS: Millis = 1_500;
 const HERD_DOWN_MS: Millis = 1_000;
 
-/// Time in which all balancers are restarted one after the other.
+/// Duration of a rolling restart of all balancers.
 const ROLL_MS: Millis = 4_000;
 
-/// After a restore the operator writes again within this time; backend servers within this and the time between two writes.
+/// After a restore of the store the operator writes again within the first time, and backend
+/// servers within the second one plus the interval between two writes.
 const OPERATOR_WRITES_WITHIN: usize = 2_000;
 const BACKENDS_WRITE_WITHIN: usize = 1_200;
 
-/// An address is not given to another backend server before this.
+/// Shortest time before the address of an ended backend server is given to another one.
 const REUSE_AFTER: Millis = 2_000;
 
-/// Faults as they are played: a rolling restart is many restarts, and some last as long as they have to.
+/// Returns the faults as they are simulated: a rolling restart becomes one restart of each
+/// balancer, and the durations of some kinds are bounded or fixed.
 pub fn expand(faults: &[Fault], plan: &SitePlan) -> Vec<Fault> {
     let mut all = Vec::new();
 
@@ -206,7 +208,7 @@
         }
     }
 
-    /// The operator's write is refused while the store is away.
+    /// Writes the operator's configuration, unless the store is away and would refuse it.
     fn configure_if_possible(&mut self) {
         if self.store.mode == StoreMode::Answers {
             self.configure();
@@ -240,7 +242,8 @@
         }
     }
 
-    /// The operator asks for an evacuation, if the store takes it.
+    /// Writes the operator's request for an evacuation, unless the store is away or the deployment
+    /// has no evacuations.
     fn evacuate(&mut self, zone: usize) {
         if self.store.mode == StoreMode::Answers && self.plan.places.is_some() {
             self.wants_evacuated[zone] = true;
@@ -249,7 +252,7 @@
         }
     }
 
-    /// The operator takes a zone back, as soon as the store takes that.
+    /// Ends the evacuation of a zone, as soon as the store answers.
     fn take_back(&mut self, fault: usize, zone: usize) {
         if self.store.mode == StoreMode::Answers {
             self.wants_evacuated[zone] = false;
@@ -260,7 +263,8 @@
         }
     }
 
-    /// All backend servers of a zone end without a word, unless there is no other zone.
+    /// Crashes all backend servers of a zone. Does nothing if there is no other zone, or if the
+    /// deployment has no cold starts.
     fn end_zone(&mut self, zone: usize) {
         if self.plan.zones == 1 || self.plan.places.is_none() {
             return;
@@ -274,7 +278,7 @@
         }
     }
 
-    /// Others come in their places, together.
+    /// Starts replacements of the backend servers that crashed together with their zone.
     fn return_zone(&mut self, zone: usize) {
         let mut services = Vec::new();
         for backend in self.backends.values_mut().filter(|backend| backend.zone == zone) {
@@ -288,7 +292,7 @@
         }
     }
 
-    /// The store comes back from what it had when it went away, or some changes before.
+    /// Restores the store from a copy that lacks its last changes.
     fn restore_store(&mut self, fault: usize, depth: RestoreDepth) {
         let revision = match depth {
             RestoreDepth::Changes(count) => self.store.revision.saturating_sub(count),
@@ -298,7 +302,10 @@
             }
         };
         if self.trace.faults {
-            println!("{} ms: restored {} to {revision}", self.now, self.store.revision);
+            println!(
+                "{} ms: store restored from revision {} to {revision}",
+                self.now, self.store.revision
+            );
         }
 
         self.store.restore(revision, self.now);
@@ -309,7 +316,8 @@
         self.queue.add(self.now + later, Event::OperatorWrites);
     }
 
-    /// Promises count from when the store has something again that it lost, and silence from its return.
+    /// Resets what the oracles take as stored, after a restore: the bounds of lost writes count
+    /// from when they are written again, and the lapse time of entries counts from the restore.
     fn forget_lost_words(&mut self) {
         let version = self.store.routes.version;
         self.acknowledged.retain(|(acknowledged, _)| *acknowledged <= version);
@@ -327,7 +335,8 @@
         }
     }
 
-    /// The operator writes its newest configuration again, and what it wants of zones, where the store has something else.
+    /// Writes the operator's newest configuration and evacuations again where the store has lost
+    /// them.
     pub(super) fn write_again(&mut self) {
         if self.store.mode != StoreMode::Answers {
             self.queue.add(self.now + 200, Event::OperatorWrites);
@@ -353,7 +362,7 @@
         self.store_disturbed_at = self.store_disturbed_at.max(until);
     }
 
-    /// One of those that take flows, unless it is the last of its service.
+    /// Returns a backend server that accepts flows, unless it is the last one of its service.
     fn choose_backend(&self, which: usize) -> Option<InstanceId> {
         let is_up = |instance: &InstanceId| {
             let backend = &self.backends[instance];
@@ -374,7 +383,7 @@
         backend.flows.clear();
     }
 
-    /// Another one starts, and one says that it leaves.
+    /// Starts a new backend server, and lets another one drain.
     fn replace_backend(&mut self, which: usize) {
         let Some(instance) = self.choose_backend(which) else { return };
         let (service, zone) = (self.backends[&instance].service, self.backends[&instance].zone);
@@ -391,7 +400,8 @@
         self.store.put_entry(entry, self.now);
     }
 
-    /// Those that have served on for long enough end, and take their entries away.
+    /// Ends the backend servers that have drained for long enough, and deletes their entries if the
+    /// store is reachable.
     fn end_drained(&mut self) {
         let is_over = |since: Option<Millis>| since.is_some_and(|at| at + LEAVES_AFTER <= self.now);
         let over = self.backends.values().filter(|b| !b.has_ended && is_over(b.drains_since));
@@ -405,14 +415,15 @@
         }
     }
 
-    /// Addresses of those that have ended go to backend servers of the other service.
+    /// Starts backend servers of the other service at the addresses that are due for reuse.
     fn reuse_addresses(&mut self) {
         let is_due = |at: Millis| at > 0 && at <= self.now;
         let due = self.backends.values().filter(|b| b.has_ended && is_due(b.disturbed_at));
         let due: Vec<_> = due.map(|b| (b.instance, b.service, b.zone, b.address)).collect();
 
         for (instance, service, zone, address) in due {
-            // Another one may have started again there meanwhile, and an address has one process.
+            // A new incarnation may have started there meanwhile, and an address has only one
+            // process.
             if self.is_in_use(address) {
                 continue;
             }
@@ -425,7 +436,7 @@
         self.backends.values().any(|backend| !backend.has_ended && backend.address == address)
     }
 
-    /// One that has crashed starts again under its name, where no other has its address.
+    /// Starts the next incarnation of a crashed backend server, one whose address is not in use.
     fn bear_again(&mut self, which: usize) {
         let has_crashed = |backend: &&Backend| {
             backend.has_ended
--- a/crates/valvestage-policy/tests/simulation/world/flows.rs
+++ b/crates/valvestage-policy/tests/simulation/world/flows.rs
@@ -1,4 +1,4 @@
-//! Packets of flows, from end to end.
+//! The packets of flows, from callers through balancers to backend servers and back.
 
 use valvestage_core::ids::InstanceId;
 use valvestage_policy::steering::{
@@ -18,7 +18,8 @@
 use crate::site::service_address;
 
 impl World {
-    /// A caller opens a flow to one of the addresses that there are.
+    /// Opens a caller's flow to one of the addresses with traffic. If the configuration lacks the
+    /// address, the caller tries again later.
     pub(super) fn open_flow(&mut self, caller: usize) {
         if self.now + 500 > END_AT {
             return;
@@ -46,7 +47,7 @@
         self.queue.add(self.now + NEAR_MS, Event::Packet(balancer, flow, packet));
     }
 
-    /// A balancer takes a packet.
+    /// Handles a packet that arrives at a balancer.
     pub(super) fn on_packet(
         &mut self,
         balancer: BalancerNumber,
@@ -129,8 +130,9 @@
         }
     }
 
-    /// A balancer refuses a flow. If it was opened meanwhile through another one, its caller takes no notice: the number in the
-    /// reset is near that of a first byte, which an open flow is far beyond.
+    /// Handles a balancer's refusal of an opening packet. If the flow has been opened through
+    /// another balancer meanwhile, its caller ignores the reset: its sequence number is near that
+    /// of the first byte, and an open flow is far beyond that.
     fn refuse_opening(&mut self, balancer: BalancerNumber, flow: FlowNumber) {
         if self.flows[flow].state == FlowState::Opening {
             let answer = Answer::BalancerReset(balancer);
@@ -138,18 +140,19 @@
         }
     }
 
-    /// A balancer ends a flow.
+    /// Sends a balancer's reset to the flow's caller, and reports a violation if the flow could go
+    /// on.
     pub(super) fn reset_flow(&mut self, balancer: BalancerNumber, addresses: FlowAddresses) {
         let Some(number) = self.flow_numbers.get(&addresses).copied() else { return };
         let flow = &self.flows[number];
         if let FlowState::Open(instance) = flow.state {
             let ago = self.now - flow.last_answer;
-            // It is open once its backend server has heard of the caller's answer.
+            // The flow is open once its backend server has received a packet after the opening one.
             let held = self.backends[&instance].flows.get(&number);
             let is_open = held.is_some_and(|held| held.is_open);
             if is_open && ago <= ANSWERED_WITHIN && self.could_go_on(balancer, instance, flow) {
                 let what = format!(
-                    "balancer {balancer} ends flow {number} at {instance:x}, answered {ago} ms ago"
+                    "balancer {balancer} resets flow {number} at {instance:x}, answered {ago} ms ago"
                 );
                 self.violate(Oracle::LivingFlowsStay, what);
             }
@@ -158,8 +161,9 @@
         self.queue.add(self.now + FAR_MS, Event::Answer(number, Answer::BalancerReset(balancer)));
     }
 
-    /// Whether a flow could go on through a balancer: its backend server lives, a path leads there, and no
-    /// configuration has dropped its route meanwhile. Where one of these does not hold, an end is better for the
+    /// Reports whether a flow could go on through a balancer: its backend server is running and has
+    /// responded since its last answer, no partition separates the two, and no configuration has
+    /// removed the flow's address since the flow was opened. Otherwise a reset is better for the
     /// caller than waiting.
     fn could_go_on(
         &self,
@@ -171,7 +175,7 @@
         let has_path = self.is_joined(zone, self.backends[&instance].zone);
         let dropped_at = self.dropped_at.get(&flow.addresses.service);
         let was_dropped = dropped_at.is_some_and(|at| *at >= flow.opened_at);
-        // One that fell silent after its last answer may have died for all that anyone can see.
+        // A backend server that stopped responding after its last answer looks like a crashed one.
         let was_silent = self.backends[&instance].silent_until > flow.last_answer;
 
         self.lives(instance) && has_path && !was_dropped && !was_silent
@@ -183,7 +187,7 @@
         backend.is_some_and(|backend| !backend.has_ended && !backend.is_silent(self.now))
     }
 
-    /// The copies of a packet that wait at a balancer, with one more.
+    /// Returns the copies of a packet that a balancer holds, with one more.
     fn copies_with(
         &self,
         balancer: BalancerNumber,
@@ -199,13 +203,14 @@
         HeldCopies { flow, counted: counted + u32::from(self.counts_as_dropped(balancer, flow)) }
     }
 
-    /// Whether a packet of a flow that a balancer drops now counts.
+    /// Reports whether a packet of a flow counts as dropped if the balancer drops it now.
     fn counts_as_dropped(&self, balancer: BalancerNumber, number: FlowNumber) -> bool {
         let FlowState::Open(instance) = self.flows[number].state else { return false };
         if !self.could_go_on(balancer, instance, &self.flows[number]) {
             return false;
         }
-        // One that has started since another writer spoiled the entry cannot know where the backend server is.
+        // A balancer that has started since another writer made the entry unusable cannot know the
+        // backend server's address.
         let entry = self.store.entries.get(&instance);
         let is_spoiled = entry.is_some_and(|entry| entry.phase == BackendPhase::Unusable);
         let policy = self.balancers[balancer].policy.as_ref();
@@ -214,7 +219,8 @@
         !(is_spoiled && !knows_it || self.nobody_can_know(instance))
     }
 
-    /// A balancer dropped a packet.
+    /// Counts a packet that a balancer dropped, and reports a violation if its request has lost too
+    /// many.
     pub(super) fn note_drop(&mut self, balancer: BalancerNumber, number: FlowNumber) {
         if !self.counts_as_dropped(balancer, number) {
             return;
@@ -224,13 +230,15 @@
         request.drops += 1;
         let (drops, waited) = (request.drops, self.now - request.since);
         if drops == DROPS_ALLOWED + 1 {
-            let what =
-                format!("flow {number}: {drops} packets of a request dropped in {waited} ms");
+            let what = format!(
+                "flow {number}: balancers dropped {drops} packets of a request in {waited} ms"
+            );
             self.violate(Oracle::OpenFlowsGoOn, what);
         }
     }
 
-    /// A caller gives a request up: what balancers that are ready still hold of it was dropped, as far as it can tell.
+    /// Counts the packets that ready balancers still hold when a caller gives up its request: to
+    /// the caller they are dropped.
     fn count_held(&mut self, number: FlowNumber) {
         for balancer in 0..self.plan.balancers {
             if !self.balancers[balancer].is_ready(self.now) {
@@ -246,8 +254,9 @@
         }
     }
 
-    /// Whether the store had no entry of a backend server until a moment ago, and each balancer that runs knew nothing yet when it
-    /// last had one: then nobody can know where the backend server is before its entry is read again.
+    /// Reports whether no balancer can know a backend server's address before the entry is read
+    /// again: the store has had no entry of it until less than `KNOWN_WITHIN` ago, and no running
+    /// balancer was ready when the entry was deleted.
     fn nobody_can_know(&self, instance: InstanceId) -> bool {
         let Some(absence) = self.store.absence(instance) else { return false };
         let is_learned = absence.until.is_some_and(|until| until + KNOWN_WITHIN < self.now);
@@ -256,13 +265,13 @@
         !is_learned && running.all(|node| node.ready_at.is_none_or(|at| at > absence.since))
     }
 
-    /// A packet arrives at the backend server that is meant.
+    /// Handles a packet that a balancer forwarded to a backend server.
     pub(super) fn on_forwarded(&mut self, event: Event) {
         let Event::Forwarded { through, instance, flow: number, packet, token, sent_at } = event
         else {
             return;
         };
-        // The packet names the backend server, not the incarnation.
+        // A packet is addressed to the backend server, not to an incarnation.
         let meant = instance;
         let instance = self.present_birth(instance);
         if !self.lives(instance) {
@@ -271,7 +280,8 @@
         if packet.opening {
             self.check_drain(through, instance, sent_at);
             self.check_evacuation(through, instance, sent_at);
-            // Nobody can know of a start before its entry is there.
+            // A balancer that still means the former incarnation cannot know that the new one is
+            // cold before its entry is stored.
             if meant == instance {
                 self.check_cold_rate(instance, number, sent_at);
             }
@@ -302,7 +312,7 @@
         }
     }
 
-    /// The last incarnation under the name of one.
+    /// Returns the latest incarnation under the same name.
     fn present_birth(&self, instance: InstanceId) -> InstanceId {
         let heir = self.backends.get(&instance).and_then(|backend| backend.heir);
 
@@ -355,7 +365,7 @@
         }
     }
 
-    /// After an answer: a pause, or the end of the flow.
+    /// Schedules the next request after a pause, or closes the flow if it is over.
     fn rest(&mut self, number: FlowNumber, is_over: bool) {
         let pause = 200 + u64::try_from(self.draw.below(1_300)).expect("small");
         if is_over {
@@ -367,7 +377,7 @@
         self.queue.add(self.now + pause, Event::CallerTimer(number));
     }
 
-    /// A caller sends a request on an open flow.
+    /// Sends a caller's next request on an open flow.
     fn ask(&mut self, number: FlowNumber) {
         let resend_at = self.now + FIRST_RESEND;
         let flow = &mut self.flows[number];
@@ -436,7 +446,7 @@
         self.queue.add(at, Event::CallerTimer(number));
     }
 
-    /// A flow is over; its caller opens another one.
+    /// Closes a flow; its caller opens another one after a pause.
     fn close(&mut self, number: FlowNumber, pause: Millis) {
         self.flows[number].state = FlowState::Closed;
         let caller = self.flows[number].caller;
@@ -445,7 +455,8 @@
     }
 }
 
-/// A backend server takes bytes: it begins to work, or has done so.
+/// Handles data at a backend server. New data begins a request; a copy of a request that has
+/// already been answered is answered again at once.
 fn take_data(
     held: &mut HeldFlow,
     packet: &CallerPacket,
--- a/crates/valvestage-policy/tests/simulation/world/knowledge.rs
+++ b/crates/valvestage-policy/tests/simulation/world/knowledge.rs
@@ -1,4 +1,4 @@
-//! Balancers, each other and the store.
+//! How balancers learn from each other and from the store.
 
 use valvestage_policy::steering::{EntryPolicy, KeeperAction, PeerMessage, StoreReply};
 
@@ -27,7 +27,8 @@
         self.step(balancer, |policy| policy.on_tick(now));
     }
 
-    /// Lets a balancer do something, and does what it asks for.
+    /// Runs one call of a balancer's policy, carries out the actions that it returns, and schedules
+    /// the next timer.
     pub(super) fn step(
         &mut self,
         balancer: BalancerNumber,
@@ -63,7 +64,8 @@
         self.release_held(balancer);
     }
 
-    /// As the driver does: what came too early is handled once enough is known, or dropped after a while.
+    /// Handles held packets as the real driver does: a packet is decided about once the balancer
+    /// knows enough, and dropped when its hold time ends.
     fn release_held(&mut self, balancer: BalancerNumber) {
         let now = self.instant();
         let Balancer { policy: Some(policy), held, .. } = &mut self.balancers[balancer] else {
@@ -76,7 +78,8 @@
         for held in decidable {
             self.on_packet(balancer, held.payload.flow, held.packet);
         }
-        // Each copy counts that came of one. Without any knowledge there is nothing to be decided.
+        // Every held copy counts as dropped. A balancer that is not ready yet cannot decide about
+        // any packet, so that its drops do not count.
         for held in expired.into_iter().filter(|_| is_ready) {
             let HeldCopies { flow, counted } = held.payload;
             (0..counted).for_each(|_| self.note_drop(balancer, flow));
@@ -147,7 +150,7 @@
         self.step(to, |policy| policy.on_message(balancer_address(from), message, now));
     }
 
-    /// The store answers calls, and entries come and go.
+    /// Handles the store's periodic scan: writes and deletes entries, and answers calls.
     pub(super) fn scan_store(&mut self) {
         if self.now < END_AT {
             self.queue.add(self.now + SCAN_EVERY, Event::StoreScan);
@@ -162,7 +165,7 @@
         }
     }
 
-    /// Answers a call if there is something to say; else gives it back.
+    /// Answers or fails a call; returns it if it is still pending.
     fn answer_call(&mut self, mut call: OpenCall) -> Option<OpenCall> {
         let node = &self.balancers[call.balancer];
         if node.policy.is_none() || node.life != call.life {
@@ -223,7 +226,7 @@
         });
     }
 
-    /// Backend servers write their entries; those of silent ones lapse.
+    /// Writes the entries of running backend servers that are due, and deletes lapsed entries.
     fn step_entries(&mut self) {
         let is_away = self.store.mode != StoreMode::Answers;
         let numbers: Vec<_> = self.backends.keys().copied().collect();
@@ -245,7 +248,7 @@
                         self.store.put_entry(entry, self.now);
                     }
                 } else if is_away && !self.lapses {
-                    // The store keeps what it has while it is away.
+                    // A store that is away keeps its entries: they do not age.
                     backend.last_beat = self.now - BEAT_MS;
                 }
             }
