--- a/crates/valvestage-policy/tests/simulation/backends.rs
+++ b/crates/valvestage-policy/tests/simulation/backends.rs
@@ -12,14 +12,14 @@
 use crate::site::{SERVICES, ZONES};
 
 /// Interval between two writes of an entry, and the time without a write after which it lapses.
-pub const BEAT_MS: Millis = 770;
-pub const LAPSE_MS: Millis = 3 * BEAT_MS;
+pub const WRITE_INTERVAL_MS: Millis = 770;
+pub const LAPSE_MS: Millis = 3 * WRITE_INTERVAL_MS;
 
 /// How long a draining backend server keeps serving its flows.
-pub const LEAVES_AFTER: Millis = 5_000;
+pub const DRAIN_MS: Millis = 5_000;
 
 /// Processing time of one request.
-pub const WORK_MS: Millis = 40;
+pub const REQUEST_MS: Millis = 40;
 
 /// State of a flow at its backend server.
 #[derive(Debug, Default)]
@@ -27,7 +27,7 @@
     pub is_open: bool,
     /// Sequence number after the last byte received.
     pub received: u32,
-    pub is_working: bool,
+    pub is_processing: bool,
     /// Token of the last packet received.
     pub token: u32,
 }
@@ -37,17 +37,17 @@
     pub instance: InstanceId,
     pub name: BackendName,
     /// The next incarnation, once one has started under the same name.
-    pub heir: Option<InstanceId>,
+    pub successor: Option<InstanceId>,
     /// When the store first had the entry of this incarnation; None again if a restore lost it. It
     /// means something only for the successor of another incarnation.
-    pub born_at: Option<Millis>,
+    pub entry_stored_at: Option<Millis>,
     pub service: usize,
     pub zone: usize,
     pub address: SocketAddrV4,
     pub has_ended: bool,
     pub silent_until: Millis,
     /// When draining began.
-    pub drains_since: Option<Millis>,
+    pub draining_since: Option<Millis>,
     /// When the store accepted the draining entry; None again if a restore lost it.
     pub drain_stored_at: Option<Millis>,
     pub flows: BTreeMap<FlowNumber, HeldFlow>,
@@ -58,11 +58,11 @@
     pub cold_openings: Vec<(Millis, Millis)>,
     /// When the entry was last written. After a restore of the store it lies in the future, so that
     /// the next write comes later.
-    pub last_beat: Millis,
+    pub last_written_at: Millis,
     /// Whether a cold backend server is to replace this one when its zone returns.
-    pub comes_back: bool,
+    pub returns_with_zone: bool,
     /// From when on another backend server may get the address; 0 if none is to get it.
-    pub disturbed_at: Millis,
+    pub address_free_at: Millis,
 }
 
 impl Backend {
@@ -70,21 +70,21 @@
         Self {
             instance,
             name: name_of(instance),
-            heir: None,
-            born_at: None,
+            successor: None,
+            entry_stored_at: None,
             service,
             zone,
             address,
             has_ended: false,
             silent_until: 0,
-            drains_since: None,
+            draining_since: None,
             drain_stored_at: None,
             flows: BTreeMap::new(),
             cold_until: None,
             cold_openings: Vec::new(),
-            last_beat: 0,
-            comes_back: false,
-            disturbed_at: 0,
+            last_written_at: 0,
+            returns_with_zone: false,
+            address_free_at: 0,
         }
     }
 
@@ -95,8 +95,11 @@
     /// Returns the entry that the backend server writes. `base` is the instant of the simulation's
     /// start.
     pub fn entry(&self, base: Instant) -> BackendEntry {
-        let phase =
-            if self.drains_since.is_some() { BackendPhase::Draining } else { BackendPhase::Ready };
+        let phase = if self.draining_since.is_some() {
+            BackendPhase::Draining
+        } else {
+            BackendPhase::Ready
+        };
 
         BackendEntry {
             instance: self.instance,
@@ -122,7 +125,7 @@
 }
 
 /// Returns the id of the next incarnation under the same name.
-pub fn next_birth(instance: InstanceId) -> InstanceId {
+pub fn next_incarnation(instance: InstanceId) -> InstanceId {
     instance + (1 << NAME_BITS)
 }
 
--- a/crates/valvestage-policy/tests/simulation/balancers.rs
+++ b/crates/valvestage-policy/tests/simulation/balancers.rs
@@ -21,49 +21,49 @@
     /// The policy of the running process; None while the balancer is down.
     pub policy: Option<EntryPolicy>,
     /// Number of starts so far.
-    pub life: u32,
+    pub start_count: u32,
     /// When the present process first became ready.
     pub ready_at: Option<Millis>,
     /// End of the current or last pause.
-    pub frozen_until: Millis,
+    pub paused_until: Millis,
     pub is_cut_from_store: bool,
     /// Whether messages of other balancers are lost, and whether messages to them are lost.
-    pub is_deaf: bool,
-    pub is_mute: bool,
+    pub is_inbound_cut: bool,
+    pub is_outbound_cut: bool,
     /// End of the last fault that affected the balancer.
     pub disturbed_at: Millis,
     /// The highest configuration version that was in force since the last start.
-    pub version: u64,
+    pub highest_version: u64,
     /// When the timer fires next. Timer events for earlier times are ignored.
     pub wakes_at: Millis,
     /// Packets that the balancer cannot decide about yet.
     pub held: HeldPackets<HeldCopies>,
     /// Messages sent in the final phase, which has no faults.
-    pub late_messages: usize,
+    pub final_messages: usize,
 }
 
 impl Balancer {
     pub fn new() -> Self {
         Self {
             policy: None,
-            life: 0,
+            start_count: 0,
             ready_at: None,
-            frozen_until: 0,
+            paused_until: 0,
             is_cut_from_store: false,
-            is_deaf: false,
-            is_mute: false,
+            is_inbound_cut: false,
+            is_outbound_cut: false,
             disturbed_at: 0,
-            version: 0,
+            highest_version: 0,
             wakes_at: Millis::MAX,
             held: HeldPackets::default(),
-            late_messages: 0,
+            final_messages: 0,
         }
     }
 
     /// Starts a new process without any knowledge.
     pub fn start(&mut self, number: BalancerNumber, plan: &SitePlan, seed: u64, now: Instant) {
-        self.life += 1;
-        self.version = 0;
+        self.start_count += 1;
+        self.highest_version = 0;
         self.ready_at = None;
         self.held = HeldPackets::default();
         let options = EntryOptions {
@@ -78,14 +78,14 @@
             evacuable_zones: plan
                 .places
                 .map(|_| ZONES[..plan.zones].iter().map(|zone| (*zone).to_owned()).collect()),
-            is_first_start: self.life == 1,
-            seed: seed ^ u64::try_from(number << 8).expect("small") ^ u64::from(self.life),
+            is_first_start: self.start_count == 1,
+            seed: seed ^ u64::try_from(number << 8).expect("small") ^ u64::from(self.start_count),
         };
 
         self.policy = Some(EntryPolicy::new(options, now));
     }
 
     pub fn is_ready(&self, now: Millis) -> bool {
-        self.frozen_until <= now && self.policy.as_ref().is_some_and(EntryPolicy::is_ready)
+        self.paused_until <= now && self.policy.as_ref().is_some_and(EntryPolicy::is_ready)
     }
 }
--- a/crates/valvestage-policy/tests/simulation/callers.rs
+++ b/crates/valvestage-policy/tests/simulation/callers.rs
@@ -9,15 +9,15 @@
 use crate::events::Millis;
 
 /// Times after the first opening packet at which it is sent again, and the timeout of the opening.
-pub const COPIES_AT: [Millis; 2] = [200, 600];
-pub const OPEN_WITHIN: Millis = 1_400;
+pub const OPENING_RESENDS_AT: [Millis; 2] = [200, 600];
+pub const OPENING_TIMEOUT: Millis = 1_400;
 
 /// Delay before a request is sent again for the first time; it doubles each time up to the longest.
-pub const FIRST_RESEND: Millis = 200;
-pub const LONGEST_RESEND: Millis = 1_600;
+pub const FIRST_RESEND_DELAY: Millis = 200;
+pub const MAX_RESEND_DELAY: Millis = 1_600;
 
 /// Time after which a caller gives up a request.
-pub const DEADLINE: Millis = 3_000;
+pub const REQUEST_DEADLINE: Millis = 3_000;
 
 /// Size of a request and of an answer, in bytes.
 pub const REQUEST_BYTES: u32 = 300;
@@ -37,11 +37,11 @@
 /// A request that has no answer yet.
 #[derive(Debug, Clone, Copy)]
 pub struct OpenRequest {
-    pub since: Millis,
+    pub started_at: Millis,
     pub resend_at: Millis,
-    pub wait: Millis,
+    pub resend_delay: Millis,
     /// Number of the request's packets that balancers dropped although the flow could go on.
-    pub drops: u32,
+    pub dropped: u32,
 }
 
 /// A flow of a caller.
@@ -52,13 +52,13 @@
     pub state: FlowState,
     pub token: u32,
     pub opened_at: Millis,
-    pub copies: u32,
-    pub sent: u32,
+    pub opening_resends: u32,
+    pub next_sequence: u32,
     pub acknowledged: u32,
     pub request: Option<OpenRequest>,
     pub next_request_at: Millis,
     pub requests_left: u32,
-    pub last_answer: Millis,
+    pub last_answer_at: Millis,
 }
 
 impl CallerFlow {
@@ -80,13 +80,13 @@
             state: FlowState::Opening,
             token: 0,
             opened_at: now,
-            copies: 0,
-            sent: FIRST_SEQUENCE,
+            opening_resends: 0,
+            next_sequence: FIRST_SEQUENCE,
             acknowledged: 0,
             request: None,
             next_request_at: 0,
             requests_left: if caller.is_multiple_of(2) { 40 } else { 1 },
-            last_answer: 0,
+            last_answer_at: 0,
         }
     }
 
@@ -106,7 +106,7 @@
             reset: false,
             token: 0,
             sequence: FIRST_SEQUENCE - 1,
-            acknowledged: self.copies,
+            acknowledged: self.opening_resends,
             data_length: 0,
         }
     }
@@ -116,7 +116,7 @@
         CallerPacket {
             opening: false,
             token: self.token,
-            sequence: self.sent - bytes,
+            sequence: self.next_sequence - bytes,
             acknowledged: self.acknowledged,
             data_length: bytes,
             ..self.opening_packet()
--- a/crates/valvestage-policy/tests/simulation/events.rs
+++ b/crates/valvestage-policy/tests/simulation/events.rs
@@ -34,7 +34,7 @@
         sent_at: Millis,
     },
     /// A backend server has finished a request.
-    Worked(InstanceId, FlowNumber),
+    RequestDone(InstanceId, FlowNumber),
     /// A packet arrives at a caller.
     Answer(FlowNumber, Answer),
     /// A timer of a caller's flow fires.
@@ -46,7 +46,7 @@
     /// Routers probe the readiness of balancers, and oracles check their knowledge.
     Probe,
     /// The operator writes again what a restore of the store has lost.
-    OperatorWrites,
+    OperatorRewrites,
     /// A fault begins, given by its index in the fault plan.
     FaultBegins(usize),
     /// A fault ends, given by its index in the fault plan.
--- a/crates/valvestage-policy/tests/simulation/fault.rs
+++ b/crates/valvestage-policy/tests/simulation/fault.rs
@@ -6,26 +6,26 @@
 use crate::store::MAX_ROUTES;
 
 /// Earliest start of a fault. All processes have started by then.
-const FIRST_AT: Millis = 5_000;
+const FIRST_FAULT_AT: Millis = 5_000;
 
 /// Every fault starts before this time.
-const LAST_AT: Millis = 15_000;
+const LAST_FAULT_AT: Millis = 15_000;
 
 /// Longest duration of a fault, in milliseconds.
-const MAX_MS: usize = 4_500;
+const MAX_DURATION_MS: usize = 4_500;
 
 /// Smallest growth of the configuration after store calls stopped answering, in addresses, and the
 /// longest delay of the growth after that.
-const LARGE_GROWTH: usize = 4_300;
-const GROWTH_LATER_MS: usize = 900;
+const MIN_LARGE_GROWTH: usize = 4_300;
+const MAX_GROWTH_DELAY_MS: usize = 900;
 
 /// Longest outage of a store that is restored from an older copy.
-const LONGEST_AWAY_MS: usize = 2_500;
+const MAX_RESTORE_OUTAGE_MS: usize = 2_500;
 
 /// Most faults of a restore seed begin within a window around the first restore: the window's start
 /// before the restore, and its length.
-const BEFORE_RESTORE_MS: Millis = 3_000;
-const NEAR_RESTORE_MS: usize = 8_000;
+const RESTORE_WINDOW_LEAD_MS: Millis = 3_000;
+const RESTORE_WINDOW_MS: usize = 8_000;
 
 /// A kind of fault. Unless a variant says otherwise, its number selects an address, a balancer, a
 /// zone or a backend server, modulo their count.
@@ -100,7 +100,7 @@
 
 /// First seed of the series that adds to those evacuations, and cold backend servers with their low
 /// limits.
-pub const PLACES_SEEDS: u64 = 2_000_000;
+pub const ZONE_FAULT_SEEDS: u64 = 2_000_000;
 
 /// First seed of the series with only overlapping partitions, pauses, restarts and store outages.
 pub const CUT_SEEDS: u64 = 3_000_000;
@@ -121,7 +121,7 @@
     /// Ordinary faults, restarts under the same name, and entries of other writers.
     Rebirths,
     /// The faults of `Rebirths`, with evacuations and replacements by cold backend servers.
-    Places,
+    ZoneFaults,
     /// Only faults that keep balancers from the store, from each other and from callers.
     Cuts,
     /// Unanswered store calls and a growth of the configuration, with up to two ordinary faults.
@@ -134,8 +134,8 @@
     pub fn of(seed: u64) -> Self {
         match seed {
             ..REBIRTH_SEEDS => Self::Ordinary,
-            REBIRTH_SEEDS..PLACES_SEEDS => Self::Rebirths,
-            PLACES_SEEDS..CUT_SEEDS => Self::Places,
+            REBIRTH_SEEDS..ZONE_FAULT_SEEDS => Self::Rebirths,
+            ZONE_FAULT_SEEDS..CUT_SEEDS => Self::ZoneFaults,
             CUT_SEEDS..GROWTH_SEEDS => Self::Cuts,
             GROWTH_SEEDS..RESTORE_SEEDS => Self::Growths,
             RESTORE_SEEDS.. => Self::Restores,
@@ -165,7 +165,7 @@
         let mut faults = match FaultSeries::of(seed) {
             FaultSeries::Ordinary => draw_ordinary(&mut draw),
             FaultSeries::Rebirths => draw_with_rebirths(&mut draw),
-            FaultSeries::Places => draw_with_places(&mut draw),
+            FaultSeries::ZoneFaults => draw_with_zone_faults(&mut draw),
             FaultSeries::Cuts => draw_cuts(&mut draw),
             FaultSeries::Growths => draw_growth(&mut draw),
             FaultSeries::Restores => draw_restores(&mut draw),
@@ -189,11 +189,11 @@
     faults
 }
 
-fn draw_with_places(draw: &mut SeededDraw) -> Vec<Fault> {
+fn draw_with_zone_faults(draw: &mut SeededDraw) -> Vec<Fault> {
     let mut faults = draw_with_rebirths(draw);
     let others = 1 + draw.below(4);
 
-    faults.extend((0..others).map(|_| draw_place(draw)));
+    faults.extend((0..others).map(|_| draw_zone_fault(draw)));
     faults
 }
 
@@ -204,26 +204,26 @@
 }
 
 fn draw_cut(draw: &mut SeededDraw) -> Fault {
-    let which = draw.below(1_000);
+    let selector = draw.below(1_000);
     let kind = match draw.below(8) {
-        0 | 1 => FaultKind::ZoneCut(which),
+        0 | 1 => FaultKind::ZoneCut(selector),
         2 => FaultKind::Herd,
-        3 => FaultKind::Freeze(which),
-        4 => FaultKind::Restart(which),
-        5 => FaultKind::StoreCut(which),
+        3 => FaultKind::Freeze(selector),
+        4 => FaultKind::Restart(selector),
+        5 => FaultKind::StoreCut(selector),
         6 => FaultKind::StoreSilent,
         _ => FaultKind::StoreLapse,
     };
 
-    timed(kind, draw)
+    with_random_time(kind, draw)
 }
 
 /// Draws a loss of all open store calls, and a growth of the configuration before any balancer has
 /// detected it.
 fn draw_growth(draw: &mut SeededDraw) -> Vec<Fault> {
-    let silent = timed(FaultKind::SilentCalls, draw);
-    let routes = LARGE_GROWTH + draw.below(MAX_ROUTES - LARGE_GROWTH);
-    let later = u64::try_from(draw.below(GROWTH_LATER_MS)).expect("it fits");
+    let silent = with_random_time(FaultKind::SilentCalls, draw);
+    let routes = MIN_LARGE_GROWTH + draw.below(MAX_ROUTES - MIN_LARGE_GROWTH);
+    let later = u64::try_from(draw.below(MAX_GROWTH_DELAY_MS)).expect("it fits");
     let growth = Fault { kind: FaultKind::RouteGrowth(routes), at: silent.at + later, for_ms: 0 };
     let others = draw.below(3);
 
@@ -241,17 +241,17 @@
     let mut faults: Vec<_> = (0..restores).map(|_| draw_restore(draw)).collect();
     let center = faults[0].at;
     for _ in 0..others {
-        let which = draw.below(1_000);
+        let selector = draw.below(1_000);
         let mut fault = match draw.below(8) {
-            0 | 1 => timed(FaultKind::BackendReplaced(which), draw),
+            0 | 1 => with_random_time(FaultKind::BackendReplaced(selector), draw),
             2 => draw_rebirth(draw),
-            3 => draw_place(draw),
+            3 => draw_zone_fault(draw),
             _ => draw_fault(draw),
         };
         if draw.below(4) > 0 {
-            let later = u64::try_from(draw.below(NEAR_RESTORE_MS)).expect("it fits");
-            let at = (center + later).saturating_sub(BEFORE_RESTORE_MS);
-            fault.at = at.clamp(FIRST_AT, LAST_AT);
+            let later = u64::try_from(draw.below(RESTORE_WINDOW_MS)).expect("it fits");
+            let at = (center + later).saturating_sub(RESTORE_WINDOW_LEAD_MS);
+            fault.at = at.clamp(FIRST_FAULT_AT, LAST_FAULT_AT);
         }
         faults.push(fault);
     }
@@ -264,29 +264,29 @@
     } else {
         RestoreDepth::Age(500 + u64::try_from(draw.below(5_500)).expect("it fits"))
     };
-    let away_ms = u64::try_from(draw.below(LONGEST_AWAY_MS)).expect("it fits");
+    let away_ms = u64::try_from(draw.below(MAX_RESTORE_OUTAGE_MS)).expect("it fits");
 
-    Fault { for_ms: away_ms, ..timed(FaultKind::StoreRestored(depth), draw) }
+    Fault { for_ms: away_ms, ..with_random_time(FaultKind::StoreRestored(depth), draw) }
 }
 
 fn draw_fault(draw: &mut SeededDraw) -> Fault {
-    let which = draw.below(1_000);
+    let selector = draw.below(1_000);
     let kind = match draw.below(20) {
-        0 | 1 => FaultKind::RouteChange(which),
-        2 => FaultKind::RouteDrop(which),
-        3 => FaultKind::RouteGrowth(500 + 5 * which),
-        4 => FaultKind::Restart(which),
+        0 | 1 => FaultKind::RouteChange(selector),
+        2 => FaultKind::RouteDrop(selector),
+        3 => FaultKind::RouteGrowth(500 + 5 * selector),
+        4 => FaultKind::Restart(selector),
         5 => FaultKind::RollingRestart,
         6 => FaultKind::Herd,
-        7 => FaultKind::StoreCut(which),
-        8 => FaultKind::PeerCut { balancer: which, is_deaf: which.is_multiple_of(2) },
-        9 | 10 => FaultKind::ZoneCut(which),
-        11 => FaultKind::Freeze(which),
+        7 => FaultKind::StoreCut(selector),
+        8 => FaultKind::PeerCut { balancer: selector, is_deaf: selector.is_multiple_of(2) },
+        9 | 10 => FaultKind::ZoneCut(selector),
+        11 => FaultKind::Freeze(selector),
         12 => FaultKind::SilentCalls,
         13 => FaultKind::StoreRefuses,
         14 => FaultKind::StoreSilent,
         15 => {
-            if which.is_multiple_of(2) {
+            if selector.is_multiple_of(2) {
                 FaultKind::StoreLapse
             } else {
                 FaultKind::StoreLoses
@@ -294,40 +294,43 @@
         }
         16 => FaultKind::StoreForgets,
         17 => {
-            if which.is_multiple_of(2) {
-                FaultKind::BackendSilent(which)
+            if selector.is_multiple_of(2) {
+                FaultKind::BackendSilent(selector)
             } else {
-                FaultKind::BackendCrash(which)
+                FaultKind::BackendCrash(selector)
             }
         }
-        18 => FaultKind::BackendReplaced(which),
-        _ => FaultKind::AddressReused(which),
+        18 => FaultKind::BackendReplaced(selector),
+        _ => FaultKind::AddressReused(selector),
     };
-    timed(kind, draw)
+    with_random_time(kind, draw)
 }
 
 fn draw_rebirth(draw: &mut SeededDraw) -> Fault {
-    let which = draw.below(1_000);
-    let kind =
-        if draw.below(3) == 0 { FaultKind::ForeignEntry(which) } else { FaultKind::Rebirth(which) };
+    let selector = draw.below(1_000);
+    let kind = if draw.below(3) == 0 {
+        FaultKind::ForeignEntry(selector)
+    } else {
+        FaultKind::Rebirth(selector)
+    };
 
-    timed(kind, draw)
+    with_random_time(kind, draw)
 }
 
-fn draw_place(draw: &mut SeededDraw) -> Fault {
-    let which = draw.below(1_000);
+fn draw_zone_fault(draw: &mut SeededDraw) -> Fault {
+    let selector = draw.below(1_000);
     let kind = match draw.below(3) {
-        0 => FaultKind::ColdReturn(which),
-        _ => FaultKind::Evacuation(which),
+        0 => FaultKind::ColdReturn(selector),
+        _ => FaultKind::Evacuation(selector),
     };
 
-    timed(kind, draw)
+    with_random_time(kind, draw)
 }
 
-fn timed(kind: FaultKind, draw: &mut SeededDraw) -> Fault {
-    let window = usize::try_from(LAST_AT - FIRST_AT).expect("it fits");
-    let at = FIRST_AT + u64::try_from(draw.below(window)).expect("it fits");
-    let for_ms = u64::try_from(500 + draw.below(MAX_MS - 500)).expect("it fits");
+fn with_random_time(kind: FaultKind, draw: &mut SeededDraw) -> Fault {
+    let window = usize::try_from(LAST_FAULT_AT - FIRST_FAULT_AT).expect("it fits");
+    let at = FIRST_FAULT_AT + u64::try_from(draw.below(window)).expect("it fits");
+    let for_ms = u64::try_from(500 + draw.below(MAX_DURATION_MS - 500)).expect("it fits");
 
     Fault { kind, at, for_ms }
 }
--- a/crates/valvestage-policy/tests/simulation/main.rs
+++ b/crates/valvestage-policy/tests/simulation/main.rs
@@ -43,16 +43,16 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 
-use fault::{CUT_SEEDS, FaultPlan, GROWTH_SEEDS, PLACES_SEEDS, REBIRTH_SEEDS, RESTORE_SEEDS};
+use fault::{CUT_SEEDS, FaultPlan, GROWTH_SEEDS, REBIRTH_SEEDS, RESTORE_SEEDS, ZONE_FAULT_SEEDS};
 use mutation::Mutation;
 use oracles::{Oracle, Violation};
 use world::World;
 
 /// Number of seeds that each test of a series runs.
-const SEEDS: u64 = 2_000;
+const SEEDS_PER_SERIES: u64 = 2_000;
 
 /// Seeds that failed before, each with the cause of its failure.
-const KNOWN: &[(u64, &str)] = &[
+const KNOWN_SEEDS: &[(u64, &str)] = &[
     (455, "entries lapsed in a partition, and the store failed before they could be written again"),
     (887, "as seed 455, with a store that does not answer"),
     (955, "as seed 455, with a rolling restart"),
@@ -109,7 +109,7 @@
 ];
 
 /// Runs one seed; returns its violations.
-fn play(seed: u64, mutation: Option<Mutation>) -> Vec<Violation> {
+fn run_seed(seed: u64, mutation: Option<Mutation>) -> Vec<Violation> {
     World::new(seed, FaultPlan::draw(seed), mutation).run()
 }
 
@@ -132,7 +132,7 @@
 }
 
 /// Runs `count` seeds from `first` on, on all processors; returns those that violate a promise.
-fn play_all(first: u64, count: u64) -> Vec<(u64, Vec<Violation>)> {
+fn run_seeds(first: u64, count: u64) -> Vec<(u64, Vec<Violation>)> {
     let next = AtomicU64::new(first);
     let workers = thread::available_parallelism().map_or(1, usize::from);
 
@@ -144,7 +144,7 @@
                 if seed >= first + count {
                     return failed;
                 }
-                let violations = play(seed, None);
+                let violations = run_seed(seed, None);
                 if !violations.is_empty() {
                     failed.push((seed, violations));
                 }
@@ -176,56 +176,56 @@
 
 #[test]
 fn no_seed_violates_anything() {
-    let failed = play_all(0, SEEDS);
+    let failed = run_seeds(0, SEEDS_PER_SERIES);
 
     report(&failed);
-    assert!(failed.is_empty(), "{} of {SEEDS} seeds violate a promise", failed.len());
+    assert!(failed.is_empty(), "{} of {SEEDS_PER_SERIES} seeds violate a promise", failed.len());
 }
 
 #[test]
 fn no_seed_with_rebirths_violates_anything() {
-    let failed = play_all(REBIRTH_SEEDS, SEEDS);
+    let failed = run_seeds(REBIRTH_SEEDS, SEEDS_PER_SERIES);
 
     report(&failed);
-    assert!(failed.is_empty(), "{} of {SEEDS} seeds violate a promise", failed.len());
+    assert!(failed.is_empty(), "{} of {SEEDS_PER_SERIES} seeds violate a promise", failed.len());
 }
 
 #[test]
 fn no_seed_with_evacuations_and_cold_returns_violates_anything() {
-    let failed = play_all(PLACES_SEEDS, SEEDS);
+    let failed = run_seeds(ZONE_FAULT_SEEDS, SEEDS_PER_SERIES);
 
     report(&failed);
-    assert!(failed.is_empty(), "{} of {SEEDS} seeds violate a promise", failed.len());
+    assert!(failed.is_empty(), "{} of {SEEDS_PER_SERIES} seeds violate a promise", failed.len());
 }
 
 #[test]
 fn no_seed_with_cuts_only_violates_anything() {
-    let failed = play_all(CUT_SEEDS, SEEDS);
+    let failed = run_seeds(CUT_SEEDS, SEEDS_PER_SERIES);
 
     report(&failed);
-    assert!(failed.is_empty(), "{} of {SEEDS} seeds violate a promise", failed.len());
+    assert!(failed.is_empty(), "{} of {SEEDS_PER_SERIES} seeds violate a promise", failed.len());
 }
 
 #[test]
 fn no_seed_with_a_large_growth_violates_anything() {
-    let failed = play_all(GROWTH_SEEDS, SEEDS);
+    let failed = run_seeds(GROWTH_SEEDS, SEEDS_PER_SERIES);
 
     report(&failed);
-    assert!(failed.is_empty(), "{} of {SEEDS} seeds violate a promise", failed.len());
+    assert!(failed.is_empty(), "{} of {SEEDS_PER_SERIES} seeds violate a promise", failed.len());
 }
 
 #[test]
 fn no_seed_with_a_restored_store_violates_anything() {
-    let failed = play_all(RESTORE_SEEDS, SEEDS);
+    let failed = run_seeds(RESTORE_SEEDS, SEEDS_PER_SERIES);
 
     report(&failed);
-    assert!(failed.is_empty(), "{} of {SEEDS} seeds violate a promise", failed.len());
+    assert!(failed.is_empty(), "{} of {SEEDS_PER_SERIES} seeds violate a promise", failed.len());
 }
 
 #[test]
 fn seeds_that_ever_failed_hold() {
-    for (seed, cause) in KNOWN {
-        let violations = play(*seed, None);
+    for (seed, cause) in KNOWN_SEEDS {
+        let violations = run_seed(*seed, None);
         assert!(violations.is_empty(), "seed {seed}, {cause}: {:?}", violations[0]);
     }
 }
@@ -235,7 +235,7 @@
 /// the paused balancer, which resumes after the time in which the entry may be written again.
 #[test]
 fn a_flow_that_moves_while_the_store_is_silent_stays() {
-    let violations = play(11_828, None);
+    let violations = run_seed(11_828, None);
 
     assert!(violations.is_empty(), "{:?}", violations[0]);
 }
@@ -243,8 +243,8 @@
 /// A balancer starts 0.7 s before the entries of a partitioned zone lapse, and receives a flow to
 /// that zone just after the partition.
 #[test]
-fn a_cut_and_a_herd_end_no_flow_that_was_answered() {
-    let violations = play(1_008_481, None);
+fn a_cut_and_a_restart_of_all_end_no_flow_that_was_answered() {
+    let violations = run_seed(1_008_481, None);
 
     assert!(violations.is_empty(), "{:?}", violations[0]);
 }
@@ -253,7 +253,7 @@
 /// that the store accepts.
 #[test]
 fn a_configuration_that_grows_twice_is_in_force_in_time_after_calls_fell_silent() {
-    let violations = play(1_013_943, None);
+    let violations = run_seed(1_013_943, None);
 
     assert!(violations.is_empty(), "{:?}", violations[0]);
 }
@@ -265,7 +265,7 @@
 /// every packet since 13 s had gone through balancer 1.
 #[test]
 fn a_flow_that_moves_after_two_cuts_stays() {
-    let violations = play(2_004_775, None);
+    let violations = run_seed(2_004_775, None);
 
     assert!(violations.is_empty(), "{:?}", violations[0]);
 }
@@ -273,7 +273,7 @@
 /// The second copy of a packet arrives 0.1 s after the end of a partition that lost the first copy.
 #[test]
 fn a_second_copy_just_after_a_cut_ends_no_flow() {
-    let violations = play(2_008_948, None);
+    let violations = run_seed(2_008_948, None);
 
     assert!(violations.is_empty(), "{:?}", violations[0]);
 }
@@ -285,7 +285,7 @@
 /// had been answered 536 ms before.
 #[test]
 fn a_flow_that_moves_between_two_outages_stays() {
-    let violations = play(2_009_812, None);
+    let violations = run_seed(2_009_812, None);
 
     assert!(violations.is_empty(), "{:?}", violations[0]);
 }
@@ -294,9 +294,9 @@
 fn a_seed_is_played_the_same_way_each_time() {
     let mutation = Some(Mutation::DropOpenFlows);
 
-    assert_eq!(play(3, mutation), play(3, mutation));
+    assert_eq!(run_seed(3, mutation), run_seed(3, mutation));
     for seed in [2_002_123, 2_004_775] {
-        let all: Vec<_> = (0..8).map(|_| play(seed, None)).collect();
+        let all: Vec<_> = (0..8).map(|_| run_seed(seed, None)).collect();
         assert!(all.iter().all(|one| *one == all[0]), "seed {seed}: {all:?}");
     }
 }
@@ -304,10 +304,11 @@
 #[test]
 fn each_oracle_fails_where_its_promise_is_broken() {
     for (mutation, oracle) in Mutation::ALL {
-        let seeds =
-            (0..60).chain(REBIRTH_SEEDS..REBIRTH_SEEDS + 60).chain(PLACES_SEEDS..PLACES_SEEDS + 60);
+        let seeds = (0..60)
+            .chain(REBIRTH_SEEDS..REBIRTH_SEEDS + 60)
+            .chain(ZONE_FAULT_SEEDS..ZONE_FAULT_SEEDS + 60);
         let found = seeds.into_iter().any(|seed| {
-            play(seed, Some(mutation)).iter().any(|violation| violation.oracle == oracle)
+            run_seed(seed, Some(mutation)).iter().any(|violation| violation.oracle == oracle)
         });
         assert!(found, "no seed with the mutation {mutation:?} violates {oracle:?}");
     }
@@ -329,7 +330,7 @@
     let first: u64 = first.parse().expect("a number");
     let end: u64 = if end.is_empty() { first + 1 } else { end.parse().expect("a number") };
 
-    let failed = play_all(first, end - first);
+    let failed = run_seeds(first, end - first);
     report(&failed);
     println!("{} of {} seeds violate a promise", failed.len(), end - first);
     assert!(failed.is_empty());
@@ -342,7 +343,7 @@
 fn traced() {
     let text = std::env::var("VALVESTAGE_SEEDS").expect("VALVESTAGE_SEEDS is set");
     let seed: u64 = text.parse().expect("a number");
-    let plan = if play(seed, None).is_empty() { FaultPlan::draw(seed) } else { shrink(seed) };
+    let plan = if run_seed(seed, None).is_empty() { FaultPlan::draw(seed) } else { shrink(seed) };
 
     println!("traced: {seed} with {plan:?}");
     let world = World::new(seed, plan, None);
--- a/crates/valvestage-policy/tests/simulation/seeds.rs
+++ b/crates/valvestage-policy/tests/simulation/seeds.rs
@@ -9,12 +9,12 @@
 mod restored_stores;
 mod stale_beliefs;
 
-use crate::play;
+use crate::run_seed;
 
 /// Runs seeds, and fails on the first one that violates a promise.
-fn assert_hold(seeds: &[u64]) {
+fn assert_no_violations(seeds: &[u64]) {
     for seed in seeds {
-        let violations = play(*seed, None);
+        let violations = run_seed(*seed, None);
         assert!(violations.is_empty(), "seed {seed}: {:?}", violations[0]);
     }
 }
--- a/crates/valvestage-policy/tests/simulation/seeds/dropped_packets.rs
+++ b/crates/valvestage-policy/tests/simulation/seeds/dropped_packets.rs
@@ -12,11 +12,11 @@
 //! `RoutesInForce` has the same millisecond, while the store has no entry of the backend server;
 //! and its `BackendChanged` 0.4 to 2 s later.
 
-use super::assert_hold;
+use super::assert_no_violations;
 
 #[test]
 fn packets_for_backend_servers_that_nobody_knows_yet_are_not_dropped() {
-    assert_hold(&[
+    assert_no_violations(&[
         3_001_437, 3_004_206, 3_006_945, 3_015_798, 3_019_315, 3_024_329, 3_026_725, 3_028_257,
         3_032_326,
     ]);
@@ -27,5 +27,5 @@
 /// and no peer reports the entries to them.
 #[test]
 fn packets_for_backend_servers_that_one_balancer_knows_are_not_dropped() {
-    assert_hold(&[3_023_681]);
+    assert_no_violations(&[3_023_681]);
 }
--- a/crates/valvestage-policy/tests/simulation/seeds/held_watches.rs
+++ b/crates/valvestage-policy/tests/simulation/seeds/held_watches.rs
@@ -9,9 +9,9 @@
 //! the trace: no `WatchRole` and no `BackendChanged` between 7.56 and 8.36 s, and the change of
 //! 8.36 s only at 11.8 s.
 
-use super::assert_hold;
+use super::assert_no_violations;
 
 #[test]
 fn an_entry_that_is_good_again_is_read_soon_after_a_restart_of_all() {
-    assert_hold(&[2_005_116]);
+    assert_no_violations(&[2_005_116]);
 }
--- a/crates/valvestage-policy/tests/simulation/seeds/late_routes.rs
+++ b/crates/valvestage-policy/tests/simulation/seeds/late_routes.rs
@@ -6,7 +6,7 @@
 //!
 //! In the trace: the times of `WatchRole`, and of the first and last `RoutesInForce`.
 
-use super::assert_hold;
+use super::assert_no_violations;
 
 /// Four balancers have the configuration after 2.7 s, and twenty others request it from each of
 /// them. The requests were served in the same order everywhere, so that the last of ninety
@@ -14,7 +14,7 @@
 /// hardly again for 0.7 s.
 #[test]
 fn a_large_configuration_is_in_force_in_time_after_calls_fell_silent() {
-    assert_hold(&[
+    assert_no_violations(&[
         4_000_060, 4_000_553, 4_000_709, 4_000_949, 4_001_479, 4_001_758, 4_001_902, 4_008_273,
         4_017_601, 4_019_730, 4_023_213, 4_023_930,
     ]);
@@ -25,14 +25,14 @@
 /// that they did not have: heartbeats show an age of 0.43 s although the store calls stopped
 /// answering 2.1 s before.
 #[test]
-fn nobody_takes_old_news_for_fresh() {
-    assert_hold(&[4_004_051]);
+fn delayed_heartbeats_do_not_count_as_fresh() {
+    assert_no_violations(&[4_004_051]);
 }
 
 /// All balancers have restarted and read the configuration when their store calls stop answering.
 /// All of them stopped following at once in favour of others, and backed off: `WatchRole` is false
 /// everywhere for 1.5 to 2.4 s.
 #[test]
-fn those_that_have_started_do_not_all_rest() {
-    assert_hold(&[4_003_265, 4_020_242]);
+fn restarted_balancers_do_not_all_stop_following() {
+    assert_no_violations(&[4_003_265, 4_020_242]);
 }
--- a/crates/valvestage-policy/tests/simulation/seeds/living_flows.rs
+++ b/crates/valvestage-policy/tests/simulation/seeds/living_flows.rs
@@ -13,19 +13,19 @@
 //! flow's last packet seconds before or has just seen its first one; between the two, the caller
 //! got an answer through another balancer.
 
-use super::assert_hold;
+use super::assert_no_violations;
 
 /// The flow went through the balancer before, and has been served through another one since.
 #[test]
 fn a_flow_that_went_on_elsewhere_stays() {
-    assert_hold(&[28_119, 30_073, 3_030_339]);
+    assert_no_violations(&[28_119, 30_073, 3_030_339]);
 }
 
 /// The flow moves to a balancer that has seen no traffic of its backend server, before any balancer
 /// has detected that the store does not answer.
 #[test]
-fn a_flow_that_comes_to_one_that_saw_nothing_stays() {
-    assert_hold(&[24_229, 3_013_017, 3_032_110, 3_036_505]);
+fn a_flow_that_moves_to_a_balancer_without_traffic_of_its_backend_stays() {
+    assert_no_violations(&[24_229, 3_013_017, 3_032_110, 3_036_505]);
 }
 
 /// A flow moves to a balancer whose zone is partitioned from its backend server. Its packet is lost
@@ -33,5 +33,5 @@
 /// other zone has been heard again.
 #[test]
 fn a_flow_that_moves_in_a_cut_and_sends_just_after_it_stays() {
-    assert_hold(&[2_300_695]);
+    assert_no_violations(&[2_300_695]);
 }
--- a/crates/valvestage-policy/tests/simulation/seeds/many_calls.rs
+++ b/crates/valvestage-policy/tests/simulation/seeds/many_calls.rs
@@ -6,9 +6,9 @@
 //! The cause is the same as in `many_messages`, and so are the trace lines, for twelve balancers in
 //! turn from 19 to 24 s.
 
-use super::assert_hold;
+use super::assert_no_violations;
 
 #[test]
 fn two_followers_make_few_calls_after_many_faults() {
-    assert_hold(&[2_023_646]);
+    assert_no_violations(&[2_023_646]);
 }
--- a/crates/valvestage-policy/tests/simulation/seeds/many_messages.rs
+++ b/crates/valvestage-policy/tests/simulation/seeds/many_messages.rs
@@ -8,9 +8,9 @@
 //! attempt, but reading the configuration takes 0.7 s. In the trace, for each balancer in turn:
 //! `WatchRole` true, `WatchRole` false 0.5 s later, and `StoreLink` answers true 0.17 s after that.
 
-use super::assert_hold;
+use super::assert_no_violations;
 
 #[test]
 fn messages_become_few_again_after_a_large_configuration() {
-    assert_hold(&[4_002_129]);
+    assert_no_violations(&[4_002_129]);
 }
--- a/crates/valvestage-policy/tests/simulation/seeds/stale_beliefs.rs
+++ b/crates/valvestage-policy/tests/simulation/seeds/stale_beliefs.rs
@@ -15,11 +15,11 @@
 //! balancers of which one has `BackendChanged` with the phase gone at that revision and the other
 //! does not.
 
-use super::assert_hold;
+use super::assert_no_violations;
 
 #[test]
 fn a_backend_server_that_ended_in_a_cut_is_not_believed_in_for_good() {
-    assert_hold(&[2_014_712, 2_016_408]);
+    assert_no_violations(&[2_014_712, 2_016_408]);
 }
 
 /// A follower of the store records an entry as missing, and then stops following. Other balancers
@@ -28,8 +28,8 @@
 /// `BackendMissing` is its last line about the entry, and heartbeats have the same complete
 /// position but another digest for ten seconds.
 #[test]
-fn one_that_stopped_following_does_not_believe_in_a_missing_entry_for_good() {
-    assert_hold(&[27_783, 20_702]);
+fn a_balancer_that_stopped_following_does_not_keep_a_missing_entry_for_good() {
+    assert_no_violations(&[27_783, 20_702]);
 }
 
 /// A starting balancer reads the store when an outage may just have ended, records an entry as
@@ -38,13 +38,13 @@
 /// missing. In the trace `BackendMissing` is its last line about the entry, its heartbeats keep the
 /// same complete position, and it requests changes at each heartbeat that it receives.
 #[test]
-fn one_that_misses_an_entry_learns_of_an_end_that_others_knew_before() {
-    assert_hold(&[2_000_749, 2_001_739]);
+fn a_balancer_that_misses_an_entry_learns_its_end_from_peers_that_knew_it_before() {
+    assert_no_violations(&[2_000_749, 2_001_739]);
 }
 
 #[test]
 fn a_start_under_a_former_name_is_learned() {
-    assert_hold(&[2_203_988]);
+    assert_no_violations(&[2_203_988]);
 }
 
 /// An entry lapses in a partition. A balancer that starts meanwhile learns of it as already gone,
@@ -54,7 +54,7 @@
 /// until the end.
 #[test]
 fn an_end_that_is_told_at_the_position_of_the_entry_is_learned() {
-    assert_hold(&[2_300_643, 2_302_693, 2_303_151]);
+    assert_no_violations(&[2_300_643, 2_302_693, 2_303_151]);
 }
 
 /// A new incarnation writes its entry, and another writer makes it unusable before any balancer
@@ -64,5 +64,5 @@
 /// superseded.
 #[test]
 fn a_start_whose_entry_is_spoiled_is_learned() {
-    assert_hold(&[2_203_988, 1_100_903]);
+    assert_no_violations(&[2_203_988, 1_100_903]);
 }
--- a/crates/valvestage-policy/tests/simulation/site.rs
+++ b/crates/valvestage-policy/tests/simulation/site.rs
@@ -59,7 +59,7 @@
     }
 
     /// Draws the limits of cold backend servers, which enables evacuations and cold starts.
-    pub fn add_places(&mut self, draw: &mut SeededDraw) {
+    pub fn add_cold_limits(&mut self, draw: &mut SeededDraw) {
         let number = |draw: &mut SeededDraw, limit| u32::try_from(draw.below(limit)).expect("few");
         let limit = ColdLimit { over: 1.5, slack: f64::from(number(draw, 4)) };
         let rate = ColdRate::try_from(f64::from(1 + number(draw, 6))).expect("a rate");
--- a/crates/valvestage-policy/tests/simulation/store.rs
+++ b/crates/valvestage-policy/tests/simulation/store.rs
@@ -16,7 +16,7 @@
 
 /// Size of one route in the store, and bytes that a link of 10 Mbit/s carries in a millisecond.
 const ROUTE_BYTES: usize = 180;
-const LINK_BYTES_EACH_MS: usize = 1_250;
+const LINK_BYTES_PER_MS: usize = 1_250;
 
 /// Most routes of a configuration: the store accepts values of up to 1 MiB.
 pub const MAX_ROUTES: usize = (1 << 20) / ROUTE_BYTES;
@@ -35,12 +35,12 @@
     pub balancer: BalancerNumber,
     /// The balancer's start count when it made the call. A restarted balancer gets no answers to
     /// calls of its former process.
-    pub life: u32,
+    pub start_count: u32,
     pub kind: StoreKind,
     pub call: StoreCall,
     pub answer_at: Millis,
-    pub ends_at: Millis,
-    pub gives_up_at: Millis,
+    pub wait_ends_at: Millis,
+    pub times_out_at: Millis,
     /// Whether the connection is dead or the answer was lost, so that the call times out.
     pub is_silent: bool,
 }
@@ -75,18 +75,18 @@
     pub evacuated: BTreeSet<String>,
     evacuation_changes: Vec<EvacuationNews>,
     /// Watches after an older revision than this fail.
-    forgotten: u64,
+    compacted_revision: u64,
     /// When each revision was first seen by the periodic scan.
-    changed_at: Vec<(u64, Millis)>,
+    revision_times: Vec<(u64, Millis)>,
     pub mode: StoreMode,
     /// Whether one answer in three is lost.
-    pub loses: bool,
+    pub loses_answers: bool,
     pub calls: Vec<OpenCall>,
     pub call_count: usize,
     /// Whether watches show draining entries as ready.
     pub hides_drains: bool,
     /// Whether entries hide the incarnation of their backend servers.
-    pub hides_births: bool,
+    pub hides_incarnations: bool,
     /// Whether no evacuations are shown, and no entry is shown as cold.
     pub hides_evacuations: bool,
     pub hides_cold: bool,
@@ -104,14 +104,14 @@
             entry_changes: Vec::new(),
             evacuated: BTreeSet::new(),
             evacuation_changes: Vec::new(),
-            forgotten: 0,
-            changed_at: Vec::new(),
+            compacted_revision: 0,
+            revision_times: Vec::new(),
             mode: StoreMode::Answers,
-            loses: false,
+            loses_answers: false,
             calls: Vec::new(),
             call_count: 0,
             hides_drains: false,
-            hides_births: false,
+            hides_incarnations: false,
             hides_evacuations: false,
             hides_cold: false,
         }
@@ -132,7 +132,7 @@
         if self.hides_cold {
             entry.cold_until = None;
         }
-        if self.hides_births {
+        if self.hides_incarnations {
             entry.instance = entry.name.number;
         }
         self.revision += 1;
@@ -151,7 +151,7 @@
     }
 
     /// Writes the operator's request to evacuate a zone, or to end its evacuation.
-    pub fn evacuate(&mut self, zone: &str, is_asked: bool) {
+    pub fn set_evacuated(&mut self, zone: &str, is_asked: bool) {
         self.revision += 1;
         if is_asked {
             self.evacuated.insert(zone.to_owned());
@@ -166,7 +166,7 @@
 
     /// Overwrites an entry as another writer does, with a value that names no usable backend
     /// server.
-    pub fn spoil_entry(&mut self, instance: InstanceId) {
+    pub fn make_entry_unusable(&mut self, instance: InstanceId) {
         let Some(entry) = self.entries.get_mut(&instance) else { return };
 
         self.revision += 1;
@@ -196,15 +196,15 @@
     }
 
     /// Records the time of the current revision if it is new.
-    pub fn note_time(&mut self, now: Millis) {
-        if self.changed_at.last().is_none_or(|(revision, _)| *revision < self.revision) {
-            self.changed_at.push((self.revision, now));
+    pub fn record_revision_time(&mut self, now: Millis) {
+        if self.revision_times.last().is_none_or(|(revision, _)| *revision < self.revision) {
+            self.revision_times.push((self.revision, now));
         }
     }
 
     /// Returns the last revision recorded up to a time, or 0.
     pub fn revision_at(&self, time: Millis) -> u64 {
-        let before = self.changed_at.iter().rev().find(|(_, at)| *at <= time);
+        let before = self.revision_times.iter().rev().find(|(_, at)| *at <= time);
 
         before.map_or(0, |(revision, _)| *revision)
     }
@@ -214,13 +214,13 @@
         let former: Vec<_> = self.entries.keys().copied().collect();
         self.era += 1;
         self.revision = revision;
-        self.forgotten = self.forgotten.min(revision);
-        self.changed_at.retain(|(at, _)| *at <= revision);
+        self.compacted_revision = self.compacted_revision.min(revision);
+        self.revision_times.retain(|(at, _)| *at <= revision);
         self.route_changes.retain(|(at, _)| *at <= revision);
         self.entry_changes.retain(|news| news.position.revision <= revision);
         self.evacuation_changes.retain(|news| news.position.revision <= revision);
 
-        self.enter_era();
+        self.rewrite_history_era();
         let routes = self.route_changes.last();
         self.routes = routes.map(|(_, routes)| routes.clone()).unwrap_or_default();
         self.evacuated.clear();
@@ -233,7 +233,7 @@
         }
         self.entries.clear();
         for news in self.entry_changes.clone() {
-            self.replay(news);
+            self.replay_change(news);
         }
         for instance in former.into_iter().filter(|one| !self.entries.contains_key(one)) {
             self.absences.insert(instance, Absence { since: now, until: None });
@@ -242,7 +242,7 @@
 
     /// Moves the change history to the present era: the store reports all positions in this era,
     /// also those of writes in a former one.
-    fn enter_era(&mut self) {
+    fn rewrite_history_era(&mut self) {
         let era = self.era;
 
         for news in &mut self.entry_changes {
@@ -257,7 +257,7 @@
     }
 
     /// Applies a change of the history to the entries again.
-    fn replay(&mut self, news: BackendNews) {
+    fn replay_change(&mut self, news: BackendNews) {
         let former = self.entries.values().find(|entry| entry.name == news.name).cloned();
         self.entries.retain(|_, entry| entry.name != news.name);
 
@@ -273,17 +273,17 @@
     }
 
     /// Reports whether the changes after a revision are not available.
-    fn lacks(&self, after: u64) -> bool {
-        after < self.forgotten || after > self.revision
+    fn lacks_history_after(&self, after: u64) -> bool {
+        after < self.compacted_revision || after > self.revision
     }
 
-    pub fn forget_history(&mut self) {
-        self.forgotten = self.revision;
+    pub fn compact_history(&mut self) {
+        self.compacted_revision = self.revision;
     }
 
     pub fn begin_call(
         &mut self,
-        (balancer, life): (BalancerNumber, u32),
+        (balancer, start_count): (BalancerNumber, u32),
         (kind, call): (StoreKind, StoreCall),
         has_slow_link: bool,
         now: Millis,
@@ -295,22 +295,27 @@
         };
         let is_large = has_slow_link && kind == StoreKind::Configuration;
         let bytes = if is_large { self.routes.routes.len() * ROUTE_BYTES } else { 0 };
-        let transfer = Millis::try_from(bytes / LINK_BYTES_EACH_MS).expect("short");
+        let transfer = Millis::try_from(bytes / LINK_BYTES_PER_MS).expect("short");
         self.calls.push(OpenCall {
             balancer,
-            life,
+            start_count,
             kind,
             call,
             answer_at: now + 4 + transfer,
-            ends_at: now + wait,
-            gives_up_at: now + wait + transfer + CALL_TIMEOUT,
+            wait_ends_at: now + wait,
+            times_out_at: now + wait + transfer + CALL_TIMEOUT,
             is_silent: false,
         });
     }
 
     /// Returns the answer to a call. Returns None for a watch that has nothing to report and may
     /// still wait.
-    pub fn answer(&self, kind: StoreKind, call: &StoreCall, is_over: bool) -> Option<StoreAnswer> {
+    pub fn answer(
+        &self,
+        kind: StoreKind,
+        call: &StoreCall,
+        is_wait_over: bool,
+    ) -> Option<StoreAnswer> {
         let position = self.position();
         let after = match call {
             StoreCall::List { .. } => None,
@@ -322,13 +327,13 @@
                 let objects = has_any.then(|| self.routes.clone()).into_iter().collect();
                 StoreAnswer::Routes(StoreReply::Page { objects, next_after: None, position })
             }
-            (StoreKind::Configuration, Some(after)) if self.lacks(after) => {
+            (StoreKind::Configuration, Some(after)) if self.lacks_history_after(after) => {
                 StoreAnswer::Routes(StoreReply::HistoryGone)
             }
             (StoreKind::Configuration, Some(after)) => {
                 let changes = self.route_changes.iter().filter(|(at, _)| *at > after);
                 let objects: Vec<_> = changes.map(|(_, routes)| routes.clone()).collect();
-                if objects.is_empty() && !is_over {
+                if objects.is_empty() && !is_wait_over {
                     return None;
                 }
                 StoreAnswer::Routes(StoreReply::Changes { objects, position })
@@ -351,26 +356,26 @@
                 let objects = objects.collect();
                 StoreAnswer::Evacuations(StoreReply::Page { objects, next_after: None, position })
             }
-            (StoreKind::Evacuations, Some(after)) if self.lacks(after) => {
+            (StoreKind::Evacuations, Some(after)) if self.lacks_history_after(after) => {
                 StoreAnswer::Evacuations(StoreReply::HistoryGone)
             }
             (StoreKind::Evacuations, Some(after)) => {
                 let changes =
                     self.evacuation_changes.iter().filter(|news| news.position.revision > after);
                 let objects: Vec<_> = changes.cloned().collect();
-                if objects.is_empty() && !is_over {
+                if objects.is_empty() && !is_wait_over {
                     return None;
                 }
                 StoreAnswer::Evacuations(StoreReply::Changes { objects, position })
             }
-            (StoreKind::Backends, Some(after)) if self.lacks(after) => {
+            (StoreKind::Backends, Some(after)) if self.lacks_history_after(after) => {
                 StoreAnswer::Backends(StoreReply::HistoryGone)
             }
             (StoreKind::Backends, Some(after)) => {
                 let changes =
                     self.entry_changes.iter().filter(|news| news.position.revision > after);
                 let objects: Vec<_> = changes.cloned().collect();
-                if objects.is_empty() && !is_over {
+                if objects.is_empty() && !is_wait_over {
                     return None;
                 }
                 StoreAnswer::Backends(StoreReply::Changes { objects, position })
--- a/crates/valvestage-policy/tests/simulation/world.rs
+++ b/crates/valvestage-policy/tests/simulation/world.rs
@@ -30,20 +30,20 @@
 const CALLERS_AT: Millis = 3_500;
 
 /// Start of the final phase, which has no faults, and end of the simulation.
-const LATE_AT: Millis = 24_000;
+const FINAL_PHASE_AT: Millis = 24_000;
 const END_AT: Millis = 29_000;
 
 /// Latency of each packet to a balancer or a backend server, and of each packet to a caller.
-const NEAR_MS: Millis = 1;
-const FAR_MS: Millis = 2;
+const HOP_MS: Millis = 1;
+const TO_CALLER_MS: Millis = 2;
 
 /// Intervals of the store's scan, of the oracles' checks, and of the routers' health probes.
-const SCAN_EVERY: Millis = 5;
-const PROBE_EVERY: Millis = 100;
-const ROUTER_PROBES: Millis = 500;
+const STORE_SCAN_INTERVAL: Millis = 5;
+const PROBE_INTERVAL: Millis = 100;
+const ROUTER_PROBE_INTERVAL: Millis = 500;
 
 /// Number of addresses with traffic.
-const ADDRESSES: usize = 4;
+const ADDRESS_COUNT: usize = 4;
 
 /// The simulated deployment of one seed.
 pub struct World {
@@ -57,7 +57,7 @@
     /// End of the last fault that affected the store.
     store_disturbed_at: Millis,
     /// Whether entries lapse although the store is away.
-    lapses: bool,
+    entries_lapse_while_away: bool,
     balancers: Vec<Balancer>,
     links: Option<LinkTable>,
     router: RouterTable,
@@ -69,20 +69,20 @@
     flow_numbers: HashMap<FlowAddresses, FlowNumber>,
     faults: Vec<Fault>,
     /// The service of each address in the operator's desired configuration.
-    wanted: BTreeMap<SocketAddrV4, usize>,
+    wanted_routes: BTreeMap<SocketAddrV4, usize>,
     /// When each address was last removed from the configuration.
     dropped_at: BTreeMap<SocketAddrV4, Millis>,
     /// Every pair of address and service that any configuration has allowed.
-    allowed: BTreeSet<(SocketAddrV4, usize)>,
+    ever_allowed: BTreeSet<(SocketAddrV4, usize)>,
     /// Configuration versions, and when the store acknowledged them.
     acknowledged: Vec<(u64, Millis)>,
     /// The newest configuration that the operator has written, even if a restore has lost it.
     newest_routes: RouteMap,
     /// Which zones the operator wants to be evacuated.
-    wants_evacuated: Vec<bool>,
+    wanted_evacuations: Vec<bool>,
     mutation: Option<Mutation>,
     violations: Vec<Violation>,
-    late_calls: usize,
+    final_calls: usize,
     trace: TraceOptions,
 }
 
@@ -90,8 +90,8 @@
     pub fn new(seed: u64, faults: FaultPlan, mutation: Option<Mutation>) -> Self {
         let mut draw = SeededDraw::new(seed);
         let mut plan = SitePlan::draw(&mut draw);
-        if matches!(FaultSeries::of(seed), FaultSeries::Places | FaultSeries::Restores) {
-            plan.add_places(&mut draw);
+        if matches!(FaultSeries::of(seed), FaultSeries::ZoneFaults | FaultSeries::Restores) {
+            plan.add_cold_limits(&mut draw);
         }
         let slow = Some(SLOW_LINK).filter(|_| plan.has_slow_links);
         let links = slow.map(|limits: LinkLimits| LinkTable::new(plan.balancers, limits));
@@ -104,7 +104,7 @@
             queue: EventQueue::default(),
             store: FakeStore::default(),
             store_disturbed_at: 0,
-            lapses: false,
+            entries_lapse_while_away: false,
             balancers: (0..plan.balancers).map(|_| Balancer::new()).collect(),
             links,
             router: RouterTable::new(&plan),
@@ -114,15 +114,15 @@
             flows: Vec::new(),
             flow_numbers: HashMap::new(),
             faults,
-            wanted: (0..ADDRESSES).map(|n| (service_address(n), n % 2)).collect(),
+            wanted_routes: (0..ADDRESS_COUNT).map(|n| (service_address(n), n % 2)).collect(),
             dropped_at: BTreeMap::new(),
-            allowed: BTreeSet::new(),
+            ever_allowed: BTreeSet::new(),
             acknowledged: Vec::new(),
             newest_routes: RouteMap::default(),
-            wants_evacuated: vec![false; plan.zones],
+            wanted_evacuations: vec![false; plan.zones],
             mutation,
             violations: Vec::new(),
-            late_calls: 0,
+            final_calls: 0,
             trace: TraceOptions::from_environment(),
             plan,
         };
@@ -135,8 +135,8 @@
         self.store.hides_drains = self.mutation == Some(Mutation::HideDrains);
         self.store.hides_evacuations = self.mutation == Some(Mutation::HideEvacuations);
         self.store.hides_cold = self.mutation == Some(Mutation::HideCold);
-        self.store.hides_births = self.mutation == Some(Mutation::HideBirths);
-        self.configure();
+        self.store.hides_incarnations = self.mutation == Some(Mutation::HideBirths);
+        self.write_configuration();
         for service in 0..SERVICES.len() {
             for zone in 0..self.plan.zones {
                 for _ in 0..self.plan.backends_each {
@@ -145,7 +145,7 @@
             }
         }
         for balancer in 0..self.plan.balancers {
-            self.start(balancer);
+            self.start_balancer(balancer);
         }
         self.queue.add(1, Event::StoreScan);
         self.queue.add(2, Event::Probe);
@@ -185,16 +185,16 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Wake(balancer) => self.wake(balancer),
-            Event::Message(from, to, message) => self.deliver(from, to, message),
+            Event::Message(from, to, message) => self.deliver_message(from, to, message),
             Event::Packet(balancer, flow, packet) => self.on_packet(balancer, flow, packet),
             Event::Forwarded { .. } => self.on_forwarded(event),
-            Event::Worked(instance, flow) => self.on_worked(instance, flow),
+            Event::RequestDone(instance, flow) => self.on_request_done(instance, flow),
             Event::Answer(flow, answer) => self.on_answer(flow, answer),
             Event::CallerTimer(flow) => self.on_caller_timer(flow),
             Event::CallerStart(caller) => self.open_flow(caller),
             Event::StoreScan => self.scan_store(),
             Event::Probe => self.probe(),
-            Event::OperatorWrites => self.write_again(),
+            Event::OperatorRewrites => self.rewrite_lost_state(),
             Event::FaultBegins(number) => self.begin_fault(number),
             Event::FaultEnds(number) => self.end_fault(number),
         }
@@ -212,9 +212,9 @@
     }
 
     /// Writes the operator's desired configuration to the store, as a new version.
-    fn configure(&mut self) {
+    fn write_configuration(&mut self) {
         let version = self.newest_routes.version + 1 + self.draw.next_number() % 3;
-        let routes = self.wanted.iter().map(|(address, service)| {
+        let routes = self.wanted_routes.iter().map(|(address, service)| {
             let service = SERVICES[*service].to_owned();
             (*address, vec![RouteTarget { service, weight: 1 }])
         });
@@ -231,7 +231,8 @@
         self.newest_routes = map.clone();
         self.store.put_routes(map);
         self.acknowledged.push((version, self.now));
-        self.allowed.extend(self.wanted.iter().map(|(address, service)| (*address, *service)));
+        self.ever_allowed
+            .extend(self.wanted_routes.iter().map(|(address, service)| (*address, *service)));
     }
 
     /// Starts a backend server at the given address, or else at a new one.
@@ -241,10 +242,10 @@
         let address = address.unwrap_or_else(|| backend_address(number));
 
         let mut backend = Backend::new(instance, service, zone, address);
-        backend.last_beat = self.now;
+        backend.last_written_at = self.now;
         backend.cold_until = self.cold_until();
         // While the store is not reachable, the periodic writes store the entry later.
-        if self.reaches_store(zone) {
+        if self.can_reach_store(zone) {
             self.store.put_entry(backend.entry(self.base), self.now);
         }
         self.backends.insert(instance, backend);
@@ -258,7 +259,7 @@
         Some(self.now + places.cold_ms)
     }
 
-    fn start(&mut self, balancer: BalancerNumber) {
+    fn start_balancer(&mut self, balancer: BalancerNumber) {
         let now = self.instant();
         self.balancers[balancer].start(balancer, &self.plan, self.seed, now);
 
@@ -267,11 +268,11 @@
     }
 
     /// Reports whether packets pass between two zones.
-    fn is_joined(&self, one: usize, other: usize) -> bool {
+    fn is_connected(&self, one: usize, other: usize) -> bool {
         one == other || !self.cut_zones[one] && !self.cut_zones[other]
     }
 
-    fn reaches_store(&self, zone: usize) -> bool {
+    fn can_reach_store(&self, zone: usize) -> bool {
         !self.cut_zones[zone] && self.store.mode == crate::store::StoreMode::Answers
     }
 }
--- a/crates/valvestage-policy/tests/simulation/world/checks.rs
+++ b/crates/valvestage-policy/tests/simulation/world/checks.rs
@@ -3,7 +3,7 @@
 use valvestage_core::ids::InstanceId;
 use valvestage_policy::steering::BackendPhase;
 
-use super::{END_AT, PROBE_EVERY, ROUTER_PROBES, World};
+use super::{END_AT, PROBE_INTERVAL, ROUTER_PROBE_INTERVAL, World};
 use crate::events::{BalancerNumber, Event, FlowNumber, Millis};
 use crate::mutation::Mutation;
 use crate::oracles::{
@@ -13,41 +13,42 @@
 impl World {
     pub(super) fn probe(&mut self) {
         if self.now < END_AT {
-            self.queue.add(self.now + PROBE_EVERY, Event::Probe);
+            self.queue.add(self.now + PROBE_INTERVAL, Event::Probe);
         }
 
         for balancer in 0..self.plan.balancers {
-            if self.now % ROUTER_PROBES < PROBE_EVERY {
+            if self.now % ROUTER_PROBE_INTERVAL < PROBE_INTERVAL {
                 let is_ready = self.balancers[balancer].is_ready(self.now);
                 self.router.on_probe(balancer, is_ready);
             }
             self.check_version(balancer);
-            self.check_births(balancer);
+            self.check_incarnations(balancer);
         }
     }
 
     /// Checks that an undisturbed balancer does not take an incarnation for running whose successor
     /// has been in the store for longer than `KNOWN_WITHIN`.
-    fn check_births(&mut self, balancer: BalancerNumber) {
-        if !self.is_in_touch(balancer) {
+    fn check_incarnations(&mut self, balancer: BalancerNumber) {
+        if !self.is_undisturbed(balancer) {
             return;
         }
         let Some(policy) = &self.balancers[balancer].policy else { return };
         let directory = &policy.knowledge().directory;
 
-        let is_known = |heir: &InstanceId| {
-            let born_at = self.backends[heir].born_at;
-            born_at.is_some_and(|at| at + KNOWN_WITHIN < self.now)
+        let is_known = |successor: &InstanceId| {
+            let entry_stored_at = self.backends[successor].entry_stored_at;
+            entry_stored_at.is_some_and(|at| at + KNOWN_WITHIN < self.now)
         };
-        let followed = self.backends.values().filter(|old| old.heir.as_ref().is_some_and(is_known));
-        let mut believed = followed
+        let superseded =
+            self.backends.values().filter(|old| old.successor.as_ref().is_some_and(is_known));
+        let mut stale = superseded
             .filter(|old| directory.get(old.instance).is_some_and(|entry| !entry.is_gone()));
-        if let Some(old) = believed.next() {
+        if let Some(old) = stale.next() {
             let what = format!(
                 "balancer {balancer} takes {:x}, which has a successor, for running",
                 old.instance
             );
-            self.violate(Oracle::BirthsAreKnown, what);
+            self.record_violation(Oracle::BirthsAreKnown, what);
         }
     }
 
@@ -59,26 +60,26 @@
             version = version.saturating_sub(2);
         }
 
-        let highest = node.version;
+        let highest = node.highest_version;
         if version < highest {
             let what = format!("balancer {balancer} has version {version} after {highest}");
-            self.violate(Oracle::RoutesStay, what);
+            self.record_violation(Oracle::RoutesStay, what);
         }
-        self.balancers[balancer].version = version.max(highest);
+        self.balancers[balancer].highest_version = version.max(highest);
         let due = self.acknowledged.iter().rfind(|(_, at)| at + KNOWN_WITHIN < self.now);
         if let Some((due, at)) = due.copied()
             && version < due
-            && self.is_in_touch(balancer)
+            && self.is_undisturbed(balancer)
         {
             let what = format!(
                 "balancer {balancer} has version {version}, but {due} was acknowledged at {at} ms"
             );
-            self.violate(Oracle::RoutesInTime, what);
+            self.record_violation(Oracle::RoutesInTime, what);
         }
     }
 
     /// Reports whether neither the balancer nor the store had a fault in the last `CALM_AFTER`.
-    fn is_in_touch(&self, balancer: BalancerNumber) -> bool {
+    fn is_undisturbed(&self, balancer: BalancerNumber) -> bool {
         let is_calm = |disturbed_at: Millis| disturbed_at + CALM_AFTER <= self.now;
 
         is_calm(self.balancers[balancer].disturbed_at) && is_calm(self.store_disturbed_at)
@@ -97,14 +98,14 @@
         let Some(since) = backend.drain_stored_at else { return };
         let service = backend.service;
         let takes_flows = |other: &&crate::backends::Backend| {
-            other.service == service && !other.has_ended && other.drains_since.is_none()
+            other.service == service && !other.has_ended && other.draining_since.is_none()
         };
         let has_others = self.backends.values().any(|other| takes_flows(&other));
 
-        if sent_at > since + KNOWN_WITHIN && has_others && self.is_in_touch(through) {
+        if sent_at > since + KNOWN_WITHIN && has_others && self.is_undisturbed(through) {
             let what =
                 format!("balancer {through} sends to {instance:x}, draining since {since} ms");
-            self.violate(Oracle::DrainsAreKept, what);
+            self.record_violation(Oracle::DrainsAreKept, what);
         }
     }
 
@@ -119,11 +120,11 @@
         let zone = self.backends[&instance].zone;
         let Some(since) = self.evacuated_since[zone] else { return };
 
-        if sent_at > since + KNOWN_WITHIN && self.is_in_touch(through) {
+        if sent_at > since + KNOWN_WITHIN && self.is_undisturbed(through) {
             let what = format!(
                 "balancer {through} sends to {instance:x} in zone {zone}, evacuated since {since} ms"
             );
-            self.violate(Oracle::EvacuationsAreKept, what);
+            self.record_violation(Oracle::EvacuationsAreKept, what);
         }
     }
 
@@ -153,7 +154,7 @@
             let what = format!(
                 "{instance:x} gets {count} opening packets in a second, of {allowed} allowed"
             );
-            self.violate(Oracle::ColdRatesAreKept, what);
+            self.record_violation(Oracle::ColdRatesAreKept, what);
         }
     }
 
@@ -162,32 +163,32 @@
         self.check_knowledge();
         let followers = self.balancers.iter().filter_map(|node| node.policy.as_ref());
         let followers = followers.filter(|policy| policy.keeper().is_watching()).count();
-        if followers > MAX_FOLLOWERS || self.late_calls > MAX_CALLS {
+        if followers > MAX_FOLLOWERS || self.final_calls > MAX_CALLS {
             let what = format!(
                 "{followers} balancers follow the store, {} calls in the final phase",
-                self.late_calls
+                self.final_calls
             );
-            self.violate(Oracle::FewFollowers, what);
+            self.record_violation(Oracle::FewFollowers, what);
         }
         for balancer in 0..self.plan.balancers {
-            let sent = self.balancers[balancer].late_messages;
+            let sent = self.balancers[balancer].final_messages;
             if sent > MAX_MESSAGES_EACH {
                 let what = format!("balancer {balancer} sent {sent} messages in the final phase");
-                self.violate(Oracle::FewMessages, what);
+                self.record_violation(Oracle::FewMessages, what);
             }
         }
     }
 
     fn check_knowledge(&mut self) {
         for balancer in 0..self.plan.balancers {
-            if let Some(what) = self.difference(balancer) {
-                self.violate(Oracle::KnowledgeConverges, what);
+            if let Some(what) = self.find_difference(balancer) {
+                self.record_violation(Oracle::KnowledgeConverges, what);
             }
         }
     }
 
     /// Returns the first difference between a balancer's knowledge and the store, if any.
-    fn difference(&self, balancer: BalancerNumber) -> Option<String> {
+    fn find_difference(&self, balancer: BalancerNumber) -> Option<String> {
         let Some(policy) = &self.balancers[balancer].policy else {
             return Some(format!("balancer {balancer} is down"));
         };
@@ -217,9 +218,9 @@
             }
         }
         let is_stale = |instance: &InstanceId| !self.store.entries.contains_key(instance);
-        let believed = knowledge.directory.iter();
-        let believed = believed.filter(|entry| !matches!(entry.phase, BackendPhase::Gone { .. }));
-        let stale = believed.map(|entry| entry.instance).find(|instance| is_stale(instance));
+        let present = knowledge.directory.iter();
+        let present = present.filter(|entry| !matches!(entry.phase, BackendPhase::Gone { .. }));
+        let stale = present.map(|entry| entry.instance).find(|instance| is_stale(instance));
         stale.map(|instance| format!("balancer {balancer} takes {instance:x} for running"))
     }
 }
--- a/crates/valvestage-policy/tests/simulation/world/faults.rs
+++ b/crates/valvestage-policy/tests/simulation/world/faults.rs
@@ -5,8 +5,8 @@
 use valvestage_core::ids::InstanceId;
 use valvestage_policy::steering::BackendPhase;
 
-use super::{ADDRESSES, World};
-use crate::backends::{Backend, LEAVES_AFTER, next_birth};
+use super::{ADDRESS_COUNT, World};
+use crate::backends::{Backend, DRAIN_MS, next_incarnation};
 use crate::events::{Event, Millis};
 use crate::fault::{Fault, FaultKind, RestoreDepth};
 use crate::oracles::Oracle;
@@ -14,11 +14,11 @@
 use crate::store::{MAX_ROUTES, StoreMode};
 
 /// Longest time for which one balancer is down, and for which all balancers are down.
-const DOWN_MS: Millis = 1_500;
-const HERD_DOWN_MS: Millis = 1_000;
+const MAX_DOWN_MS: Millis = 1_500;
+const MAX_ALL_DOWN_MS: Millis = 1_000;
 
 /// Duration of a rolling restart of all balancers.
-const ROLL_MS: Millis = 4_000;
+const ROLLING_RESTART_MS: Millis = 4_000;
 
 /// After a restore of the store the operator writes again within the first time, and backend
 /// servers within the second one plus the interval between two writes.
@@ -37,16 +37,16 @@
         let Fault { kind, at, for_ms } = *fault;
         match kind {
             FaultKind::RollingRestart => {
-                let gap = ROLL_MS / u64::try_from(plan.balancers).expect("few");
+                let gap = ROLLING_RESTART_MS / u64::try_from(plan.balancers).expect("few");
                 all.extend((0..plan.balancers).map(|number| Fault {
                     kind: FaultKind::Restart(number),
                     at: at + gap * u64::try_from(number).expect("few"),
                     for_ms: 100,
                 }));
             }
-            FaultKind::Restart(_) => all.push(Fault { for_ms: for_ms.min(DOWN_MS), ..*fault }),
-            FaultKind::Herd => all.push(Fault { for_ms: for_ms.min(HERD_DOWN_MS), ..*fault }),
-            FaultKind::BackendReplaced(_) => all.push(Fault { for_ms: LEAVES_AFTER, ..*fault }),
+            FaultKind::Restart(_) => all.push(Fault { for_ms: for_ms.min(MAX_DOWN_MS), ..*fault }),
+            FaultKind::Herd => all.push(Fault { for_ms: for_ms.min(MAX_ALL_DOWN_MS), ..*fault }),
+            FaultKind::BackendReplaced(_) => all.push(Fault { for_ms: DRAIN_MS, ..*fault }),
             FaultKind::AddressReused(_) => {
                 all.push(Fault { for_ms: for_ms.max(REUSE_AFTER), ..*fault });
             }
@@ -65,54 +65,57 @@
         let until = self.now + for_ms;
 
         match kind {
-            FaultKind::RouteChange(which) => {
-                let address = service_address(which % ADDRESSES);
-                if let Some(service) = self.wanted.get_mut(&address) {
+            FaultKind::RouteChange(selector) => {
+                let address = service_address(selector % ADDRESS_COUNT);
+                if let Some(service) = self.wanted_routes.get_mut(&address) {
                     *service = 1 - *service;
                 }
-                self.configure_if_possible();
+                self.write_configuration_if_possible();
             }
-            FaultKind::RouteDrop(which) => {
-                let address = service_address(which % ADDRESSES);
-                let is_last = self.wanted.len() == 1;
-                if self.wanted.remove(&address).is_none() || is_last {
-                    self.wanted.insert(address, which % 2);
+            FaultKind::RouteDrop(selector) => {
+                let address = service_address(selector % ADDRESS_COUNT);
+                let is_last = self.wanted_routes.len() == 1;
+                if self.wanted_routes.remove(&address).is_none() || is_last {
+                    self.wanted_routes.insert(address, selector % 2);
                 } else {
                     self.dropped_at.insert(address, self.now);
                 }
-                self.configure_if_possible();
+                self.write_configuration_if_possible();
             }
             FaultKind::RouteGrowth(count) => {
-                let first = 1_000 + self.wanted.len();
-                let count = count.min(MAX_ROUTES.saturating_sub(self.wanted.len()));
-                self.wanted.extend((first..first + count).map(|n| (service_address(n), n % 2)));
-                self.configure_if_possible();
+                let first = 1_000 + self.wanted_routes.len();
+                let count = count.min(MAX_ROUTES.saturating_sub(self.wanted_routes.len()));
+                self.wanted_routes
+                    .extend((first..first + count).map(|n| (service_address(n), n % 2)));
+                self.write_configuration_if_possible();
+            }
+            FaultKind::Restart(selector) => {
+                self.stop_balancer(selector % self.plan.balancers, until)
             }
-            FaultKind::Restart(which) => self.stop(which % self.plan.balancers, until),
             FaultKind::Herd => {
                 for balancer in 0..self.plan.balancers {
-                    self.stop(balancer, until);
+                    self.stop_balancer(balancer, until);
                 }
             }
             FaultKind::RollingRestart => {}
-            FaultKind::StoreCut(which) => {
-                let node = &mut self.balancers[which % self.plan.balancers];
+            FaultKind::StoreCut(selector) => {
+                let node = &mut self.balancers[selector % self.plan.balancers];
                 node.is_cut_from_store = true;
                 node.disturbed_at = node.disturbed_at.max(until);
             }
             FaultKind::PeerCut { balancer, is_deaf } => {
                 let node = &mut self.balancers[balancer % self.plan.balancers];
                 if is_deaf {
-                    node.is_deaf = true;
+                    node.is_inbound_cut = true;
                 } else {
-                    node.is_mute = true;
+                    node.is_outbound_cut = true;
                 }
                 node.disturbed_at = node.disturbed_at.max(until);
             }
-            FaultKind::ZoneCut(which) => self.cut_zone(which % self.plan.zones, until),
-            FaultKind::Freeze(which) => {
-                let node = &mut self.balancers[which % self.plan.balancers];
-                node.frozen_until = node.frozen_until.max(until);
+            FaultKind::ZoneCut(selector) => self.cut_zone(selector % self.plan.zones, until),
+            FaultKind::Freeze(selector) => {
+                let node = &mut self.balancers[selector % self.plan.balancers];
+                node.paused_until = node.paused_until.max(until);
                 node.disturbed_at = node.disturbed_at.max(until);
             }
             FaultKind::SilentCalls => {
@@ -124,46 +127,46 @@
             FaultKind::StoreRefuses => self.disturb_store(StoreMode::Refuses, until),
             FaultKind::StoreSilent => self.disturb_store(StoreMode::Silent, until),
             FaultKind::StoreLapse => {
-                self.lapses = true;
+                self.entries_lapse_while_away = true;
                 self.disturb_store(StoreMode::Refuses, until);
             }
             FaultKind::StoreForgets => {
-                self.store.forget_history();
+                self.store.compact_history();
                 self.store_disturbed_at = self.store_disturbed_at.max(self.now);
             }
             FaultKind::StoreRestored(_) => self.disturb_store(StoreMode::Refuses, until),
             FaultKind::StoreLoses => {
-                self.store.loses = true;
+                self.store.loses_answers = true;
                 self.store_disturbed_at = self.store_disturbed_at.max(until);
             }
-            FaultKind::BackendSilent(which) => {
-                if let Some(instance) = self.choose_backend(which) {
+            FaultKind::BackendSilent(selector) => {
+                if let Some(instance) = self.choose_backend(selector) {
                     let backend = self.backends.get_mut(&instance).expect("it is there");
                     backend.silent_until = until;
                 }
             }
-            FaultKind::BackendCrash(which) => {
-                if let Some(instance) = self.choose_backend(which) {
+            FaultKind::BackendCrash(selector) => {
+                if let Some(instance) = self.choose_backend(selector) {
                     self.end_backend(instance);
                 }
             }
-            FaultKind::BackendReplaced(which) => self.replace_backend(which),
-            FaultKind::Rebirth(which) => {
-                if let Some(instance) = self.choose_backend(which) {
+            FaultKind::BackendReplaced(selector) => self.replace_backend(selector),
+            FaultKind::Rebirth(selector) => {
+                if let Some(instance) = self.choose_backend(selector) {
                     self.end_backend(instance);
                 }
             }
-            FaultKind::ForeignEntry(which) => {
-                if let Some(instance) = self.choose_backend(which) {
-                    self.store.spoil_entry(instance);
+            FaultKind::ForeignEntry(selector) => {
+                if let Some(instance) = self.choose_backend(selector) {
+                    self.store.make_entry_unusable(instance);
                 }
             }
-            FaultKind::Evacuation(which) => self.evacuate(which % self.plan.zones),
-            FaultKind::ColdReturn(which) => self.end_zone(which % self.plan.zones),
-            FaultKind::AddressReused(which) => {
-                if let Some(instance) = self.choose_backend(which) {
+            FaultKind::Evacuation(selector) => self.evacuate(selector % self.plan.zones),
+            FaultKind::ColdReturn(selector) => self.crash_zone(selector % self.plan.zones),
+            FaultKind::AddressReused(selector) => {
+                if let Some(instance) = self.choose_backend(selector) {
                     self.end_backend(instance);
-                    self.backends.get_mut(&instance).expect("it is there").disturbed_at = until;
+                    self.backends.get_mut(&instance).expect("it is there").address_free_at = until;
                 }
             }
         }
@@ -177,17 +180,19 @@
         let balancers = self.plan.balancers;
 
         match kind {
-            FaultKind::Restart(which) => self.start_if_down(which % balancers),
-            FaultKind::Herd => (0..balancers).for_each(|balancer| self.start_if_down(balancer)),
-            FaultKind::StoreCut(which) => {
-                self.balancers[which % balancers].is_cut_from_store = false;
+            FaultKind::Restart(selector) => self.start_balancer_if_down(selector % balancers),
+            FaultKind::Herd => {
+                (0..balancers).for_each(|balancer| self.start_balancer_if_down(balancer))
+            }
+            FaultKind::StoreCut(selector) => {
+                self.balancers[selector % balancers].is_cut_from_store = false;
             }
             FaultKind::PeerCut { balancer, is_deaf } => {
                 let node = &mut self.balancers[balancer % balancers];
-                if is_deaf { node.is_deaf = false } else { node.is_mute = false }
+                if is_deaf { node.is_inbound_cut = false } else { node.is_outbound_cut = false }
             }
-            FaultKind::ZoneCut(which) => {
-                let zone = which % self.plan.zones;
+            FaultKind::ZoneCut(selector) => {
+                let zone = selector % self.plan.zones;
                 self.cut_zones[zone] = false;
             }
             FaultKind::StoreRefuses | FaultKind::StoreSilent => {
@@ -195,36 +200,38 @@
             }
             FaultKind::StoreLapse => {
                 self.store.mode = StoreMode::Answers;
-                self.lapses = false;
+                self.entries_lapse_while_away = false;
             }
             FaultKind::StoreRestored(depth) => self.restore_store(number, depth),
-            FaultKind::StoreLoses => self.store.loses = false,
+            FaultKind::StoreLoses => self.store.loses_answers = false,
             FaultKind::BackendReplaced(_) => self.end_drained(),
             FaultKind::AddressReused(_) => self.reuse_addresses(),
-            FaultKind::Rebirth(which) => self.bear_again(which),
-            FaultKind::Evacuation(which) => self.take_back(number, which % self.plan.zones),
-            FaultKind::ColdReturn(which) => self.return_zone(which % self.plan.zones),
+            FaultKind::Rebirth(selector) => self.restart_crashed_backend(selector),
+            FaultKind::Evacuation(selector) => {
+                self.end_evacuation(number, selector % self.plan.zones)
+            }
+            FaultKind::ColdReturn(selector) => self.start_replacements(selector % self.plan.zones),
             _ => {}
         }
     }
 
     /// Writes the operator's configuration, unless the store is away and would refuse it.
-    fn configure_if_possible(&mut self) {
+    fn write_configuration_if_possible(&mut self) {
         if self.store.mode == StoreMode::Answers {
-            self.configure();
+            self.write_configuration();
         }
     }
 
-    fn stop(&mut self, balancer: usize, until: Millis) {
+    fn stop_balancer(&mut self, balancer: usize, until: Millis) {
         let node = &mut self.balancers[balancer];
 
         node.policy = None;
         node.disturbed_at = node.disturbed_at.max(until);
     }
 
-    fn start_if_down(&mut self, balancer: usize) {
+    fn start_balancer_if_down(&mut self, balancer: usize) {
         if self.balancers[balancer].policy.is_none() {
-            self.start(balancer);
+            self.start_balancer(balancer);
         }
     }
 
@@ -246,17 +253,17 @@
     /// has no evacuations.
     fn evacuate(&mut self, zone: usize) {
         if self.store.mode == StoreMode::Answers && self.plan.places.is_some() {
-            self.wants_evacuated[zone] = true;
-            self.store.evacuate(ZONES[zone], true);
+            self.wanted_evacuations[zone] = true;
+            self.store.set_evacuated(ZONES[zone], true);
             self.evacuated_since[zone].get_or_insert(self.now);
         }
     }
 
     /// Ends the evacuation of a zone, as soon as the store answers.
-    fn take_back(&mut self, fault: usize, zone: usize) {
+    fn end_evacuation(&mut self, fault: usize, zone: usize) {
         if self.store.mode == StoreMode::Answers {
-            self.wants_evacuated[zone] = false;
-            self.store.evacuate(ZONES[zone], false);
+            self.wanted_evacuations[zone] = false;
+            self.store.set_evacuated(ZONES[zone], false);
             self.evacuated_since[zone] = None;
         } else {
             self.queue.add(self.now + 200, Event::FaultEnds(fault));
@@ -265,7 +272,7 @@
 
     /// Crashes all backend servers of a zone. Does nothing if there is no other zone, or if the
     /// deployment has no cold starts.
-    fn end_zone(&mut self, zone: usize) {
+    fn crash_zone(&mut self, zone: usize) {
         if self.plan.zones == 1 || self.plan.places.is_none() {
             return;
         }
@@ -274,15 +281,15 @@
         let up: Vec<_> = up.map(|backend| backend.instance).collect();
         for instance in up {
             self.end_backend(instance);
-            self.backends.get_mut(&instance).expect("it is there").comes_back = true;
+            self.backends.get_mut(&instance).expect("it is there").returns_with_zone = true;
         }
     }
 
     /// Starts replacements of the backend servers that crashed together with their zone.
-    fn return_zone(&mut self, zone: usize) {
+    fn start_replacements(&mut self, zone: usize) {
         let mut services = Vec::new();
         for backend in self.backends.values_mut().filter(|backend| backend.zone == zone) {
-            if std::mem::take(&mut backend.comes_back) {
+            if std::mem::take(&mut backend.returns_with_zone) {
                 services.push(backend.service);
             }
         }
@@ -311,14 +318,14 @@
         self.store.restore(revision, self.now);
         self.store.mode = StoreMode::Answers;
         self.store_disturbed_at = self.store_disturbed_at.max(self.now);
-        self.forget_lost_words();
+        self.reset_lost_writes();
         let later = u64::try_from(self.draw.below(OPERATOR_WRITES_WITHIN)).expect("it fits");
-        self.queue.add(self.now + later, Event::OperatorWrites);
+        self.queue.add(self.now + later, Event::OperatorRewrites);
     }
 
     /// Resets what the oracles take as stored, after a restore: the bounds of lost writes count
     /// from when they are written again, and the lapse time of entries counts from the restore.
-    fn forget_lost_words(&mut self) {
+    fn reset_lost_writes(&mut self) {
         let version = self.store.routes.version;
         self.acknowledged.retain(|(acknowledged, _)| *acknowledged <= version);
         for (zone, since) in self.evacuated_since.iter_mut().enumerate() {
@@ -327,9 +334,9 @@
 
         for backend in self.backends.values_mut() {
             let later = u64::try_from(self.draw.below(BACKENDS_WRITE_WITHIN)).expect("it fits");
-            backend.last_beat = if backend.has_ended { self.now } else { self.now + later };
+            backend.last_written_at = if backend.has_ended { self.now } else { self.now + later };
             let kept = self.store.entries.get(&backend.instance);
-            backend.born_at = backend.born_at.filter(|_| kept.is_some());
+            backend.entry_stored_at = backend.entry_stored_at.filter(|_| kept.is_some());
             let drains = kept.is_some_and(|entry| entry.phase == BackendPhase::Draining);
             backend.drain_stored_at = backend.drain_stored_at.filter(|_| drains);
         }
@@ -337,9 +344,9 @@
 
     /// Writes the operator's newest configuration and evacuations again where the store has lost
     /// them.
-    pub(super) fn write_again(&mut self) {
+    pub(super) fn rewrite_lost_state(&mut self) {
         if self.store.mode != StoreMode::Answers {
-            self.queue.add(self.now + 200, Event::OperatorWrites);
+            self.queue.add(self.now + 200, Event::OperatorRewrites);
             return;
         }
 
@@ -349,9 +356,9 @@
             self.store.put_routes(routes);
         }
         for (zone, name) in ZONES.iter().enumerate().take(self.plan.zones) {
-            let is_wanted = self.wants_evacuated[zone];
+            let is_wanted = self.wanted_evacuations[zone];
             if self.store.evacuated.contains(*name) != is_wanted {
-                self.store.evacuate(name, is_wanted);
+                self.store.set_evacuated(name, is_wanted);
                 self.evacuated_since[zone] = is_wanted.then_some(self.now);
             }
         }
@@ -363,13 +370,13 @@
     }
 
     /// Returns a backend server that accepts flows, unless it is the last one of its service.
-    fn choose_backend(&self, which: usize) -> Option<InstanceId> {
+    fn choose_backend(&self, selector: usize) -> Option<InstanceId> {
         let is_up = |instance: &InstanceId| {
             let backend = &self.backends[instance];
-            !backend.has_ended && !backend.is_silent(self.now) && backend.drains_since.is_none()
+            !backend.has_ended && !backend.is_silent(self.now) && backend.draining_since.is_none()
         };
         let up: Vec<_> = self.backends.keys().copied().filter(is_up).collect();
-        let chosen = *up.get(which % up.len().max(1))?;
+        let chosen = *up.get(selector % up.len().max(1))?;
         let service = self.backends[&chosen].service;
         let others = up.iter().filter(|other| self.backends[*other].service == service).count();
 
@@ -384,17 +391,17 @@
     }
 
     /// Starts a new backend server, and lets another one drain.
-    fn replace_backend(&mut self, which: usize) {
-        let Some(instance) = self.choose_backend(which) else { return };
+    fn replace_backend(&mut self, selector: usize) {
+        let Some(instance) = self.choose_backend(selector) else { return };
         let (service, zone) = (self.backends[&instance].service, self.backends[&instance].zone);
-        if !self.reaches_store(zone) {
+        if !self.can_reach_store(zone) {
             return;
         }
 
         self.add_backend(service, zone, None);
         let now = self.now;
         let backend = self.backends.get_mut(&instance).expect("it is there");
-        backend.drains_since = Some(now);
+        backend.draining_since = Some(now);
         backend.drain_stored_at = Some(now);
         let entry = backend.entry(self.base);
         self.store.put_entry(entry, self.now);
@@ -403,13 +410,13 @@
     /// Ends the backend servers that have drained for long enough, and deletes their entries if the
     /// store is reachable.
     fn end_drained(&mut self) {
-        let is_over = |since: Option<Millis>| since.is_some_and(|at| at + LEAVES_AFTER <= self.now);
-        let over = self.backends.values().filter(|b| !b.has_ended && is_over(b.drains_since));
+        let is_over = |since: Option<Millis>| since.is_some_and(|at| at + DRAIN_MS <= self.now);
+        let over = self.backends.values().filter(|b| !b.has_ended && is_over(b.draining_since));
         let over: Vec<_> = over.map(|backend| (backend.instance, backend.zone)).collect();
 
         for (instance, zone) in over {
             self.end_backend(instance);
-            if self.reaches_store(zone) {
+            if self.can_reach_store(zone) {
                 self.store.delete_entry(instance, self.now);
             }
         }
@@ -418,7 +425,7 @@
     /// Starts backend servers of the other service at the addresses that are due for reuse.
     fn reuse_addresses(&mut self) {
         let is_due = |at: Millis| at > 0 && at <= self.now;
-        let due = self.backends.values().filter(|b| b.has_ended && is_due(b.disturbed_at));
+        let due = self.backends.values().filter(|b| b.has_ended && is_due(b.address_free_at));
         let due: Vec<_> = due.map(|b| (b.instance, b.service, b.zone, b.address)).collect();
 
         for (instance, service, zone, address) in due {
@@ -427,7 +434,7 @@
             if self.is_in_use(address) {
                 continue;
             }
-            self.backends.get_mut(&instance).expect("it is there").disturbed_at = 0;
+            self.backends.get_mut(&instance).expect("it is there").address_free_at = 0;
             self.add_backend(1 - service, zone, Some(address));
         }
     }
@@ -437,33 +444,33 @@
     }
 
     /// Starts the next incarnation of a crashed backend server, one whose address is not in use.
-    fn bear_again(&mut self, which: usize) {
+    fn restart_crashed_backend(&mut self, selector: usize) {
         let has_crashed = |backend: &&Backend| {
             backend.has_ended
-                && backend.drains_since.is_none()
-                && backend.heir.is_none()
+                && backend.draining_since.is_none()
+                && backend.successor.is_none()
                 && !self.is_in_use(backend.address)
         };
         let crashed = self.backends.values().filter(has_crashed);
         let crashed: Vec<_> = crashed.map(|backend| backend.instance).collect();
-        let Some(former) = crashed.get(which % crashed.len().max(1)).copied() else { return };
+        let Some(former) = crashed.get(selector % crashed.len().max(1)).copied() else { return };
 
         let cold_until = self.cold_until();
-        let heir = next_birth(former);
+        let successor = next_incarnation(former);
         let old = self.backends.get_mut(&former).expect("it is there");
-        old.heir = Some(heir);
-        old.disturbed_at = 0;
-        let mut backend = Backend::new(heir, old.service, old.zone, old.address);
-        backend.last_beat = self.now;
+        old.successor = Some(successor);
+        old.address_free_at = 0;
+        let mut backend = Backend::new(successor, old.service, old.zone, old.address);
+        backend.last_written_at = self.now;
         backend.cold_until = cold_until;
-        if self.reaches_store(backend.zone) {
-            backend.born_at = Some(self.now);
+        if self.can_reach_store(backend.zone) {
+            backend.entry_stored_at = Some(self.now);
             self.store.put_entry(backend.entry(self.base), self.now);
         }
-        self.backends.insert(heir, backend);
+        self.backends.insert(successor, backend);
     }
 
-    pub(super) fn violate(&mut self, oracle: Oracle, what: String) {
+    pub(super) fn record_violation(&mut self, oracle: Oracle, what: String) {
         let at = self.now;
 
         self.violations.push(crate::oracles::Violation { oracle, at, what });
--- a/crates/valvestage-policy/tests/simulation/world/flows.rs
+++ b/crates/valvestage-policy/tests/simulation/world/flows.rs
@@ -5,12 +5,12 @@
     BackendPhase, CallerPacket, DropReason, FlowAddresses, HeldPacket, PacketVerdict,
 };
 
-use super::{ADDRESSES, END_AT, FAR_MS, NEAR_MS, World};
-use crate::backends::{HeldFlow, WORK_MS};
+use super::{ADDRESS_COUNT, END_AT, HOP_MS, TO_CALLER_MS, World};
+use crate::backends::{HeldFlow, REQUEST_MS};
 use crate::balancers::HeldCopies;
 use crate::callers::{
-    ANSWER_BYTES, COPIES_AT, CallerFlow, DEADLINE, FIRST_RESEND, FlowState, LONGEST_RESEND,
-    OPEN_WITHIN, OpenRequest, REQUEST_BYTES,
+    ANSWER_BYTES, CallerFlow, FIRST_RESEND_DELAY, FlowState, MAX_RESEND_DELAY, OPENING_RESENDS_AT,
+    OPENING_TIMEOUT, OpenRequest, REQUEST_BYTES, REQUEST_DEADLINE,
 };
 use crate::events::{Answer, BalancerNumber, Event, FlowNumber, Millis};
 use crate::mutation::Mutation;
@@ -24,8 +24,8 @@
         if self.now + 500 > END_AT {
             return;
         }
-        let address = service_address(self.draw.below(ADDRESSES));
-        if !self.wanted.contains_key(&address) {
+        let address = service_address(self.draw.below(ADDRESS_COUNT));
+        if !self.wanted_routes.contains_key(&address) {
             self.queue.add(self.now + 100, Event::CallerStart(caller));
             return;
         }
@@ -36,15 +36,15 @@
         self.flow_numbers.insert(flow.addresses, number);
         let packet = flow.opening_packet();
         self.flows.push(flow);
-        self.send(number, packet);
-        self.queue.add(self.now + COPIES_AT[0], Event::CallerTimer(number));
+        self.send_packet(number, packet);
+        self.queue.add(self.now + OPENING_RESENDS_AT[0], Event::CallerTimer(number));
     }
 
-    fn send(&mut self, flow: FlowNumber, packet: CallerPacket) {
+    fn send_packet(&mut self, flow: FlowNumber, packet: CallerPacket) {
         let sender = &self.flows[flow];
         let balancer = self.router.choose(sender.zone, sender.hash());
 
-        self.queue.add(self.now + NEAR_MS, Event::Packet(balancer, flow, packet));
+        self.queue.add(self.now + HOP_MS, Event::Packet(balancer, flow, packet));
     }
 
     /// Handles a packet that arrives at a balancer.
@@ -55,15 +55,15 @@
         packet: CallerPacket,
     ) {
         let node = &mut self.balancers[balancer];
-        if node.frozen_until > self.now {
-            let at = node.frozen_until;
+        if node.paused_until > self.now {
+            let at = node.paused_until;
             self.queue.add(at, Event::Packet(balancer, flow, packet));
             return;
         }
         let now = self.base + std::time::Duration::from_millis(self.now);
         let Some(policy) = &mut self.balancers[balancer].policy else { return };
         let verdict = policy.on_packet(&packet, now);
-        let verdict = self.mutate(verdict, flow, &packet);
+        let verdict = self.apply_mutation(verdict, flow, &packet);
         if self.trace.flow == Some(flow) {
             println!("{} ms, balancer {balancer}: {packet:?} -> {verdict:?}", self.now);
         }
@@ -71,10 +71,10 @@
         match verdict {
             PacketVerdict::Forward { instance, token, .. } => {
                 let from = self.plan.zone_of(balancer);
-                let is_joined =
-                    self.backends.get(&instance).is_some_and(|b| self.is_joined(from, b.zone));
-                if is_joined {
-                    let sent_at = self.now - NEAR_MS;
+                let is_connected =
+                    self.backends.get(&instance).is_some_and(|b| self.is_connected(from, b.zone));
+                if is_connected {
+                    let sent_at = self.now - HOP_MS;
                     let event = Event::Forwarded {
                         through: balancer,
                         instance,
@@ -83,38 +83,38 @@
                         token,
                         sent_at,
                     };
-                    self.queue.add(self.now + NEAR_MS, event);
+                    self.queue.add(self.now + HOP_MS, event);
                 }
             }
             PacketVerdict::Reset(_) if packet.opening => self.refuse_opening(balancer, flow),
             PacketVerdict::Reset(_) => self.reset_flow(balancer, packet.flow),
             PacketVerdict::Drop(reason) if reason.may_pass() => {
-                let copies = self.copies_with(balancer, flow, &packet);
+                let copies = self.held_copies_with(balancer, flow, &packet);
                 if !self.balancers[balancer].held.hold(packet, copies, now) {
-                    self.note_drop(balancer, flow);
+                    self.record_drop(balancer, flow);
                 }
             }
-            PacketVerdict::Drop(_) => self.note_drop(balancer, flow),
+            PacketVerdict::Drop(_) => self.record_drop(balancer, flow),
         }
     }
 
-    fn mutate(
+    fn apply_mutation(
         &mut self,
         verdict: PacketVerdict,
         flow: FlowNumber,
         packet: &CallerPacket,
     ) -> PacketVerdict {
         let PacketVerdict::Forward { token, .. } = verdict else { return verdict };
-        let is_one_of = |every: usize| flow.is_multiple_of(every);
+        let is_selected = |every: usize| flow.is_multiple_of(every);
 
         match self.mutation {
             Some(Mutation::ResetFlows) if !packet.opening && self.draw.below(50) == 0 => {
                 PacketVerdict::Reset(valvestage_policy::steering::ResetReason::BackendGone)
             }
-            Some(Mutation::DropOpenFlows) if !packet.opening && is_one_of(20) => {
+            Some(Mutation::DropOpenFlows) if !packet.opening && is_selected(20) => {
                 PacketVerdict::Drop(DropReason::NoRoute)
             }
-            Some(Mutation::MixServices) if is_one_of(20) => {
+            Some(Mutation::MixServices) if is_selected(20) => {
                 let number = u64::try_from(flow).expect("small");
                 let count = u64::try_from(self.backends.len()).expect("few");
                 let any = usize::try_from(number % count).expect("small");
@@ -136,7 +136,7 @@
     fn refuse_opening(&mut self, balancer: BalancerNumber, flow: FlowNumber) {
         if self.flows[flow].state == FlowState::Opening {
             let answer = Answer::BalancerReset(balancer);
-            self.queue.add(self.now + FAR_MS, Event::Answer(flow, answer));
+            self.queue.add(self.now + TO_CALLER_MS, Event::Answer(flow, answer));
         }
     }
 
@@ -146,49 +146,45 @@
         let Some(number) = self.flow_numbers.get(&addresses).copied() else { return };
         let flow = &self.flows[number];
         if let FlowState::Open(instance) = flow.state {
-            let ago = self.now - flow.last_answer;
+            let ago = self.now - flow.last_answer_at;
             // The flow is open once its backend server has received a packet after the opening one.
             let held = self.backends[&instance].flows.get(&number);
             let is_open = held.is_some_and(|held| held.is_open);
-            if is_open && ago <= ANSWERED_WITHIN && self.could_go_on(balancer, instance, flow) {
+            if is_open && ago <= ANSWERED_WITHIN && self.can_go_on(balancer, instance, flow) {
                 let what = format!(
                     "balancer {balancer} resets flow {number} at {instance:x}, answered {ago} ms ago"
                 );
-                self.violate(Oracle::LivingFlowsStay, what);
+                self.record_violation(Oracle::LivingFlowsStay, what);
             }
         }
 
-        self.queue.add(self.now + FAR_MS, Event::Answer(number, Answer::BalancerReset(balancer)));
+        self.queue
+            .add(self.now + TO_CALLER_MS, Event::Answer(number, Answer::BalancerReset(balancer)));
     }
 
     /// Reports whether a flow could go on through a balancer: its backend server is running and has
     /// responded since its last answer, no partition separates the two, and no configuration has
     /// removed the flow's address since the flow was opened. Otherwise a reset is better for the
     /// caller than waiting.
-    fn could_go_on(
-        &self,
-        balancer: BalancerNumber,
-        instance: InstanceId,
-        flow: &CallerFlow,
-    ) -> bool {
+    fn can_go_on(&self, balancer: BalancerNumber, instance: InstanceId, flow: &CallerFlow) -> bool {
         let zone = self.plan.zone_of(balancer);
-        let has_path = self.is_joined(zone, self.backends[&instance].zone);
+        let has_path = self.is_connected(zone, self.backends[&instance].zone);
         let dropped_at = self.dropped_at.get(&flow.addresses.service);
         let was_dropped = dropped_at.is_some_and(|at| *at >= flow.opened_at);
         // A backend server that stopped responding after its last answer looks like a crashed one.
-        let was_silent = self.backends[&instance].silent_until > flow.last_answer;
+        let was_silent = self.backends[&instance].silent_until > flow.last_answer_at;
 
-        self.lives(instance) && has_path && !was_dropped && !was_silent
+        self.is_running(instance) && has_path && !was_dropped && !was_silent
     }
 
-    fn lives(&self, instance: InstanceId) -> bool {
+    fn is_running(&self, instance: InstanceId) -> bool {
         let backend = self.backends.get(&instance);
 
         backend.is_some_and(|backend| !backend.has_ended && !backend.is_silent(self.now))
     }
 
     /// Returns the copies of a packet that a balancer holds, with one more.
-    fn copies_with(
+    fn held_copies_with(
         &self,
         balancer: BalancerNumber,
         flow: FlowNumber,
@@ -206,7 +202,7 @@
     /// Reports whether a packet of a flow counts as dropped if the balancer drops it now.
     fn counts_as_dropped(&self, balancer: BalancerNumber, number: FlowNumber) -> bool {
         let FlowState::Open(instance) = self.flows[number].state else { return false };
-        if !self.could_go_on(balancer, instance, &self.flows[number]) {
+        if !self.can_go_on(balancer, instance, &self.flows[number]) {
             return false;
         }
         // A balancer that has started since another writer made the entry unusable cannot know the
@@ -214,32 +210,32 @@
         let entry = self.store.entries.get(&instance);
         let is_spoiled = entry.is_some_and(|entry| entry.phase == BackendPhase::Unusable);
         let policy = self.balancers[balancer].policy.as_ref();
-        let knows_it =
+        let is_known =
             policy.is_some_and(|policy| policy.knowledge().directory.get(instance).is_some());
-        !(is_spoiled && !knows_it || self.nobody_can_know(instance))
+        !(is_spoiled && !is_known || self.is_address_unknowable(instance))
     }
 
     /// Counts a packet that a balancer dropped, and reports a violation if its request has lost too
     /// many.
-    pub(super) fn note_drop(&mut self, balancer: BalancerNumber, number: FlowNumber) {
+    pub(super) fn record_drop(&mut self, balancer: BalancerNumber, number: FlowNumber) {
         if !self.counts_as_dropped(balancer, number) {
             return;
         }
 
         let Some(request) = &mut self.flows[number].request else { return };
-        request.drops += 1;
-        let (drops, waited) = (request.drops, self.now - request.since);
-        if drops == DROPS_ALLOWED + 1 {
+        request.dropped += 1;
+        let (dropped, waited) = (request.dropped, self.now - request.started_at);
+        if dropped == DROPS_ALLOWED + 1 {
             let what = format!(
-                "flow {number}: balancers dropped {drops} packets of a request in {waited} ms"
+                "flow {number}: balancers dropped {dropped} packets of a request in {waited} ms"
             );
-            self.violate(Oracle::OpenFlowsGoOn, what);
+            self.record_violation(Oracle::OpenFlowsGoOn, what);
         }
     }
 
     /// Counts the packets that ready balancers still hold when a caller gives up its request: to
     /// the caller they are dropped.
-    fn count_held(&mut self, number: FlowNumber) {
+    fn count_held_as_dropped(&mut self, number: FlowNumber) {
         for balancer in 0..self.plan.balancers {
             if !self.balancers[balancer].is_ready(self.now) {
                 continue;
@@ -250,14 +246,14 @@
                 .filter(|copies| copies.flow == number)
                 .map(|copies| copies.counted)
                 .sum();
-            (0..copies).for_each(|_| self.note_drop(balancer, number));
+            (0..copies).for_each(|_| self.record_drop(balancer, number));
         }
     }
 
     /// Reports whether no balancer can know a backend server's address before the entry is read
     /// again: the store has had no entry of it until less than `KNOWN_WITHIN` ago, and no running
     /// balancer was ready when the entry was deleted.
-    fn nobody_can_know(&self, instance: InstanceId) -> bool {
+    fn is_address_unknowable(&self, instance: InstanceId) -> bool {
         let Some(absence) = self.store.absence(instance) else { return false };
         let is_learned = absence.until.is_some_and(|until| until + KNOWN_WITHIN < self.now);
         let mut running = self.balancers.iter().filter(|node| node.policy.is_some());
@@ -273,8 +269,8 @@
         };
         // A packet is addressed to the backend server, not to an incarnation.
         let meant = instance;
-        let instance = self.present_birth(instance);
-        if !self.lives(instance) {
+        let instance = self.latest_incarnation(instance);
+        if !self.is_running(instance) {
             return;
         }
         if packet.opening {
@@ -288,13 +284,13 @@
             let backend = self.backends.get_mut(&instance).expect("it lives");
             backend.flows.entry(number).or_default();
             let opened = Answer::Opened { instance, token };
-            self.queue.add(self.now + FAR_MS, Event::Answer(number, opened));
+            self.queue.add(self.now + TO_CALLER_MS, Event::Answer(number, opened));
             return;
         }
 
         let backend = self.backends.get_mut(&instance).expect("it lives");
         let Some(held) = backend.flows.get_mut(&number) else {
-            self.queue.add(self.now + FAR_MS, Event::Answer(number, Answer::BackendReset));
+            self.queue.add(self.now + TO_CALLER_MS, Event::Answer(number, Answer::BackendReset));
             return;
         };
         held.token = token;
@@ -302,37 +298,37 @@
         if packet.closing {
             backend.flows.remove(&number);
         } else if packet.data_length > 0 {
-            take_data(held, &packet, &mut self.queue, (self.now, instance, number));
+            receive_data(held, &packet, &mut self.queue, (self.now, instance, number));
         }
         let service = backend.service;
-        if is_new && !self.allowed.contains(&(packet.flow.service, service)) {
+        if is_new && !self.ever_allowed.contains(&(packet.flow.service, service)) {
             let what =
                 format!("flow {number} to {} opens at service {service}", packet.flow.service);
-            self.violate(Oracle::RightService, what);
+            self.record_violation(Oracle::RightService, what);
         }
     }
 
     /// Returns the latest incarnation under the same name.
-    fn present_birth(&self, instance: InstanceId) -> InstanceId {
-        let heir = self.backends.get(&instance).and_then(|backend| backend.heir);
+    fn latest_incarnation(&self, instance: InstanceId) -> InstanceId {
+        let successor = self.backends.get(&instance).and_then(|backend| backend.successor);
 
-        heir.map_or(instance, |heir| self.present_birth(heir))
+        successor.map_or(instance, |successor| self.latest_incarnation(successor))
     }
 
-    pub(super) fn on_worked(&mut self, instance: InstanceId, number: FlowNumber) {
-        if !self.lives(instance) {
+    pub(super) fn on_request_done(&mut self, instance: InstanceId, number: FlowNumber) {
+        if !self.is_running(instance) {
             return;
         }
         let backend = self.backends.get_mut(&instance).expect("it lives");
-        let is_last = backend.drains_since.is_some();
+        let is_last = backend.draining_since.is_some();
         let Some(held) = backend.flows.get_mut(&number) else { return };
 
-        held.is_working = false;
+        held.is_processing = false;
         let answer = Answer::Data { token: held.token, is_last };
         if is_last {
             backend.flows.remove(&number);
         }
-        self.queue.add(self.now + FAR_MS, Event::Answer(number, answer));
+        self.queue.add(self.now + TO_CALLER_MS, Event::Answer(number, answer));
     }
 
     pub(super) fn on_answer(&mut self, number: FlowNumber, answer: Answer) {
@@ -346,30 +342,30 @@
                 flow.state = FlowState::Open(instance);
                 flow.token = token;
                 flow.acknowledged = 5_000;
-                flow.last_answer = self.now;
-                self.ask(number);
+                flow.last_answer_at = self.now;
+                self.send_request(number);
             }
-            (_, Answer::BackendReset | Answer::BalancerReset(_)) => self.close(number, 50),
+            (_, Answer::BackendReset | Answer::BalancerReset(_)) => self.close_flow(number, 50),
             (FlowState::Open(_), Answer::Data { token, is_last }) if flow.request.is_some() => {
                 flow.request = None;
                 flow.token = token;
                 flow.acknowledged += ANSWER_BYTES;
-                flow.last_answer = self.now;
+                flow.last_answer_at = self.now;
                 flow.requests_left -= 1;
                 let is_over = is_last || flow.requests_left == 0;
                 let packet = CallerPacket { closing: is_over, ..flow.packet(0) };
-                self.send(number, packet);
-                self.rest(number, is_over);
+                self.send_packet(number, packet);
+                self.pause_or_close(number, is_over);
             }
             _ => {}
         }
     }
 
     /// Schedules the next request after a pause, or closes the flow if it is over.
-    fn rest(&mut self, number: FlowNumber, is_over: bool) {
+    fn pause_or_close(&mut self, number: FlowNumber, is_over: bool) {
         let pause = 200 + u64::try_from(self.draw.below(1_300)).expect("small");
         if is_over {
-            self.close(number, pause);
+            self.close_flow(number, pause);
             return;
         }
 
@@ -378,76 +374,80 @@
     }
 
     /// Sends a caller's next request on an open flow.
-    fn ask(&mut self, number: FlowNumber) {
-        let resend_at = self.now + FIRST_RESEND;
+    fn send_request(&mut self, number: FlowNumber) {
+        let resend_at = self.now + FIRST_RESEND_DELAY;
         let flow = &mut self.flows[number];
-        flow.sent += REQUEST_BYTES;
-        flow.request =
-            Some(OpenRequest { since: self.now, resend_at, wait: FIRST_RESEND, drops: 0 });
+        flow.next_sequence += REQUEST_BYTES;
+        flow.request = Some(OpenRequest {
+            started_at: self.now,
+            resend_at,
+            resend_delay: FIRST_RESEND_DELAY,
+            dropped: 0,
+        });
 
         let packet = flow.packet(REQUEST_BYTES);
-        self.send(number, packet);
+        self.send_packet(number, packet);
         self.queue.add(resend_at, Event::CallerTimer(number));
     }
 
     pub(super) fn on_caller_timer(&mut self, number: FlowNumber) {
         match self.flows[number].state {
-            FlowState::Opening => self.send_copy(number),
-            FlowState::Open(_) => self.look_at_request(number),
+            FlowState::Opening => self.resend_opening(number),
+            FlowState::Open(_) => self.check_request(number),
             FlowState::Closed => {}
         }
     }
 
-    fn send_copy(&mut self, number: FlowNumber) {
+    fn resend_opening(&mut self, number: FlowNumber) {
         let flow = &mut self.flows[number];
         let waited = self.now - flow.opened_at;
-        if waited >= OPEN_WITHIN {
-            self.close(number, 100);
+        if waited >= OPENING_TIMEOUT {
+            self.close_flow(number, 100);
             return;
         }
 
-        let copies = usize::try_from(flow.copies).expect("few");
-        let next_at = match COPIES_AT.get(copies) {
+        let resends = usize::try_from(flow.opening_resends).expect("few");
+        let next_at = match OPENING_RESENDS_AT.get(resends) {
             Some(at) if *at <= waited => {
-                flow.copies += 1;
+                flow.opening_resends += 1;
                 let packet = flow.opening_packet();
-                self.send(number, packet);
-                COPIES_AT.get(copies + 1).copied().unwrap_or(OPEN_WITHIN)
+                self.send_packet(number, packet);
+                OPENING_RESENDS_AT.get(resends + 1).copied().unwrap_or(OPENING_TIMEOUT)
             }
             Some(at) => *at,
-            None => OPEN_WITHIN,
+            None => OPENING_TIMEOUT,
         };
         let opened_at = self.flows[number].opened_at;
         self.queue.add(opened_at + next_at, Event::CallerTimer(number));
     }
 
-    fn look_at_request(&mut self, number: FlowNumber) {
+    fn check_request(&mut self, number: FlowNumber) {
         let flow = &mut self.flows[number];
         let Some(request) = &mut flow.request else {
             if flow.next_request_at <= self.now {
-                self.ask(number);
+                self.send_request(number);
             }
             return;
         };
-        if self.now - request.since >= DEADLINE {
-            self.count_held(number);
-            self.close(number, 100);
+        if self.now - request.started_at >= REQUEST_DEADLINE {
+            self.count_held_as_dropped(number);
+            self.close_flow(number, 100);
             return;
         }
         if request.resend_at > self.now {
             return;
         }
 
-        request.wait = (request.wait * 2).min(LONGEST_RESEND);
-        request.resend_at = self.now + request.wait;
-        let at = request.resend_at.min(request.since + DEADLINE);
+        request.resend_delay = (request.resend_delay * 2).min(MAX_RESEND_DELAY);
+        request.resend_at = self.now + request.resend_delay;
+        let at = request.resend_at.min(request.started_at + REQUEST_DEADLINE);
         let packet = flow.packet(REQUEST_BYTES);
-        self.send(number, packet);
+        self.send_packet(number, packet);
         self.queue.add(at, Event::CallerTimer(number));
     }
 
     /// Closes a flow; its caller opens another one after a pause.
-    fn close(&mut self, number: FlowNumber, pause: Millis) {
+    fn close_flow(&mut self, number: FlowNumber, pause: Millis) {
         self.flows[number].state = FlowState::Closed;
         let caller = self.flows[number].caller;
 
@@ -457,7 +457,7 @@
 
 /// Handles data at a backend server. New data begins a request; a copy of a request that has
 /// already been answered is answered again at once.
-fn take_data(
+fn receive_data(
     held: &mut HeldFlow,
     packet: &CallerPacket,
     queue: &mut crate::events::EventQueue,
@@ -465,12 +465,12 @@
 ) {
     let end = packet.sequence + packet.data_length;
     let is_new = end > held.received;
-    if !is_new && held.is_working {
+    if !is_new && held.is_processing {
         return;
     }
 
     held.received = held.received.max(end);
-    held.is_working = true;
-    let takes = if is_new { WORK_MS } else { 1 };
-    queue.add(now + takes, Event::Worked(instance, flow));
+    held.is_processing = true;
+    let delay = if is_new { REQUEST_MS } else { 1 };
+    queue.add(now + delay, Event::RequestDone(instance, flow));
 }
--- a/crates/valvestage-policy/tests/simulation/world/knowledge.rs
+++ b/crates/valvestage-policy/tests/simulation/world/knowledge.rs
@@ -2,8 +2,8 @@
 
 use valvestage_policy::steering::{EntryPolicy, KeeperAction, PeerMessage, StoreReply};
 
-use super::{END_AT, LATE_AT, NEAR_MS, SCAN_EVERY, World};
-use crate::backends::{BEAT_MS, LAPSE_MS};
+use super::{END_AT, FINAL_PHASE_AT, HOP_MS, STORE_SCAN_INTERVAL, World};
+use crate::backends::{LAPSE_MS, WRITE_INTERVAL_MS};
 use crate::balancers::{Balancer, HeldCopies};
 use crate::events::{BalancerNumber, Event};
 use crate::mutation::Mutation;
@@ -16,20 +16,20 @@
         if node.policy.is_none() || self.now < node.wakes_at {
             return;
         }
-        if node.frozen_until > self.now {
-            self.balancers[balancer].wakes_at = node.frozen_until;
+        if node.paused_until > self.now {
+            self.balancers[balancer].wakes_at = node.paused_until;
             let at = self.balancers[balancer].wakes_at;
             self.queue.add(at, Event::Wake(balancer));
             return;
         }
 
         let now = self.instant();
-        self.step(balancer, |policy| policy.on_tick(now));
+        self.run_policy(balancer, |policy| policy.on_tick(now));
     }
 
     /// Runs one call of a balancer's policy, carries out the actions that it returns, and schedules
     /// the next timer.
-    pub(super) fn step(
+    pub(super) fn run_policy(
         &mut self,
         balancer: BalancerNumber,
         act: impl FnOnce(&mut EntryPolicy) -> Vec<KeeperAction>,
@@ -47,7 +47,7 @@
             }
         }
         for action in actions {
-            self.carry_out(balancer, action);
+            self.perform_action(balancer, action);
         }
         for reset in resets {
             self.reset_flow(balancer, reset.flow);
@@ -82,33 +82,38 @@
         // any packet, so that its drops do not count.
         for held in expired.into_iter().filter(|_| is_ready) {
             let HeldCopies { flow, counted } = held.payload;
-            (0..counted).for_each(|_| self.note_drop(balancer, flow));
+            (0..counted).for_each(|_| self.record_drop(balancer, flow));
         }
     }
 
-    fn carry_out(&mut self, balancer: BalancerNumber, action: KeeperAction) {
+    fn perform_action(&mut self, balancer: BalancerNumber, action: KeeperAction) {
         match action {
             KeeperAction::Tell(peer, message) => {
                 let repeats = if self.mutation == Some(Mutation::RepeatMessages) { 10 } else { 1 };
                 for _ in 0..repeats {
-                    self.tell(balancer, peer, message.clone());
+                    self.send_message(balancer, peer, message.clone());
                 }
             }
             KeeperAction::Call(kind, call) => {
-                let life = self.balancers[balancer].life;
-                self.late_calls += usize::from(self.now >= LATE_AT);
+                let start_count = self.balancers[balancer].start_count;
+                self.final_calls += usize::from(self.now >= FINAL_PHASE_AT);
                 let is_slow = self.plan.has_slow_links;
-                self.store.begin_call((balancer, life), (kind, call), is_slow, self.now);
+                self.store.begin_call((balancer, start_count), (kind, call), is_slow, self.now);
             }
         }
     }
 
-    fn tell(&mut self, from: BalancerNumber, peer: std::net::SocketAddrV4, message: PeerMessage) {
+    fn send_message(
+        &mut self,
+        from: BalancerNumber,
+        peer: std::net::SocketAddrV4,
+        message: PeerMessage,
+    ) {
         if self.trace.messages {
             println!("{} ms, balancer {from} to {peer}: {message:?}", self.now);
         }
         let node = &mut self.balancers[from];
-        node.late_messages += usize::from(self.now >= LATE_AT);
+        node.final_messages += usize::from(self.now >= FINAL_PHASE_AT);
         let to = (0..self.plan.balancers).find(|other| balancer_address(*other) == peer);
         let Some(to) = to else { return };
 
@@ -118,26 +123,26 @@
             None => Some(now),
         };
         if let Some(sent_at) = sent_at {
-            let at = self.millis_of(sent_at) + NEAR_MS;
+            let at = self.millis_of(sent_at) + HOP_MS;
             self.queue.add(at, Event::Message(from, to, message));
         }
     }
 
-    pub(super) fn deliver(
+    pub(super) fn deliver_message(
         &mut self,
         from: BalancerNumber,
         to: BalancerNumber,
         message: PeerMessage,
     ) {
-        let is_cut = self.balancers[from].is_mute
-            || self.balancers[to].is_deaf
-            || !self.is_joined(self.plan.zone_of(from), self.plan.zone_of(to));
+        let is_cut = self.balancers[from].is_outbound_cut
+            || self.balancers[to].is_inbound_cut
+            || !self.is_connected(self.plan.zone_of(from), self.plan.zone_of(to));
         if is_cut {
             return;
         }
-        let frozen_until = self.balancers[to].frozen_until;
-        if frozen_until > self.now {
-            self.queue.add(frozen_until, Event::Message(from, to, message));
+        let paused_until = self.balancers[to].paused_until;
+        if paused_until > self.now {
+            self.queue.add(paused_until, Event::Message(from, to, message));
             return;
         }
 
@@ -147,17 +152,17 @@
         };
         let Some(message) = message else { return };
         let now = self.instant();
-        self.step(to, |policy| policy.on_message(balancer_address(from), message, now));
+        self.run_policy(to, |policy| policy.on_message(balancer_address(from), message, now));
     }
 
     /// Handles the store's periodic scan: writes and deletes entries, and answers calls.
     pub(super) fn scan_store(&mut self) {
         if self.now < END_AT {
-            self.queue.add(self.now + SCAN_EVERY, Event::StoreScan);
+            self.queue.add(self.now + STORE_SCAN_INTERVAL, Event::StoreScan);
         }
 
-        self.store.note_time(self.now);
-        self.step_entries();
+        self.store.record_revision_time(self.now);
+        self.update_entries();
         for call in std::mem::take(&mut self.store.calls) {
             if let Some(call) = self.answer_call(call) {
                 self.store.calls.push(call);
@@ -168,40 +173,40 @@
     /// Answers or fails a call; returns it if it is still pending.
     fn answer_call(&mut self, mut call: OpenCall) -> Option<OpenCall> {
         let node = &self.balancers[call.balancer];
-        if node.policy.is_none() || node.life != call.life {
+        if node.policy.is_none() || node.start_count != call.start_count {
             return None;
         }
-        if call.answer_at > self.now || node.frozen_until > self.now {
+        if call.answer_at > self.now || node.paused_until > self.now {
             return Some(call);
         }
 
         let zone = self.plan.zone_of(call.balancer);
         let is_cut = node.is_cut_from_store || self.cut_zones[zone];
         if call.is_silent || is_cut || self.store.mode == StoreMode::Silent {
-            if call.gives_up_at > self.now {
+            if call.times_out_at > self.now {
                 return Some(call);
             }
-            self.fail(&call);
+            self.fail_call(&call);
             return None;
         }
         if self.store.mode == StoreMode::Refuses {
-            self.fail(&call);
+            self.fail_call(&call);
             return None;
         }
-        let answer = self.store.answer(call.kind, &call.call, call.ends_at <= self.now);
+        let answer = self.store.answer(call.kind, &call.call, call.wait_ends_at <= self.now);
         let Some(answer) = answer else { return Some(call) };
-        if self.store.loses && self.draw.below(3) == 0 {
+        if self.store.loses_answers && self.draw.below(3) == 0 {
             call.is_silent = true;
             return Some(call);
         }
-        self.reply(call.balancer, answer);
+        self.deliver_reply(call.balancer, answer);
         None
     }
 
-    fn fail(&mut self, call: &OpenCall) {
+    fn fail_call(&mut self, call: &OpenCall) {
         use valvestage_policy::steering::StoreKind;
 
-        self.reply(
+        self.deliver_reply(
             call.balancer,
             match call.kind {
                 StoreKind::Configuration => StoreAnswer::Routes(StoreReply::Failed),
@@ -211,11 +216,11 @@
         );
     }
 
-    fn reply(&mut self, balancer: BalancerNumber, answer: StoreAnswer) {
+    fn deliver_reply(&mut self, balancer: BalancerNumber, answer: StoreAnswer) {
         let now = self.instant();
         let misses = self.mutation == Some(Mutation::MissRoutes) && self.now > 4_000;
 
-        self.step(balancer, |policy| match answer {
+        self.run_policy(balancer, |policy| match answer {
             StoreAnswer::Routes(StoreReply::Changes { position, .. }) if misses => {
                 let nothing = StoreReply::Changes { objects: Vec::new(), position };
                 policy.on_routes_reply(nothing, now)
@@ -227,33 +232,33 @@
     }
 
     /// Writes the entries of running backend servers that are due, and deletes lapsed entries.
-    fn step_entries(&mut self) {
+    fn update_entries(&mut self) {
         let is_away = self.store.mode != StoreMode::Answers;
         let numbers: Vec<_> = self.backends.keys().copied().collect();
 
         for instance in numbers {
-            let reaches = self.reaches_store(self.backends[&instance].zone);
+            let can_reach = self.can_reach_store(self.backends[&instance].zone);
             let backend = self.backends.get_mut(&instance).expect("it is there");
-            let lives = !backend.has_ended && !backend.is_silent(self.now);
-            if backend.last_beat + BEAT_MS <= self.now {
-                if lives && reaches {
-                    backend.last_beat = self.now;
+            let is_running = !backend.has_ended && !backend.is_silent(self.now);
+            if backend.last_written_at + WRITE_INTERVAL_MS <= self.now {
+                if is_running && can_reach {
+                    backend.last_written_at = self.now;
                     let known = self.store.entries.get(&instance);
                     let entry = backend.entry(self.base);
                     if known.is_none_or(|known| known.phase != entry.phase) {
-                        backend.born_at.get_or_insert(self.now);
-                        if backend.drains_since.is_some() {
+                        backend.entry_stored_at.get_or_insert(self.now);
+                        if backend.draining_since.is_some() {
                             backend.drain_stored_at.get_or_insert(self.now);
                         }
                         self.store.put_entry(entry, self.now);
                     }
-                } else if is_away && !self.lapses {
+                } else if is_away && !self.entries_lapse_while_away {
                     // A store that is away keeps its entries: they do not age.
-                    backend.last_beat = self.now - BEAT_MS;
+                    backend.last_written_at = self.now - WRITE_INTERVAL_MS;
                 }
             }
             let backend = &self.backends[&instance];
-            if backend.last_beat + LAPSE_MS <= self.now {
+            if backend.last_written_at + LAPSE_MS <= self.now {
                 self.store.delete_entry(instance, self.now);
             }
         }
