--- a/crates/valvestage-policy/tests/simulation/balancers.rs
+++ b/crates/valvestage-policy/tests/simulation/balancers.rs
@@ -79,7 +79,9 @@
                 .places
                 .map(|_| ZONES[..plan.zones].iter().map(|zone| (*zone).to_owned()).collect()),
             is_first_start: self.start_count == 1,
-            seed: seed ^ u64::try_from(number << 8).expect("small") ^ u64::from(self.start_count),
+            seed: seed
+                ^ u64::try_from(number << 8).expect("the number fits")
+                ^ u64::from(self.start_count),
         };
 
         self.policy = Some(EntryPolicy::new(options, now));
--- a/crates/valvestage-policy/tests/simulation/callers.rs
+++ b/crates/valvestage-policy/tests/simulation/callers.rs
@@ -71,7 +71,8 @@
     ) -> Self {
         let [.., c, high, low] = number.to_be_bytes();
         let port = 1_024 + u16::from_be_bytes([high, low]) % 60_000;
-        let caller_ip = Ipv4Addr::new(100, 64, c, u8::try_from(caller % 250).expect("small"));
+        let caller_ip =
+            Ipv4Addr::new(100, 64, c, u8::try_from(caller % 250).expect("the number fits"));
 
         Self {
             caller,
--- a/crates/valvestage-policy/tests/simulation/fault.rs
+++ b/crates/valvestage-policy/tests/simulation/fault.rs
@@ -8,7 +8,7 @@
 /// Earliest start of a fault. All processes have started by then.
 const FIRST_FAULT_AT: Millis = 5_000;
 
-/// Every fault starts before this time.
+/// Randomly drawn start times lie before this time.
 const LAST_FAULT_AT: Millis = 15_000;
 
 /// Longest duration of a fault, in milliseconds.
@@ -204,13 +204,13 @@
 }
 
 fn draw_cut(draw: &mut SeededDraw) -> Fault {
-    let selector = draw.below(1_000);
+    let pick = draw.below(1_000);
     let kind = match draw.below(8) {
-        0 | 1 => FaultKind::ZoneCut(selector),
+        0 | 1 => FaultKind::ZoneCut(pick),
         2 => FaultKind::Herd,
-        3 => FaultKind::Freeze(selector),
-        4 => FaultKind::Restart(selector),
-        5 => FaultKind::StoreCut(selector),
+        3 => FaultKind::Freeze(pick),
+        4 => FaultKind::Restart(pick),
+        5 => FaultKind::StoreCut(pick),
         6 => FaultKind::StoreSilent,
         _ => FaultKind::StoreLapse,
     };
@@ -223,7 +223,7 @@
 fn draw_growth(draw: &mut SeededDraw) -> Vec<Fault> {
     let silent = with_random_time(FaultKind::SilentCalls, draw);
     let routes = MIN_LARGE_GROWTH + draw.below(MAX_ROUTES - MIN_LARGE_GROWTH);
-    let later = u64::try_from(draw.below(MAX_GROWTH_DELAY_MS)).expect("it fits");
+    let later = u64::try_from(draw.below(MAX_GROWTH_DELAY_MS)).expect("the number fits");
     let growth = Fault { kind: FaultKind::RouteGrowth(routes), at: silent.at + later, for_ms: 0 };
     let others = draw.below(3);
 
@@ -241,15 +241,15 @@
     let mut faults: Vec<_> = (0..restores).map(|_| draw_restore(draw)).collect();
     let center = faults[0].at;
     for _ in 0..others {
-        let selector = draw.below(1_000);
+        let pick = draw.below(1_000);
         let mut fault = match draw.below(8) {
-            0 | 1 => with_random_time(FaultKind::BackendReplaced(selector), draw),
+            0 | 1 => with_random_time(FaultKind::BackendReplaced(pick), draw),
             2 => draw_rebirth(draw),
             3 => draw_zone_fault(draw),
             _ => draw_fault(draw),
         };
         if draw.below(4) > 0 {
-            let later = u64::try_from(draw.below(RESTORE_WINDOW_MS)).expect("it fits");
+            let later = u64::try_from(draw.below(RESTORE_WINDOW_MS)).expect("the number fits");
             let at = (center + later).saturating_sub(RESTORE_WINDOW_LEAD_MS);
             fault.at = at.clamp(FIRST_FAULT_AT, LAST_FAULT_AT);
         }
@@ -260,33 +260,33 @@
 
 fn draw_restore(draw: &mut SeededDraw) -> Fault {
     let depth = if draw.below(2) == 0 {
-        RestoreDepth::Changes(1 + u64::try_from(draw.below(6)).expect("few"))
+        RestoreDepth::Changes(1 + u64::try_from(draw.below(6)).expect("the count fits"))
     } else {
-        RestoreDepth::Age(500 + u64::try_from(draw.below(5_500)).expect("it fits"))
+        RestoreDepth::Age(500 + u64::try_from(draw.below(5_500)).expect("the number fits"))
     };
-    let away_ms = u64::try_from(draw.below(MAX_RESTORE_OUTAGE_MS)).expect("it fits");
+    let away_ms = u64::try_from(draw.below(MAX_RESTORE_OUTAGE_MS)).expect("the number fits");
 
     Fault { for_ms: away_ms, ..with_random_time(FaultKind::StoreRestored(depth), draw) }
 }
 
 fn draw_fault(draw: &mut SeededDraw) -> Fault {
-    let selector = draw.below(1_000);
+    let pick = draw.below(1_000);
     let kind = match draw.below(20) {
-        0 | 1 => FaultKind::RouteChange(selector),
-        2 => FaultKind::RouteDrop(selector),
-        3 => FaultKind::RouteGrowth(500 + 5 * selector),
-        4 => FaultKind::Restart(selector),
+        0 | 1 => FaultKind::RouteChange(pick),
+        2 => FaultKind::RouteDrop(pick),
+        3 => FaultKind::RouteGrowth(500 + 5 * pick),
+        4 => FaultKind::Restart(pick),
         5 => FaultKind::RollingRestart,
         6 => FaultKind::Herd,
-        7 => FaultKind::StoreCut(selector),
-        8 => FaultKind::PeerCut { balancer: selector, is_deaf: selector.is_multiple_of(2) },
-        9 | 10 => FaultKind::ZoneCut(selector),
-        11 => FaultKind::Freeze(selector),
+        7 => FaultKind::StoreCut(pick),
+        8 => FaultKind::PeerCut { balancer: pick, is_deaf: pick.is_multiple_of(2) },
+        9 | 10 => FaultKind::ZoneCut(pick),
+        11 => FaultKind::Freeze(pick),
         12 => FaultKind::SilentCalls,
         13 => FaultKind::StoreRefuses,
         14 => FaultKind::StoreSilent,
         15 => {
-            if selector.is_multiple_of(2) {
+            if pick.is_multiple_of(2) {
                 FaultKind::StoreLapse
             } else {
                 FaultKind::StoreLoses
@@ -294,43 +294,40 @@
         }
         16 => FaultKind::StoreForgets,
         17 => {
-            if selector.is_multiple_of(2) {
-                FaultKind::BackendSilent(selector)
+            if pick.is_multiple_of(2) {
+                FaultKind::BackendSilent(pick)
             } else {
-                FaultKind::BackendCrash(selector)
+                FaultKind::BackendCrash(pick)
             }
         }
-        18 => FaultKind::BackendReplaced(selector),
-        _ => FaultKind::AddressReused(selector),
+        18 => FaultKind::BackendReplaced(pick),
+        _ => FaultKind::AddressReused(pick),
     };
     with_random_time(kind, draw)
 }
 
 fn draw_rebirth(draw: &mut SeededDraw) -> Fault {
-    let selector = draw.below(1_000);
-    let kind = if draw.below(3) == 0 {
-        FaultKind::ForeignEntry(selector)
-    } else {
-        FaultKind::Rebirth(selector)
-    };
+    let pick = draw.below(1_000);
+    let kind =
+        if draw.below(3) == 0 { FaultKind::ForeignEntry(pick) } else { FaultKind::Rebirth(pick) };
 
     with_random_time(kind, draw)
 }
 
 fn draw_zone_fault(draw: &mut SeededDraw) -> Fault {
-    let selector = draw.below(1_000);
+    let pick = draw.below(1_000);
     let kind = match draw.below(3) {
-        0 => FaultKind::ColdReturn(selector),
-        _ => FaultKind::Evacuation(selector),
+        0 => FaultKind::ColdReturn(pick),
+        _ => FaultKind::Evacuation(pick),
     };
 
     with_random_time(kind, draw)
 }
 
 fn with_random_time(kind: FaultKind, draw: &mut SeededDraw) -> Fault {
-    let window = usize::try_from(LAST_FAULT_AT - FIRST_FAULT_AT).expect("it fits");
-    let at = FIRST_FAULT_AT + u64::try_from(draw.below(window)).expect("it fits");
-    let for_ms = u64::try_from(500 + draw.below(MAX_DURATION_MS - 500)).expect("it fits");
+    let window = usize::try_from(LAST_FAULT_AT - FIRST_FAULT_AT).expect("the number fits");
+    let at = FIRST_FAULT_AT + u64::try_from(draw.below(window)).expect("the number fits");
+    let for_ms = u64::try_from(500 + draw.below(MAX_DURATION_MS - 500)).expect("the number fits");
 
     Fault { kind, at, for_ms }
 }
--- a/crates/valvestage-policy/tests/simulation/main.rs
+++ b/crates/valvestage-policy/tests/simulation/main.rs
@@ -327,8 +327,12 @@
 fn by_hand() {
     let text = std::env::var("VALVESTAGE_SEEDS").expect("VALVESTAGE_SEEDS is set");
     let (first, end) = text.split_once("..").unwrap_or((&text, ""));
-    let first: u64 = first.parse().expect("a number");
-    let end: u64 = if end.is_empty() { first + 1 } else { end.parse().expect("a number") };
+    let first: u64 = first.parse().expect("VALVESTAGE_SEEDS holds numbers");
+    let end: u64 = if end.is_empty() {
+        first + 1
+    } else {
+        end.parse().expect("VALVESTAGE_SEEDS holds numbers")
+    };
 
     let failed = run_seeds(first, end - first);
     report(&failed);
@@ -342,7 +346,7 @@
 #[ignore = "by hand"]
 fn traced() {
     let text = std::env::var("VALVESTAGE_SEEDS").expect("VALVESTAGE_SEEDS is set");
-    let seed: u64 = text.parse().expect("a number");
+    let seed: u64 = text.parse().expect("VALVESTAGE_SEEDS holds numbers");
     let plan = if run_seed(seed, None).is_empty() { FaultPlan::draw(seed) } else { shrink(seed) };
 
     println!("traced: {seed} with {plan:?}");
--- a/crates/valvestage-policy/tests/simulation/router.rs
+++ b/crates/valvestage-policy/tests/simulation/router.rs
@@ -41,11 +41,12 @@
             count if count * 2 < in_zone.len() => in_zone,
             _ => healthy_in_zone,
         };
-        let score = |balancer: &&usize| mix(flow_hash, u64::try_from(**balancer).expect("small"));
+        let score =
+            |balancer: &&usize| mix(flow_hash, u64::try_from(**balancer).expect("the number fits"));
         if self.is_steady {
             return *candidates.iter().max_by_key(score).expect("there are balancers");
         }
-        let index = flow_hash % u64::try_from(candidates.len()).expect("few");
-        candidates[usize::try_from(index).expect("small")]
+        let index = flow_hash % u64::try_from(candidates.len()).expect("the count fits");
+        candidates[usize::try_from(index).expect("the number fits")]
     }
 }
--- a/crates/valvestage-policy/tests/simulation/site.rs
+++ b/crates/valvestage-policy/tests/simulation/site.rs
@@ -60,9 +60,9 @@
 
     /// Draws the limits of cold backend servers, which enables evacuations and cold starts.
     pub fn add_cold_limits(&mut self, draw: &mut SeededDraw) {
-        let number = |draw: &mut SeededDraw, limit| u32::try_from(draw.below(limit)).expect("few");
+        let number = |draw: &mut SeededDraw, limit| u32::try_from(draw.below(limit)).expect("fits");
         let limit = ColdLimit { over: 1.5, slack: f64::from(number(draw, 4)) };
-        let rate = ColdRate::try_from(f64::from(1 + number(draw, 6))).expect("a rate");
+        let rate = ColdRate::try_from(f64::from(1 + number(draw, 6))).expect("the rate is valid");
         let cold_ms = 1_000 + Millis::from(number(draw, 6_000));
 
         self.places = Some(PlaceRules { limit, rate, cold_ms });
@@ -74,7 +74,7 @@
 }
 
 pub fn balancer_address(balancer: usize) -> SocketAddrV4 {
-    let last = u8::try_from(balancer + 1).expect("few balancers");
+    let last = u8::try_from(balancer + 1).expect("the address fits");
 
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, last), 7_000)
 }
--- a/crates/valvestage-policy/tests/simulation/store.rs
+++ b/crates/valvestage-policy/tests/simulation/store.rs
@@ -291,11 +291,13 @@
         self.call_count += 1;
         let wait = match &call {
             StoreCall::List { .. } => 0,
-            StoreCall::Watch { wait, .. } => Millis::try_from(wait.as_millis()).expect("short"),
+            StoreCall::Watch { wait, .. } => {
+                Millis::try_from(wait.as_millis()).expect("the duration fits")
+            }
         };
         let is_large = has_slow_link && kind == StoreKind::Configuration;
         let bytes = if is_large { self.routes.routes.len() * ROUTE_BYTES } else { 0 };
-        let transfer = Millis::try_from(bytes / LINK_BYTES_PER_MS).expect("short");
+        let transfer = Millis::try_from(bytes / LINK_BYTES_PER_MS).expect("the duration fits");
         self.calls.push(OpenCall {
             balancer,
             start_count,
--- a/crates/valvestage-policy/tests/simulation/trace.rs
+++ b/crates/valvestage-policy/tests/simulation/trace.rs
@@ -29,7 +29,8 @@
             decisions: has("decisions"),
             faults: has("faults"),
             messages: has("messages"),
-            flow: flow.map(|text| text.parse().expect("a flow's number")),
+            flow: flow
+                .map(|text| text.parse().expect("VALVESTAGE_TRACE_FLOW is the number of a flow")),
         }
     }
 }
--- a/crates/valvestage-policy/tests/simulation/world.rs
+++ b/crates/valvestage-policy/tests/simulation/world.rs
@@ -150,7 +150,7 @@
         self.queue.add(1, Event::StoreScan);
         self.queue.add(2, Event::Probe);
         for caller in 0..self.plan.callers_each * self.plan.zones {
-            let later = u64::try_from(self.draw.below(1_000)).expect("small");
+            let later = u64::try_from(self.draw.below(1_000)).expect("the number fits");
             self.queue.add(CALLERS_AT + later, Event::CallerStart(caller));
         }
         for (number, fault) in self.faults.iter().enumerate() {
@@ -237,7 +237,7 @@
 
     /// Starts a backend server at the given address, or else at a new one.
     fn add_backend(&mut self, service: usize, zone: usize, address: Option<SocketAddrV4>) {
-        let number = u64::try_from(self.backends.len()).expect("few") + 1;
+        let number = u64::try_from(self.backends.len()).expect("the count fits") + 1;
         let instance = 0xab_0000_0000 + number * 0x1_0001;
         let address = address.unwrap_or_else(|| backend_address(number));
 
--- a/crates/valvestage-policy/tests/simulation/world/checks.rs
+++ b/crates/valvestage-policy/tests/simulation/world/checks.rs
@@ -140,7 +140,7 @@
         const WINDOW: Millis = 1_000;
         let Some(places) = self.plan.places else { return };
         let now = self.now;
-        let backend = self.backends.get_mut(&instance).expect("it is there");
+        let backend = self.backends.get_mut(&instance).expect("the backend server exists");
         let is_cold = backend.cold_until.is_some_and(|until| until > now);
         if !is_cold || backend.flows.contains_key(&flow) {
             return;
@@ -150,7 +150,7 @@
         let counts = |(sent, _): &&(Millis, Millis)| *sent + WINDOW >= now;
         let count = backend.cold_openings.iter().filter(counts).count();
         let allowed = places.limit.allowed(places.rate);
-        if f64::from(u32::try_from(count).expect("few")) > allowed {
+        if f64::from(u32::try_from(count).expect("the count fits")) > allowed {
             let what = format!(
                 "{instance:x} gets {count} opening packets in a second, of {allowed} allowed"
             );
--- a/crates/valvestage-policy/tests/simulation/world/faults.rs
+++ b/crates/valvestage-policy/tests/simulation/world/faults.rs
@@ -37,10 +37,11 @@
         let Fault { kind, at, for_ms } = *fault;
         match kind {
             FaultKind::RollingRestart => {
-                let gap = ROLLING_RESTART_MS / u64::try_from(plan.balancers).expect("few");
+                let gap =
+                    ROLLING_RESTART_MS / u64::try_from(plan.balancers).expect("the count fits");
                 all.extend((0..plan.balancers).map(|number| Fault {
                     kind: FaultKind::Restart(number),
-                    at: at + gap * u64::try_from(number).expect("few"),
+                    at: at + gap * u64::try_from(number).expect("the count fits"),
                     for_ms: 100,
                 }));
             }
@@ -65,18 +66,18 @@
         let until = self.now + for_ms;
 
         match kind {
-            FaultKind::RouteChange(selector) => {
-                let address = service_address(selector % ADDRESS_COUNT);
+            FaultKind::RouteChange(pick) => {
+                let address = service_address(pick % ADDRESS_COUNT);
                 if let Some(service) = self.wanted_routes.get_mut(&address) {
                     *service = 1 - *service;
                 }
                 self.write_configuration_if_possible();
             }
-            FaultKind::RouteDrop(selector) => {
-                let address = service_address(selector % ADDRESS_COUNT);
+            FaultKind::RouteDrop(pick) => {
+                let address = service_address(pick % ADDRESS_COUNT);
                 let is_last = self.wanted_routes.len() == 1;
                 if self.wanted_routes.remove(&address).is_none() || is_last {
-                    self.wanted_routes.insert(address, selector % 2);
+                    self.wanted_routes.insert(address, pick % 2);
                 } else {
                     self.dropped_at.insert(address, self.now);
                 }
@@ -89,17 +90,15 @@
                     .extend((first..first + count).map(|n| (service_address(n), n % 2)));
                 self.write_configuration_if_possible();
             }
-            FaultKind::Restart(selector) => {
-                self.stop_balancer(selector % self.plan.balancers, until)
-            }
+            FaultKind::Restart(pick) => self.stop_balancer(pick % self.plan.balancers, until),
             FaultKind::Herd => {
                 for balancer in 0..self.plan.balancers {
                     self.stop_balancer(balancer, until);
                 }
             }
             FaultKind::RollingRestart => {}
-            FaultKind::StoreCut(selector) => {
-                let node = &mut self.balancers[selector % self.plan.balancers];
+            FaultKind::StoreCut(pick) => {
+                let node = &mut self.balancers[pick % self.plan.balancers];
                 node.is_cut_from_store = true;
                 node.disturbed_at = node.disturbed_at.max(until);
             }
@@ -112,9 +111,9 @@
                 }
                 node.disturbed_at = node.disturbed_at.max(until);
             }
-            FaultKind::ZoneCut(selector) => self.cut_zone(selector % self.plan.zones, until),
-            FaultKind::Freeze(selector) => {
-                let node = &mut self.balancers[selector % self.plan.balancers];
+            FaultKind::ZoneCut(pick) => self.cut_zone(pick % self.plan.zones, until),
+            FaultKind::Freeze(pick) => {
+                let node = &mut self.balancers[pick % self.plan.balancers];
                 node.paused_until = node.paused_until.max(until);
                 node.disturbed_at = node.disturbed_at.max(until);
             }
@@ -139,34 +138,38 @@
                 self.store.loses_answers = true;
                 self.store_disturbed_at = self.store_disturbed_at.max(until);
             }
-            FaultKind::BackendSilent(selector) => {
-                if let Some(instance) = self.choose_backend(selector) {
-                    let backend = self.backends.get_mut(&instance).expect("it is there");
+            FaultKind::BackendSilent(pick) => {
+                if let Some(instance) = self.choose_backend(pick) {
+                    let backend =
+                        self.backends.get_mut(&instance).expect("the backend server exists");
                     backend.silent_until = until;
                 }
             }
-            FaultKind::BackendCrash(selector) => {
-                if let Some(instance) = self.choose_backend(selector) {
+            FaultKind::BackendCrash(pick) => {
+                if let Some(instance) = self.choose_backend(pick) {
                     self.end_backend(instance);
                 }
             }
-            FaultKind::BackendReplaced(selector) => self.replace_backend(selector),
-            FaultKind::Rebirth(selector) => {
-                if let Some(instance) = self.choose_backend(selector) {
+            FaultKind::BackendReplaced(pick) => self.replace_backend(pick),
+            FaultKind::Rebirth(pick) => {
+                if let Some(instance) = self.choose_backend(pick) {
                     self.end_backend(instance);
                 }
             }
-            FaultKind::ForeignEntry(selector) => {
-                if let Some(instance) = self.choose_backend(selector) {
+            FaultKind::ForeignEntry(pick) => {
+                if let Some(instance) = self.choose_backend(pick) {
                     self.store.make_entry_unusable(instance);
                 }
             }
-            FaultKind::Evacuation(selector) => self.evacuate(selector % self.plan.zones),
-            FaultKind::ColdReturn(selector) => self.crash_zone(selector % self.plan.zones),
-            FaultKind::AddressReused(selector) => {
-                if let Some(instance) = self.choose_backend(selector) {
+            FaultKind::Evacuation(pick) => self.evacuate(pick % self.plan.zones),
+            FaultKind::ColdReturn(pick) => self.crash_zone(pick % self.plan.zones),
+            FaultKind::AddressReused(pick) => {
+                if let Some(instance) = self.choose_backend(pick) {
                     self.end_backend(instance);
-                    self.backends.get_mut(&instance).expect("it is there").address_free_at = until;
+                    self.backends
+                        .get_mut(&instance)
+                        .expect("the backend server exists")
+                        .address_free_at = until;
                 }
             }
         }
@@ -180,19 +183,17 @@
         let balancers = self.plan.balancers;
 
         match kind {
-            FaultKind::Restart(selector) => self.start_balancer_if_down(selector % balancers),
-            FaultKind::Herd => {
-                (0..balancers).for_each(|balancer| self.start_balancer_if_down(balancer))
-            }
-            FaultKind::StoreCut(selector) => {
-                self.balancers[selector % balancers].is_cut_from_store = false;
+            FaultKind::Restart(pick) => self.start_if_down(pick % balancers),
+            FaultKind::Herd => (0..balancers).for_each(|balancer| self.start_if_down(balancer)),
+            FaultKind::StoreCut(pick) => {
+                self.balancers[pick % balancers].is_cut_from_store = false;
             }
             FaultKind::PeerCut { balancer, is_deaf } => {
                 let node = &mut self.balancers[balancer % balancers];
                 if is_deaf { node.is_inbound_cut = false } else { node.is_outbound_cut = false }
             }
-            FaultKind::ZoneCut(selector) => {
-                let zone = selector % self.plan.zones;
+            FaultKind::ZoneCut(pick) => {
+                let zone = pick % self.plan.zones;
                 self.cut_zones[zone] = false;
             }
             FaultKind::StoreRefuses | FaultKind::StoreSilent => {
@@ -206,11 +207,9 @@
             FaultKind::StoreLoses => self.store.loses_answers = false,
             FaultKind::BackendReplaced(_) => self.end_drained(),
             FaultKind::AddressReused(_) => self.reuse_addresses(),
-            FaultKind::Rebirth(selector) => self.restart_crashed_backend(selector),
-            FaultKind::Evacuation(selector) => {
-                self.end_evacuation(number, selector % self.plan.zones)
-            }
-            FaultKind::ColdReturn(selector) => self.start_replacements(selector % self.plan.zones),
+            FaultKind::Rebirth(pick) => self.restart_crashed_backend(pick),
+            FaultKind::Evacuation(pick) => self.end_evacuation(number, pick % self.plan.zones),
+            FaultKind::ColdReturn(pick) => self.start_replacements(pick % self.plan.zones),
             _ => {}
         }
     }
@@ -229,7 +228,7 @@
         node.disturbed_at = node.disturbed_at.max(until);
     }
 
-    fn start_balancer_if_down(&mut self, balancer: usize) {
+    fn start_if_down(&mut self, balancer: usize) {
         if self.balancers[balancer].policy.is_none() {
             self.start_balancer(balancer);
         }
@@ -281,7 +280,10 @@
         let up: Vec<_> = up.map(|backend| backend.instance).collect();
         for instance in up {
             self.end_backend(instance);
-            self.backends.get_mut(&instance).expect("it is there").returns_with_zone = true;
+            self.backends
+                .get_mut(&instance)
+                .expect("the backend server exists")
+                .returns_with_zone = true;
         }
     }
 
@@ -319,7 +321,8 @@
         self.store.mode = StoreMode::Answers;
         self.store_disturbed_at = self.store_disturbed_at.max(self.now);
         self.reset_lost_writes();
-        let later = u64::try_from(self.draw.below(OPERATOR_WRITES_WITHIN)).expect("it fits");
+        let later =
+            u64::try_from(self.draw.below(OPERATOR_WRITES_WITHIN)).expect("the number fits");
         self.queue.add(self.now + later, Event::OperatorRewrites);
     }
 
@@ -333,7 +336,8 @@
         }
 
         for backend in self.backends.values_mut() {
-            let later = u64::try_from(self.draw.below(BACKENDS_WRITE_WITHIN)).expect("it fits");
+            let later =
+                u64::try_from(self.draw.below(BACKENDS_WRITE_WITHIN)).expect("the number fits");
             backend.last_written_at = if backend.has_ended { self.now } else { self.now + later };
             let kept = self.store.entries.get(&backend.instance);
             backend.entry_stored_at = backend.entry_stored_at.filter(|_| kept.is_some());
@@ -370,13 +374,13 @@
     }
 
     /// Returns a backend server that accepts flows, unless it is the last one of its service.
-    fn choose_backend(&self, selector: usize) -> Option<InstanceId> {
+    fn choose_backend(&self, pick: usize) -> Option<InstanceId> {
         let is_up = |instance: &InstanceId| {
             let backend = &self.backends[instance];
             !backend.has_ended && !backend.is_silent(self.now) && backend.draining_since.is_none()
         };
         let up: Vec<_> = self.backends.keys().copied().filter(is_up).collect();
-        let chosen = *up.get(selector % up.len().max(1))?;
+        let chosen = *up.get(pick % up.len().max(1))?;
         let service = self.backends[&chosen].service;
         let others = up.iter().filter(|other| self.backends[*other].service == service).count();
 
@@ -384,15 +388,15 @@
     }
 
     fn end_backend(&mut self, instance: InstanceId) {
-        let backend = self.backends.get_mut(&instance).expect("it is there");
+        let backend = self.backends.get_mut(&instance).expect("the backend server exists");
 
         backend.has_ended = true;
         backend.flows.clear();
     }
 
     /// Starts a new backend server, and lets another one drain.
-    fn replace_backend(&mut self, selector: usize) {
-        let Some(instance) = self.choose_backend(selector) else { return };
+    fn replace_backend(&mut self, pick: usize) {
+        let Some(instance) = self.choose_backend(pick) else { return };
         let (service, zone) = (self.backends[&instance].service, self.backends[&instance].zone);
         if !self.can_reach_store(zone) {
             return;
@@ -400,7 +404,7 @@
 
         self.add_backend(service, zone, None);
         let now = self.now;
-        let backend = self.backends.get_mut(&instance).expect("it is there");
+        let backend = self.backends.get_mut(&instance).expect("the backend server exists");
         backend.draining_since = Some(now);
         backend.drain_stored_at = Some(now);
         let entry = backend.entry(self.base);
@@ -434,7 +438,8 @@
             if self.is_in_use(address) {
                 continue;
             }
-            self.backends.get_mut(&instance).expect("it is there").address_free_at = 0;
+            self.backends.get_mut(&instance).expect("the backend server exists").address_free_at =
+                0;
             self.add_backend(1 - service, zone, Some(address));
         }
     }
@@ -444,7 +449,7 @@
     }
 
     /// Starts the next incarnation of a crashed backend server, one whose address is not in use.
-    fn restart_crashed_backend(&mut self, selector: usize) {
+    fn restart_crashed_backend(&mut self, pick: usize) {
         let has_crashed = |backend: &&Backend| {
             backend.has_ended
                 && backend.draining_since.is_none()
@@ -453,11 +458,11 @@
         };
         let crashed = self.backends.values().filter(has_crashed);
         let crashed: Vec<_> = crashed.map(|backend| backend.instance).collect();
-        let Some(former) = crashed.get(selector % crashed.len().max(1)).copied() else { return };
+        let Some(former) = crashed.get(pick % crashed.len().max(1)).copied() else { return };
 
         let cold_until = self.cold_until();
         let successor = next_incarnation(former);
-        let old = self.backends.get_mut(&former).expect("it is there");
+        let old = self.backends.get_mut(&former).expect("the backend server exists");
         old.successor = Some(successor);
         old.address_free_at = 0;
         let mut backend = Backend::new(successor, old.service, old.zone, old.address);
--- a/crates/valvestage-policy/tests/simulation/world/flows.rs
+++ b/crates/valvestage-policy/tests/simulation/world/flows.rs
@@ -115,10 +115,10 @@
                 PacketVerdict::Drop(DropReason::NoRoute)
             }
             Some(Mutation::MixServices) if is_selected(20) => {
-                let number = u64::try_from(flow).expect("small");
-                let count = u64::try_from(self.backends.len()).expect("few");
-                let any = usize::try_from(number % count).expect("small");
-                let other = self.backends.values().nth(any).expect("it is there");
+                let number = u64::try_from(flow).expect("the number fits");
+                let count = u64::try_from(self.backends.len()).expect("the count fits");
+                let any = usize::try_from(number % count).expect("the number fits");
+                let other = self.backends.values().nth(any).expect("the backend server exists");
                 PacketVerdict::Forward {
                     instance: other.instance,
                     number: other.instance,
@@ -281,14 +281,14 @@
             if meant == instance {
                 self.check_cold_rate(instance, number, sent_at);
             }
-            let backend = self.backends.get_mut(&instance).expect("it lives");
+            let backend = self.backends.get_mut(&instance).expect("the backend server is running");
             backend.flows.entry(number).or_default();
             let opened = Answer::Opened { instance, token };
             self.queue.add(self.now + TO_CALLER_MS, Event::Answer(number, opened));
             return;
         }
 
-        let backend = self.backends.get_mut(&instance).expect("it lives");
+        let backend = self.backends.get_mut(&instance).expect("the backend server is running");
         let Some(held) = backend.flows.get_mut(&number) else {
             self.queue.add(self.now + TO_CALLER_MS, Event::Answer(number, Answer::BackendReset));
             return;
@@ -319,7 +319,7 @@
         if !self.is_running(instance) {
             return;
         }
-        let backend = self.backends.get_mut(&instance).expect("it lives");
+        let backend = self.backends.get_mut(&instance).expect("the backend server is running");
         let is_last = backend.draining_since.is_some();
         let Some(held) = backend.flows.get_mut(&number) else { return };
 
@@ -363,7 +363,7 @@
 
     /// Schedules the next request after a pause, or closes the flow if it is over.
     fn pause_or_close(&mut self, number: FlowNumber, is_over: bool) {
-        let pause = 200 + u64::try_from(self.draw.below(1_300)).expect("small");
+        let pause = 200 + u64::try_from(self.draw.below(1_300)).expect("the number fits");
         if is_over {
             self.close_flow(number, pause);
             return;
@@ -406,7 +406,7 @@
             return;
         }
 
-        let resends = usize::try_from(flow.opening_resends).expect("few");
+        let resends = usize::try_from(flow.opening_resends).expect("the count fits");
         let next_at = match OPENING_RESENDS_AT.get(resends) {
             Some(at) if *at <= waited => {
                 flow.opening_resends += 1;
--- a/crates/valvestage-policy/tests/simulation/world/knowledge.rs
+++ b/crates/valvestage-policy/tests/simulation/world/knowledge.rs
@@ -238,7 +238,7 @@
 
         for instance in numbers {
             let can_reach = self.can_reach_store(self.backends[&instance].zone);
-            let backend = self.backends.get_mut(&instance).expect("it is there");
+            let backend = self.backends.get_mut(&instance).expect("the backend server exists");
             let is_running = !backend.has_ended && !backend.is_silent(self.now);
             if backend.last_written_at + WRITE_INTERVAL_MS <= self.now {
                 if is_running && can_reach {
