--- a/crates/valvestage-policy/tests/simulation/fault.rs
+++ b/crates/valvestage-policy/tests/simulation/fault.rs
@@ -1,123 +1,132 @@
-//! The events of a seed: ordinary ones, in series and overlapping.
+//! Fault kinds, and the fault plan of a seed: faults of ordinary operation that overlap.
 
 use valvestage_policy::steering::seeded_draw::SeededDraw;
 
 use crate::events::Millis;
 use crate::store::MAX_ROUTES;
 
-/// Events begin from here on; before, everything has started.
-const FIRST_AT: Millis = 5_000;
+/// Earliest start of a fault. All processes have started by then.
+const FIRST_FAULT_AT: Millis = 5_000;
 
-/// The last one begins before this.
-const LAST_AT: Millis = 15_000;
+/// Randomly drawn start times lie before this time.
+const LAST_FAULT_AT: Millis = 15_000;
 
-/// The longest that one lasts.
-const MAX_MS: usize = 4_500;
+/// Longest duration of a fault, in milliseconds.
+const MAX_DURATION_MS: usize = 4_500;
 
-/// The least by which the configuration grows after calls fell silent, in addresses, and how much later that is at most.
-const LARGE_GROWTH: usize = 4_300;
-const GROWTH_LATER_MS: usize = 900;
+/// Smallest growth of the configuration after store calls stopped answering, in addresses, and the
+/// longest delay of the growth after that.
+const MIN_LARGE_GROWTH: usize = 4_300;
+const MAX_GROWTH_DELAY_MS: usize = 900;
 
-/// The longest that a store is away which is restored.
-const LONGEST_AWAY_MS: usize = 2_500;
+/// Longest outage of a store that is restored from an older copy.
+const MAX_RESTORE_OUTAGE_MS: usize = 2_500;
 
-/// Other faults begin from so long before a restore on, over so long a time.
-const BEFORE_RESTORE_MS: Millis = 3_000;
-const NEAR_RESTORE_MS: usize = 8_000;
+/// Most faults of a restore seed begin within a window around the first restore: the window's start
+/// before the restore, and its length.
+const RESTORE_WINDOW_LEAD_MS: Millis = 3_000;
+const RESTORE_WINDOW_MS: usize = 8_000;
 
-/// What happens. Numbers choose a balancer, zone or backend server among those that there are.
+/// A kind of fault. Unless a variant says otherwise, its number selects an address, a balancer, a
+/// zone or a backend server, modulo their count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultKind {
-    /// An address leads to the other service.
+    /// An address is routed to the other service.
     RouteChange(usize),
-    /// Another address is dropped, or comes back.
+    /// An address is removed from the configuration, or added again.
     RouteDrop(usize),
-    /// The configuration grows by so many addresses.
+    /// The configuration grows by this number of addresses.
     RouteGrowth(usize),
-    /// A balancer is killed, and starts again a moment later.
+    /// A balancer is killed, and restarts at the end of the fault.
     Restart(usize),
-    /// All balancers one after the other.
+    /// All balancers restart one after the other.
     RollingRestart,
-    /// All of them at once.
+    /// All balancers restart at once.
     Herd,
-    /// A balancer does not reach the store; nor, with the flag, does the store reach it.
+    /// A balancer is cut off from the store.
     StoreCut(usize),
-    /// A balancer does not hear others, or is not heard.
+    /// A balancer is cut off from the other balancers in one direction: it receives no messages if
+    /// `is_deaf` is set, and otherwise its own messages are lost.
     PeerCut { balancer: usize, is_deaf: bool },
-    /// A zone is cut off from the others and from the store.
+    /// A zone is partitioned from the other zones and from the store.
     ZoneCut(usize),
-    /// A balancer stands still.
+    /// A balancer is paused.
     Freeze(usize),
-    /// Open calls to the store fall silent for good.
+    /// All open calls to the store never get an answer.
     SilentCalls,
-    /// The store refuses.
+    /// The store refuses all calls.
     StoreRefuses,
-    /// The store says nothing.
+    /// The store does not answer.
     StoreSilent,
-    /// Entries lapse while the store refuses.
+    /// The store refuses all calls, and entries lapse meanwhile.
     StoreLapse,
-    /// The store forgets its history.
+    /// The store drops its change history, so that watches of older revisions fail.
     StoreForgets,
-    /// The store is away, and comes back from an older copy. What its callers wrote since is written again.
+    /// The store fails and is restored from an older copy. Its clients then write again what was
+    /// lost.
     StoreRestored(RestoreDepth),
     /// A share of the store's answers is lost.
     StoreLoses,
-    /// A backend server says nothing.
+    /// A backend server does not respond.
     BackendSilent(usize),
-    /// A backend server ends without a word.
+    /// A backend server crashes.
     BackendCrash(usize),
-    /// A backend server leaves, and a new one comes.
+    /// A backend server drains, and a new one starts.
     BackendReplaced(usize),
-    /// A backend server leaves, and one of the other service has its address.
+    /// A backend server crashes, and a backend server of the other service starts at its address.
     AddressReused(usize),
-    /// A backend server ends without a word, and starts again under its name.
+    /// A backend server crashes, and a new incarnation starts under its name.
     Rebirth(usize),
-    /// Another writer puts an entry that names no backend server to use in the place of one.
+    /// Another writer overwrites an entry with one that names no usable backend server.
     ForeignEntry(usize),
-    /// The operator evacuates a zone, and takes it back.
+    /// The operator evacuates a zone, and ends the evacuation later.
     Evacuation(usize),
-    /// The backend servers of a zone end together, and others come together.
+    /// All backend servers of a zone crash together, and cold ones replace them together.
     ColdReturn(usize),
 }
 
-/// How much a store has lost that was restored.
+/// How much a restored store has lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RestoreDepth {
-    /// The last changes.
+    /// The last so many changes.
     Changes(u64),
-    /// The changes of the last milliseconds.
+    /// The changes of the last milliseconds before the outage.
     Age(Millis),
 }
 
-/// Seeds from here on have starts under the same name and entries of other writers besides.
+/// First seed of the series with restarts under the same name and entries of other writers, besides
+/// the ordinary faults.
 pub const REBIRTH_SEEDS: u64 = 1_000_000;
 
-/// Seeds from here on have evacuations and backend servers that bear little while they are cold besides those.
-pub const PLACES_SEEDS: u64 = 2_000_000;
+/// First seed of the series that adds to those evacuations, and cold backend servers with their low
+/// limits.
+pub const ZONE_FAULT_SEEDS: u64 = 2_000_000;
 
-/// Seeds from here on have only cuts, standstills and outages, which overlap.
+/// First seed of the series with only overlapping partitions, pauses, restarts and store outages.
 pub const CUT_SEEDS: u64 = 3_000_000;
 
-/// Seeds from here on have calls that fall silent just before the configuration grows to nearly all that the store takes.
+/// First seed of the series in which store calls stop answering just before the configuration grows
+/// to nearly the largest size that the store accepts.
 pub const GROWTH_SEEDS: u64 = 4_000_000;
 
-/// Seeds from here on have stores that are restored from an older copy, and other faults near them.
+/// First seed of the series in which the store is restored from an older copy, with other faults
+/// around that time.
 pub const RESTORE_SEEDS: u64 = 5_000_000;
 
-/// Which faults a seed draws from.
+/// The set of faults that a seed draws from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultSeries {
-    /// Those of every deployment.
+    /// Faults of every deployment.
     Ordinary,
-    /// Starts under a former name and entries of other writers besides.
+    /// Ordinary faults, restarts under the same name, and entries of other writers.
     Rebirths,
-    /// Evacuations and cold returns besides those.
-    Places,
-    /// Only what keeps balancers from the store, from each other and from callers.
+    /// The faults of `Rebirths`, with evacuations and replacements by cold backend servers.
+    ZoneFaults,
+    /// Only faults that keep balancers from the store, from each other and from callers.
     Cuts,
-    /// Silent calls and a growth of the configuration, and few others.
+    /// Unanswered store calls and a growth of the configuration, with up to two ordinary faults.
     Growths,
-    /// Restored stores, and faults of all kinds near them.
+    /// Restores of the store, with faults of all kinds around them.
     Restores,
 }
 
@@ -125,8 +134,8 @@
     pub fn of(seed: u64) -> Self {
         match seed {
             ..REBIRTH_SEEDS => Self::Ordinary,
-            REBIRTH_SEEDS..PLACES_SEEDS => Self::Rebirths,
-            PLACES_SEEDS..CUT_SEEDS => Self::Places,
+            REBIRTH_SEEDS..ZONE_FAULT_SEEDS => Self::Rebirths,
+            ZONE_FAULT_SEEDS..CUT_SEEDS => Self::ZoneFaults,
             CUT_SEEDS..GROWTH_SEEDS => Self::Cuts,
             GROWTH_SEEDS..RESTORE_SEEDS => Self::Growths,
             RESTORE_SEEDS.. => Self::Restores,
@@ -134,16 +143,16 @@
     }
 }
 
-/// One fault with its time.
+/// A fault with its time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Fault {
     pub kind: FaultKind,
     pub at: Millis,
-    /// How long it lasts, where it does.
+    /// Duration; faults that happen at one moment ignore it.
     pub for_ms: Millis,
 }
 
-/// The faults of a seed.
+/// The faults of a seed, in the order of their times.
 #[derive(Debug, Clone)]
 pub struct FaultPlan {
     pub faults: Vec<Fault>,
@@ -156,7 +165,7 @@
         let mut faults = match FaultSeries::of(seed) {
             FaultSeries::Ordinary => draw_ordinary(&mut draw),
             FaultSeries::Rebirths => draw_with_rebirths(&mut draw),
-            FaultSeries::Places => draw_with_places(&mut draw),
+            FaultSeries::ZoneFaults => draw_with_zone_faults(&mut draw),
             FaultSeries::Cuts => draw_cuts(&mut draw),
             FaultSeries::Growths => draw_growth(&mut draw),
             FaultSeries::Restores => draw_restores(&mut draw),
@@ -180,11 +189,11 @@
     faults
 }
 
-fn draw_with_places(draw: &mut SeededDraw) -> Vec<Fault> {
+fn draw_with_zone_faults(draw: &mut SeededDraw) -> Vec<Fault> {
     let mut faults = draw_with_rebirths(draw);
     let others = 1 + draw.below(4);
 
-    faults.extend((0..others).map(|_| draw_place(draw)));
+    faults.extend((0..others).map(|_| draw_zone_fault(draw)));
     faults
 }
 
@@ -195,25 +204,26 @@
 }
 
 fn draw_cut(draw: &mut SeededDraw) -> Fault {
-    let which = draw.below(1_000);
+    let pick = draw.below(1_000);
     let kind = match draw.below(8) {
-        0 | 1 => FaultKind::ZoneCut(which),
+        0 | 1 => FaultKind::ZoneCut(pick),
         2 => FaultKind::Herd,
-        3 => FaultKind::Freeze(which),
-        4 => FaultKind::Restart(which),
-        5 => FaultKind::StoreCut(which),
+        3 => FaultKind::Freeze(pick),
+        4 => FaultKind::Restart(pick),
+        5 => FaultKind::StoreCut(pick),
         6 => FaultKind::StoreSilent,
         _ => FaultKind::StoreLapse,
     };
 
-    timed(kind, draw)
+    with_random_time(kind, draw)
 }
 
-/// All open calls fall silent, and the configuration grows while nobody has noticed.
+/// Draws a loss of all open store calls, and a growth of the configuration before any balancer has
+/// detected it.
 fn draw_growth(draw: &mut SeededDraw) -> Vec<Fault> {
-    let silent = timed(FaultKind::SilentCalls, draw);
-    let routes = LARGE_GROWTH + draw.below(MAX_ROUTES - LARGE_GROWTH);
-    let later = u64::try_from(draw.below(GROWTH_LATER_MS)).expect("it fits");
+    let silent = with_random_time(FaultKind::SilentCalls, draw);
+    let routes = MIN_LARGE_GROWTH + draw.below(MAX_ROUTES - MIN_LARGE_GROWTH);
+    let later = u64::try_from(draw.below(MAX_GROWTH_DELAY_MS)).expect("the number fits");
     let growth = Fault { kind: FaultKind::RouteGrowth(routes), at: silent.at + later, for_ms: 0 };
     let others = draw.below(3);
 
@@ -222,7 +232,8 @@
     faults
 }
 
-/// One restored store or two, with most other faults shortly before and after the first one.
+/// Draws one or two restores of the store, and other faults, most of them shortly before or after
+/// the first restore.
 fn draw_restores(draw: &mut SeededDraw) -> Vec<Fault> {
     let restores = 1 + draw.below(2);
     let others = 1 + draw.below(6);
@@ -230,17 +241,17 @@
     let mut faults: Vec<_> = (0..restores).map(|_| draw_restore(draw)).collect();
     let center = faults[0].at;
     for _ in 0..others {
-        let which = draw.below(1_000);
+        let pick = draw.below(1_000);
         let mut fault = match draw.below(8) {
-            0 | 1 => timed(FaultKind::BackendReplaced(which), draw),
+            0 | 1 => with_random_time(FaultKind::BackendReplaced(pick), draw),
             2 => draw_rebirth(draw),
-            3 => draw_place(draw),
+            3 => draw_zone_fault(draw),
             _ => draw_fault(draw),
         };
         if draw.below(4) > 0 {
-            let later = u64::try_from(draw.below(NEAR_RESTORE_MS)).expect("it fits");
-            let at = (center + later).saturating_sub(BEFORE_RESTORE_MS);
-            fault.at = at.clamp(FIRST_AT, LAST_AT);
+            let later = u64::try_from(draw.below(RESTORE_WINDOW_MS)).expect("the number fits");
+            let at = (center + later).saturating_sub(RESTORE_WINDOW_LEAD_MS);
+            fault.at = at.clamp(FIRST_FAULT_AT, LAST_FAULT_AT);
         }
         faults.push(fault);
     }
@@ -249,33 +260,33 @@
 
 fn draw_restore(draw: &mut SeededDraw) -> Fault {
     let depth = if draw.below(2) == 0 {
-        RestoreDepth::Changes(1 + u64::try_from(draw.below(6)).expect("few"))
+        RestoreDepth::Changes(1 + u64::try_from(draw.below(6)).expect("the count fits"))
     } else {
-        RestoreDepth::Age(500 + u64::try_from(draw.below(5_500)).expect("it fits"))
+        RestoreDepth::Age(500 + u64::try_from(draw.below(5_500)).expect("the number fits"))
     };
-    let away_ms = u64::try_from(draw.below(LONGEST_AWAY_MS)).expect("it fits");
+    let away_ms = u64::try_from(draw.below(MAX_RESTORE_OUTAGE_MS)).expect("the number fits");
 
-    Fault { for_ms: away_ms, ..timed(FaultKind::StoreRestored(depth), draw) }
+    Fault { for_ms: away_ms, ..with_random_time(FaultKind::StoreRestored(depth), draw) }
 }
 
 fn draw_fault(draw: &mut SeededDraw) -> Fault {
-    let which = draw.below(1_000);
+    let pick = draw.below(1_000);
     let kind = match draw.below(20) {
-        0 | 1 => FaultKind::RouteChange(which),
-        2 => FaultKind::RouteDrop(which),
-        3 => FaultKind::RouteGrowth(500 + 5 * which),
-        4 => FaultKind::Restart(which),
+        0 | 1 => FaultKind::RouteChange(pick),
+        2 => FaultKind::RouteDrop(pick),
+        3 => FaultKind::RouteGrowth(500 + 5 * pick),
+        4 => FaultKind::Restart(pick),
         5 => FaultKind::RollingRestart,
         6 => FaultKind::Herd,
-        7 => FaultKind::StoreCut(which),
-        8 => FaultKind::PeerCut { balancer: which, is_deaf: which.is_multiple_of(2) },
-        9 | 10 => FaultKind::ZoneCut(which),
-        11 => FaultKind::Freeze(which),
+        7 => FaultKind::StoreCut(pick),
+        8 => FaultKind::PeerCut { balancer: pick, is_deaf: pick.is_multiple_of(2) },
+        9 | 10 => FaultKind::ZoneCut(pick),
+        11 => FaultKind::Freeze(pick),
         12 => FaultKind::SilentCalls,
         13 => FaultKind::StoreRefuses,
         14 => FaultKind::StoreSilent,
         15 => {
-            if which.is_multiple_of(2) {
+            if pick.is_multiple_of(2) {
                 FaultKind::StoreLapse
             } else {
                 FaultKind::StoreLoses
@@ -283,40 +294,40 @@
         }
         16 => FaultKind::StoreForgets,
         17 => {
-            if which.is_multiple_of(2) {
-                FaultKind::BackendSilent(which)
+            if pick.is_multiple_of(2) {
+                FaultKind::BackendSilent(pick)
             } else {
-                FaultKind::BackendCrash(which)
+                FaultKind::BackendCrash(pick)
             }
         }
-        18 => FaultKind::BackendReplaced(which),
-        _ => FaultKind::AddressReused(which),
+        18 => FaultKind::BackendReplaced(pick),
+        _ => FaultKind::AddressReused(pick),
     };
-    timed(kind, draw)
+    with_random_time(kind, draw)
 }
 
 fn draw_rebirth(draw: &mut SeededDraw) -> Fault {
-    let which = draw.below(1_000);
+    let pick = draw.below(1_000);
     let kind =
-        if draw.below(3) == 0 { FaultKind::ForeignEntry(which) } else { FaultKind::Rebirth(which) };
+        if draw.below(3) == 0 { FaultKind::ForeignEntry(pick) } else { FaultKind::Rebirth(pick) };
 
-    timed(kind, draw)
+    with_random_time(kind, draw)
 }
 
-fn draw_place(draw: &mut SeededDraw) -> Fault {
-    let which = draw.below(1_000);
+fn draw_zone_fault(draw: &mut SeededDraw) -> Fault {
+    let pick = draw.below(1_000);
     let kind = match draw.below(3) {
-        0 => FaultKind::ColdReturn(which),
-        _ => FaultKind::Evacuation(which),
+        0 => FaultKind::ColdReturn(pick),
+        _ => FaultKind::Evacuation(pick),
     };
 
-    timed(kind, draw)
+    with_random_time(kind, draw)
 }
 
-fn timed(kind: FaultKind, draw: &mut SeededDraw) -> Fault {
-    let window = usize::try_from(LAST_AT - FIRST_AT).expect("it fits");
-    let at = FIRST_AT + u64::try_from(draw.below(window)).expect("it fits");
-    let for_ms = u64::try_from(500 + draw.below(MAX_MS - 500)).expect("it fits");
+fn with_random_time(kind: FaultKind, draw: &mut SeededDraw) -> Fault {
+    let window = usize::try_from(LAST_FAULT_AT - FIRST_FAULT_AT).expect("the number fits");
+    let at = FIRST_FAULT_AT + u64::try_from(draw.below(window)).expect("the number fits");
+    let for_ms = u64::try_from(500 + draw.below(MAX_DURATION_MS - 500)).expect("the number fits");
 
     Fault { kind, at, for_ms }
 }
--- a/crates/valvestage-policy/tests/simulation/main.rs
+++ b/crates/valvestage-policy/tests/simulation/main.rs
@@ -1,8 +1,9 @@
-//! Many balancers in one process, by seed: which faults does a combination of ordinary events bring about?
+//! Deterministic simulation of a whole deployment: many balancers in one process, driven by a seed.
 //!
-//! Each seed draws a deployment and a series of events that overlap, and plays them in simulated time against the real
-//! policy through its real interface. There are no sockets, threads or sleeps in it. Oracles watch what callers, backend
-//! servers and the store see. One line replays a seed:
+//! Each seed draws a deployment and a series of overlapping faults, and runs them in simulated time
+//! against the real policy code through its public interface, without sockets, threads or sleeps.
+//! Oracles check what callers, backend servers and the store observe. This command runs one seed
+//! again:
 //!
 //! ```text
 //! VALVESTAGE_SEEDS=17 cargo test -p valvestage-policy --test simulation by_hand -- --ignored --nocapture
@@ -10,18 +11,18 @@
 //!
 //! | module | contents |
 //! |---|---|
-//! | `site` | what a deployment consists of |
-//! | `events` | what happens when |
-//! | `fault` | the events of a seed |
-//! | `store` | the platform's store |
-//! | `balancers`, `links` | balancers and what lies between them |
-//! | `router` | which balancer a packet meets |
+//! | `site` | size and topology of a deployment |
+//! | `events` | simulated time and the event queue |
+//! | `fault` | fault kinds, and the fault plan of a seed |
+//! | `store` | fake of the platform's store |
+//! | `balancers`, `links` | balancers, and the network links between them |
+//! | `router` | the routers' choice of a balancer for each packet |
 //! | `backends`, `callers` | the two ends of flows |
-//! | `oracles` | what must hold |
-//! | `mutation` | what is broken on purpose, so that each oracle is seen to fail |
-//! | `seeds` | seeds that showed a fault, with their stories |
-//! | `trace` | what is printed of one seed |
-//! | `world` | all of it, one event after the other |
+//! | `oracles` | the promises that are checked, and their bounds |
+//! | `mutation` | deliberate defects that show that each oracle can fail |
+//! | `seeds` | regression seeds, grouped by the failure they showed |
+//! | `trace` | what is printed while one seed runs |
+//! | `world` | the simulation itself: handles one event after the other |
 
 mod backends;
 mod balancers;
@@ -42,74 +43,78 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 
-use fault::{CUT_SEEDS, FaultPlan, GROWTH_SEEDS, PLACES_SEEDS, REBIRTH_SEEDS, RESTORE_SEEDS};
+use fault::{CUT_SEEDS, FaultPlan, GROWTH_SEEDS, REBIRTH_SEEDS, RESTORE_SEEDS, ZONE_FAULT_SEEDS};
 use mutation::Mutation;
 use oracles::{Oracle, Violation};
 use world::World;
 
-/// Seeds that are played each time.
-const SEEDS: u64 = 2_000;
-
-/// Seeds that ever failed, with their causes.
-const KNOWN: &[(u64, &str)] = &[
-    (455, "entries lapsed in a cut, and the store went away before they could return"),
-    (887, "the same, with a store that says nothing"),
-    (955, "the same, with a rolling restart"),
-    (1484, "the same, once the store had answered for 74 ms"),
-    (3627, "a peer's word of the same revision brought a missing entry back"),
-    (6268, "the same"),
-    (8914, "the same"),
-    (6528, "a peer's word of an older revision than was read did the same"),
-    (3943, "one that hears nobody was asked again at each of its heartbeats"),
-    (6706, "the same"),
-    (10611, "the same"),
-    (11258, "the same"),
+/// Number of seeds that each test of a series runs.
+const SEEDS_PER_SERIES: u64 = 2_000;
+
+/// Seeds that failed before, each with the cause of its failure.
+const KNOWN_SEEDS: &[(u64, &str)] = &[
+    (455, "entries lapsed in a partition, and the store failed before they could be written again"),
+    (887, "as seed 455, with a store that does not answer"),
+    (955, "as seed 455, with a rolling restart"),
+    (1484, "as seed 455, after the store had answered for 74 ms"),
+    (3627, "a peer's report of the same revision restored a missing entry"),
+    (6268, "as seed 3627"),
+    (8914, "as seed 3627"),
+    (6528, "a peer's report of an older revision than the one read restored a missing entry"),
+    (3943, "a balancer that receives no messages was queried again at each of its heartbeats"),
+    (6706, "as seed 3943"),
+    (10611, "as seed 3943"),
+    (11258, "as seed 3943"),
     (
         1_000_057,
-        "a start under a former name, of a service that no address led to, was taken for another writer's",
+        "a restart under the same name, for a service without an address, was taken for another writer's entry",
     ),
-    (1_001_326, "a start that became known after an outage ended flows of the new process"),
-    (1_003_965, "the same"),
-    (1_003_987, "the same"),
-    (1_004_374, "the same"),
-    (1_004_692, "the same"),
-    (1_006_076, "the same"),
-    (1_005_796, "a fault of the simulation: two processes at one address"),
-    (1_006_241, "the same"),
-    (1_013_264, "an incarnation that had lapsed was taken for one that another had followed"),
+    (1_001_326, "a restart that became known after an outage ended flows of the new process"),
+    (1_003_965, "as seed 1001326"),
+    (1_003_987, "as seed 1001326"),
+    (1_004_374, "as seed 1001326"),
+    (1_004_692, "as seed 1001326"),
+    (1_006_076, "as seed 1001326"),
+    (1_005_796, "fault of the simulation: two processes at one address"),
+    (1_006_241, "as seed 1005796"),
+    (1_013_264, "an incarnation whose entry had lapsed was taken for one with a successor"),
     (
         1_014_749,
         "an end that some balancers concluded from a configuration did not reach the others",
     ),
     (
         1_014_960,
-        "flows that opened before a start was known had a token that nobody knew after a restart of all",
+        "flows opened before a restart was known had a token that nobody knew after all balancers restarted",
     ),
-    (1_015_120, "the same"),
-    (2_001_313, "three flows missed answers in a cut, and a copy came just after it"),
-    (2_001_430, "the same"),
-    (2_001_601, "the same"),
-    (2_006_296, "the same"),
-    (2_008_897, "the same"),
-    (2_009_463, "the same"),
-    (2_002_123, "callers of an ended backend server were told in another order on each run"),
+    (1_015_120, "as seed 1014960"),
+    (
+        2_001_313,
+        "three flows missed answers in a partition, and a resent packet came just after it",
+    ),
+    (2_001_430, "as seed 2001313"),
+    (2_001_601, "as seed 2001313"),
+    (2_006_296, "as seed 2001313"),
+    (2_008_897, "as seed 2001313"),
+    (2_009_463, "as seed 2001313"),
+    (2_002_123, "callers of an ended backend server got their resets in another order on each run"),
     (
         2_008_842,
-        "a fault of the simulation: a late refusal of an opening packet ended a flow that was open",
+        "fault of the simulation: a late refusal of an opening packet ended a flow that was open",
     ),
-    (2_005_915, "the same"),
+    (2_005_915, "as seed 2008842"),
     (
         1_016_567,
-        "allowed: one that starts while an entry is spoiled cannot know where its backend server is",
+        "allowed: a balancer that starts while an entry is unusable cannot know the backend server's address",
     ),
 ];
 
-/// Plays one seed.
-fn play(seed: u64, mutation: Option<Mutation>) -> Vec<Violation> {
+/// Runs one seed; returns its violations.
+fn run_seed(seed: u64, mutation: Option<Mutation>) -> Vec<Violation> {
     World::new(seed, FaultPlan::draw(seed), mutation).run()
 }
 
-/// Leaves out events as long as something is still violated.
+/// Returns a smaller fault plan of a failing seed: removes each fault without which a promise is
+/// still violated.
 fn shrink(seed: u64) -> FaultPlan {
     let mut plan = FaultPlan::draw(seed);
     let mut place = 0;
@@ -126,8 +131,8 @@
     plan
 }
 
-/// Plays seeds on all processors; gives those that violate something.
-fn play_all(first: u64, count: u64) -> Vec<(u64, Vec<Violation>)> {
+/// Runs `count` seeds from `first` on, on all processors; returns those that violate a promise.
+fn run_seeds(first: u64, count: u64) -> Vec<(u64, Vec<Violation>)> {
     let next = AtomicU64::new(first);
     let workers = thread::available_parallelism().map_or(1, usize::from);
 
@@ -139,14 +144,17 @@
                 if seed >= first + count {
                     return failed;
                 }
-                let violations = play(seed, None);
+                let violations = run_seed(seed, None);
                 if !violations.is_empty() {
                     failed.push((seed, violations));
                 }
             }
         };
         let workers: Vec<_> = (0..workers).map(|_| scope.spawn(work)).collect();
-        workers.into_iter().flat_map(|worker| worker.join().expect("it plays")).collect()
+        workers
+            .into_iter()
+            .flat_map(|worker| worker.join().expect("the seed thread does not panic"))
+            .collect()
     });
     failed.sort_by_key(|(seed, _)| *seed);
     failed
@@ -162,115 +170,122 @@
     }
     for (seed, violations) in failed.iter().take(8) {
         println!("seed {seed}: {} violations, the first {:?}", violations.len(), violations[0]);
-        println!("  by {:?}", shrink(*seed));
+        println!("  smallest plan that fails: {:?}", shrink(*seed));
     }
 }
 
 #[test]
 fn no_seed_violates_anything() {
-    let failed = play_all(0, SEEDS);
+    let failed = run_seeds(0, SEEDS_PER_SERIES);
 
     report(&failed);
-    assert!(failed.is_empty(), "{} of {SEEDS} seeds", failed.len());
+    assert!(failed.is_empty(), "{} of {SEEDS_PER_SERIES} seeds violate a promise", failed.len());
 }
 
 #[test]
 fn no_seed_with_rebirths_violates_anything() {
-    let failed = play_all(REBIRTH_SEEDS, SEEDS);
+    let failed = run_seeds(REBIRTH_SEEDS, SEEDS_PER_SERIES);
 
     report(&failed);
-    assert!(failed.is_empty(), "{} of {SEEDS} seeds", failed.len());
+    assert!(failed.is_empty(), "{} of {SEEDS_PER_SERIES} seeds violate a promise", failed.len());
 }
 
 #[test]
 fn no_seed_with_evacuations_and_cold_returns_violates_anything() {
-    let failed = play_all(PLACES_SEEDS, SEEDS);
+    let failed = run_seeds(ZONE_FAULT_SEEDS, SEEDS_PER_SERIES);
 
     report(&failed);
-    assert!(failed.is_empty(), "{} of {SEEDS} seeds", failed.len());
+    assert!(failed.is_empty(), "{} of {SEEDS_PER_SERIES} seeds violate a promise", failed.len());
 }
 
 #[test]
 fn no_seed_with_cuts_only_violates_anything() {
-    let failed = play_all(CUT_SEEDS, SEEDS);
+    let failed = run_seeds(CUT_SEEDS, SEEDS_PER_SERIES);
 
     report(&failed);
-    assert!(failed.is_empty(), "{} of {SEEDS} seeds", failed.len());
+    assert!(failed.is_empty(), "{} of {SEEDS_PER_SERIES} seeds violate a promise", failed.len());
 }
 
 #[test]
 fn no_seed_with_a_large_growth_violates_anything() {
-    let failed = play_all(GROWTH_SEEDS, SEEDS);
+    let failed = run_seeds(GROWTH_SEEDS, SEEDS_PER_SERIES);
 
     report(&failed);
-    assert!(failed.is_empty(), "{} of {SEEDS} seeds", failed.len());
+    assert!(failed.is_empty(), "{} of {SEEDS_PER_SERIES} seeds violate a promise", failed.len());
 }
 
 #[test]
 fn no_seed_with_a_restored_store_violates_anything() {
-    let failed = play_all(RESTORE_SEEDS, SEEDS);
+    let failed = run_seeds(RESTORE_SEEDS, SEEDS_PER_SERIES);
 
     report(&failed);
-    assert!(failed.is_empty(), "{} of {SEEDS} seeds", failed.len());
+    assert!(failed.is_empty(), "{} of {SEEDS_PER_SERIES} seeds violate a promise", failed.len());
 }
 
 #[test]
 fn seeds_that_ever_failed_hold() {
-    for (seed, cause) in KNOWN {
-        let violations = play(*seed, None);
+    for (seed, cause) in KNOWN_SEEDS {
+        let violations = run_seed(*seed, None);
         assert!(violations.is_empty(), "seed {seed}, {cause}: {:?}", violations[0]);
     }
 }
 
-/// A flow moves from a frozen balancer to one that has seen nothing of its backend server, whose entry lapsed in a cut,
-/// while the store says nothing; and back to the frozen one, which wakes after the time in which the entry may return.
+/// While the store does not answer, a flow moves from a paused balancer to one that has seen no
+/// traffic of its backend server, whose entry lapsed in a partition. The flow then moves back to
+/// the paused balancer, which resumes after the time in which the entry may be written again.
 #[test]
 fn a_flow_that_moves_while_the_store_is_silent_stays() {
-    let violations = play(11_828, None);
+    let violations = run_seed(11_828, None);
 
     assert!(violations.is_empty(), "{:?}", violations[0]);
 }
 
-/// A balancer starts 0.7 s before the entries of a zone that is cut off lapse, and gets a flow there just after the cut.
+/// A balancer starts 0.7 s before the entries of a partitioned zone lapse, and receives a flow to
+/// that zone just after the partition.
 #[test]
-fn a_cut_and_a_herd_end_no_flow_that_was_answered() {
-    let violations = play(1_008_481, None);
+fn a_cut_and_a_restart_of_all_end_no_flow_that_was_answered() {
+    let violations = run_seed(1_008_481, None);
 
     assert!(violations.is_empty(), "{:?}", violations[0]);
 }
 
-/// All open calls fall silent, and 0.2 s later the configuration grows to the most that the store takes.
+/// All open store calls stop answering, and 0.2 s later the configuration grows to the largest size
+/// that the store accepts.
 #[test]
 fn a_configuration_that_grows_twice_is_in_force_in_time_after_calls_fell_silent() {
-    let violations = play(1_013_943, None);
+    let violations = run_seed(1_013_943, None);
 
     assert!(violations.is_empty(), "{:?}", violations[0]);
 }
 
-/// After two cuts one balancer has a record of a flow that another one serves, and learns that the entry of its backend server has
-/// lapsed, 30 ms before the end of the second cut. It took the lapse for an end and told the caller, answered 626 ms before.
-/// `Reset` by balancer 2 shows it, where each packet since 13 s went through balancer 1.
+/// Guards against a reset that follows from a lapsed entry. After two partitions a balancer has a
+/// record of a flow that another balancer serves, and learns 30 ms before the end of the second
+/// partition that the backend server's entry has lapsed. Taking the lapse for an end, it reset the
+/// flow, which had been answered 626 ms before: the trace shows a `Reset` by balancer 2, while
+/// every packet since 13 s had gone through balancer 1.
 #[test]
 fn a_flow_that_moves_after_two_cuts_stays() {
-    let violations = play(2_004_775, None);
+    let violations = run_seed(2_004_775, None);
 
     assert!(violations.is_empty(), "{:?}", violations[0]);
 }
 
-/// The second copy of a packet comes 0.1 s after the end of a cut in which the first one was lost.
+/// The second copy of a packet arrives 0.1 s after the end of a partition that lost the first copy.
 #[test]
 fn a_second_copy_just_after_a_cut_ends_no_flow() {
-    let violations = play(2_008_948, None);
+    let violations = run_seed(2_008_948, None);
 
     assert!(violations.is_empty(), "{:?}", violations[0]);
 }
 
-/// An entry lapses in a cut, and a balancer that learns of it after the cut is heard by nobody from then on, so that the return of the
-/// entry never reaches it. It ended flows when the time to return was over by its own clock. `BackendChanged` with the phase
-/// ready stands at all others, and `Reset` three seconds later at this one, answered 536 ms before.
+/// An entry lapses in a partition. A balancer learns of the lapse after the partition and from then
+/// on is heard by nobody, so that it never learns that the entry was written again. It ended flows
+/// when the return time had passed by its own clock. The trace shows `BackendChanged` with the
+/// phase ready at all other balancers, and three seconds later at this one a `Reset` of a flow that
+/// had been answered 536 ms before.
 #[test]
 fn a_flow_that_moves_between_two_outages_stays() {
-    let violations = play(2_009_812, None);
+    let violations = run_seed(2_009_812, None);
 
     assert!(violations.is_empty(), "{:?}", violations[0]);
 }
@@ -279,9 +294,9 @@
 fn a_seed_is_played_the_same_way_each_time() {
     let mutation = Some(Mutation::DropOpenFlows);
 
-    assert_eq!(play(3, mutation), play(3, mutation));
+    assert_eq!(run_seed(3, mutation), run_seed(3, mutation));
     for seed in [2_002_123, 2_004_775] {
-        let all: Vec<_> = (0..8).map(|_| play(seed, None)).collect();
+        let all: Vec<_> = (0..8).map(|_| run_seed(seed, None)).collect();
         assert!(all.iter().all(|one| *one == all[0]), "seed {seed}: {all:?}");
     }
 }
@@ -289,12 +304,13 @@
 #[test]
 fn each_oracle_fails_where_its_promise_is_broken() {
     for (mutation, oracle) in Mutation::ALL {
-        let seeds =
-            (0..60).chain(REBIRTH_SEEDS..REBIRTH_SEEDS + 60).chain(PLACES_SEEDS..PLACES_SEEDS + 60);
+        let seeds = (0..60)
+            .chain(REBIRTH_SEEDS..REBIRTH_SEEDS + 60)
+            .chain(ZONE_FAULT_SEEDS..ZONE_FAULT_SEEDS + 60);
         let found = seeds.into_iter().any(|seed| {
-            play(seed, Some(mutation)).iter().any(|violation| violation.oracle == oracle)
+            run_seed(seed, Some(mutation)).iter().any(|violation| violation.oracle == oracle)
         });
-        assert!(found, "{mutation:?} is not seen as {oracle:?}");
+        assert!(found, "no seed with the mutation {mutation:?} violates {oracle:?}");
     }
 }
 
@@ -305,29 +321,33 @@
     }
 }
 
-/// Plays `FIRST..END` or one seed, given in `VALVESTAGE_SEEDS`.
+/// Runs the seeds that `VALVESTAGE_SEEDS` names: `FIRST..END`, or one seed.
 #[test]
 #[ignore = "by hand"]
 fn by_hand() {
     let text = std::env::var("VALVESTAGE_SEEDS").expect("VALVESTAGE_SEEDS is set");
     let (first, end) = text.split_once("..").unwrap_or((&text, ""));
-    let first: u64 = first.parse().expect("a number");
-    let end: u64 = if end.is_empty() { first + 1 } else { end.parse().expect("a number") };
-
-    let failed = play_all(first, end - first);
+    let first: u64 = first.parse().expect("VALVESTAGE_SEEDS holds numbers");
+    let end: u64 = if end.is_empty() {
+        first + 1
+    } else {
+        end.parse().expect("VALVESTAGE_SEEDS holds numbers")
+    };
+
+    let failed = run_seeds(first, end - first);
     report(&failed);
-    println!("{} of {} seeds violate something", failed.len(), end - first);
+    println!("{} of {} seeds violate a promise", failed.len(), end - first);
     assert!(failed.is_empty());
 }
 
-/// Plays one seed with the fewest events that it still fails with, once all is known of which they are, and prints what
-/// `VALVESTAGE_TRACE` asks for.
+/// Runs one seed and prints what `VALVESTAGE_TRACE` asks for. A failing seed runs with the smaller
+/// fault plan that still makes it fail.
 #[test]
 #[ignore = "by hand"]
 fn traced() {
     let text = std::env::var("VALVESTAGE_SEEDS").expect("VALVESTAGE_SEEDS is set");
-    let seed: u64 = text.parse().expect("a number");
-    let plan = if play(seed, None).is_empty() { FaultPlan::draw(seed) } else { shrink(seed) };
+    let seed: u64 = text.parse().expect("VALVESTAGE_SEEDS holds numbers");
+    let plan = if run_seed(seed, None).is_empty() { FaultPlan::draw(seed) } else { shrink(seed) };
 
     println!("traced: {seed} with {plan:?}");
     let world = World::new(seed, plan, None);
--- a/crates/valvestage-policy/tests/simulation/seeds.rs
+++ b/crates/valvestage-policy/tests/simulation/seeds.rs
@@ -1,4 +1,4 @@
-//! Seeds that showed a fault, by what callers and operators saw. Each file tells what happens.
+//! Regression seeds, grouped by the failure that callers and operators observed.
 
 mod dropped_packets;
 mod held_watches;
@@ -9,12 +9,12 @@
 mod restored_stores;
 mod stale_beliefs;
 
-use crate::play;
+use crate::run_seed;
 
-/// Plays seeds; none may violate anything.
-fn assert_hold(seeds: &[u64]) {
+/// Runs seeds, and fails on the first one that violates a promise.
+fn assert_no_violations(seeds: &[u64]) {
     for seed in seeds {
-        let violations = play(*seed, None);
+        let violations = run_seed(*seed, None);
         assert!(violations.is_empty(), "seed {seed}: {:?}", violations[0]);
     }
 }
--- a/crates/valvestage-policy/tests/simulation/store.rs
+++ b/crates/valvestage-policy/tests/simulation/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store.
+//! A fake of the platform's store.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,17 +11,17 @@
 
 use crate::events::{BalancerNumber, Millis};
 
-/// What the client waits beyond the wait of a watch.
+/// Client timeout of a call, beyond the wait of a watch.
 const CALL_TIMEOUT: Millis = 1_000;
 
-/// Bytes of one route as the store has it, and of a link of 10 Mbit/s in a millisecond.
+/// Size of one route in the store, and bytes that a link of 10 Mbit/s carries in a millisecond.
 const ROUTE_BYTES: usize = 180;
-const LINK_BYTES_EACH_MS: usize = 1_250;
+const LINK_BYTES_PER_MS: usize = 1_250;
 
-/// The store takes values of up to 1 MiB, so a configuration has no more routes than these.
+/// Most routes of a configuration: the store accepts values of up to 1 MiB.
 pub const MAX_ROUTES: usize = (1 << 20) / ROUTE_BYTES;
 
-/// How the store answers.
+/// Whether the store answers calls, refuses them, or does not respond.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreMode {
     Answers,
@@ -29,62 +29,65 @@
     Silent,
 }
 
-/// A call that waits for its answer.
+/// A call to the store that has no answer yet.
 #[derive(Debug)]
 pub struct OpenCall {
     pub balancer: BalancerNumber,
-    /// The life of the balancer that made it.
-    pub life: u32,
+    /// The balancer's start count when it made the call. A restarted balancer gets no answers to
+    /// calls of its former process.
+    pub start_count: u32,
     pub kind: StoreKind,
     pub call: StoreCall,
     pub answer_at: Millis,
-    pub ends_at: Millis,
-    pub gives_up_at: Millis,
-    /// Its connection says nothing more, or its answer is lost.
+    pub wait_ends_at: Millis,
+    pub times_out_at: Millis,
+    /// Whether the connection is dead or the answer was lost, so that the call times out.
     pub is_silent: bool,
 }
 
-/// The answer to a call.
+/// The answer to a call, by the kind of object.
 pub enum StoreAnswer {
     Routes(StoreReply<RouteMap>),
     Backends(StoreReply<BackendUpdate>),
     Evacuations(StoreReply<EvacuationUpdate>),
 }
 
-/// A time without an entry.
+/// A period in which the store had no entry of a backend server.
 #[derive(Debug, Clone, Copy)]
 pub struct Absence {
     pub since: Millis,
-    /// When the entry was written again; none if it was not.
+    /// When the entry was written again; None if it was not.
     pub until: Option<Millis>,
 }
 
-/// `FakeStore` keeps the configuration and the entries of backend servers, with their history.
+/// The store's state: the configuration, the entries of backend servers and the evacuations, each
+/// with its change history.
 pub struct FakeStore {
-    /// How often it was restored from an older copy.
+    /// Number of restores from an older copy.
     pub era: StoreEra,
     pub revision: u64,
     pub routes: RouteMap,
     pub entries: BTreeMap<InstanceId, BackendEntry>,
-    /// The last time in which the store had no entry of a backend server that had had one.
+    /// For each backend server whose entry was deleted, the last period without an entry.
     absences: BTreeMap<InstanceId, Absence>,
     route_changes: Vec<(u64, RouteMap)>,
     entry_changes: Vec<BackendUpdate>,
     pub evacuated: BTreeSet<String>,
     evacuation_changes: Vec<EvacuationUpdate>,
-    forgotten: u64,
-    /// When each revision was given out.
-    changed_at: Vec<(u64, Millis)>,
+    /// Watches after an older revision than this fail.
+    compacted_revision: u64,
+    /// When each revision was first seen by the periodic scan.
+    revision_times: Vec<(u64, Millis)>,
     pub mode: StoreMode,
     /// Whether one answer in three is lost.
-    pub loses: bool,
+    pub loses_answers: bool,
     pub calls: Vec<OpenCall>,
     pub call_count: usize,
-    /// Shows draining entries as ready ones.
+    /// Whether watches show draining entries as ready.
     pub hides_drains: bool,
-    /// Whether entries do not say which start they are of.
-    pub hides_births: bool,
-    /// Shows no evacuations; no entry as cold.
+    /// Whether entries hide the incarnation of their backend servers.
+    pub hides_incarnations: bool,
+    /// Whether no evacuations are shown, and no entry is shown as cold.
     pub hides_evacuations: bool,
     pub hides_cold: bool,
 }
@@ -101,14 +104,14 @@
             entry_changes: Vec::new(),
             evacuated: BTreeSet::new(),
             evacuation_changes: Vec::new(),
-            forgotten: 0,
-            changed_at: Vec::new(),
+            compacted_revision: 0,
+            revision_times: Vec::new(),
             mode: StoreMode::Answers,
-            loses: false,
+            loses_answers: false,
             calls: Vec::new(),
             call_count: 0,
             hides_drains: false,
-            hides_births: false,
+            hides_incarnations: false,
             hides_evacuations: false,
             hides_cold: false,
         }
@@ -129,7 +132,7 @@
         if self.hides_cold {
             entry.cold_until = None;
         }
-        if self.hides_births {
+        if self.hides_incarnations {
             entry.instance = entry.name.number;
         }
         self.revision += 1;
@@ -147,8 +150,8 @@
         });
     }
 
-    /// The operator evacuates a zone, or takes it back.
-    pub fn evacuate(&mut self, zone: &str, is_requested: bool) {
+    /// Writes the operator's request to evacuate a zone, or to end its evacuation.
+    pub fn set_evacuated(&mut self, zone: &str, is_requested: bool) {
         self.revision += 1;
         if is_requested {
             self.evacuated.insert(zone.to_owned());
@@ -161,8 +164,9 @@
         }
     }
 
-    /// Another writer puts what names no backend server in the place of an entry.
-    pub fn spoil_entry(&mut self, instance: InstanceId) {
+    /// Overwrites an entry as another writer does, with a value that names no usable backend
+    /// server.
+    pub fn make_entry_unusable(&mut self, instance: InstanceId) {
         let Some(entry) = self.entries.get_mut(&instance) else { return };
 
         self.revision += 1;
@@ -172,7 +176,8 @@
         self.entry_changes.push(BackendUpdate { name, position, change: EntryChange::Unusable });
     }
 
-    /// The last time in which the store had no entry of a backend server; none if it always had one.
+    /// Returns the last period without an entry of a backend server; None if its entry was never
+    /// deleted.
     pub fn absence(&self, instance: InstanceId) -> Option<Absence> {
         self.absences.get(&instance).copied()
     }
@@ -190,32 +195,32 @@
         StorePosition::new(self.era, self.revision)
     }
 
-    /// Keeps when the last revision was given out.
-    pub fn note_time(&mut self, now: Millis) {
-        if self.changed_at.last().is_none_or(|(revision, _)| *revision < self.revision) {
-            self.changed_at.push((self.revision, now));
+    /// Records the time of the current revision if it is new.
+    pub fn record_revision_time(&mut self, now: Millis) {
+        if self.revision_times.last().is_none_or(|(revision, _)| *revision < self.revision) {
+            self.revision_times.push((self.revision, now));
         }
     }
 
-    /// The last revision before a time.
+    /// Returns the last revision recorded up to a time, or 0.
     pub fn revision_at(&self, time: Millis) -> u64 {
-        let before = self.changed_at.iter().rev().find(|(_, at)| *at <= time);
+        let before = self.revision_times.iter().rev().find(|(_, at)| *at <= time);
 
         before.map_or(0, |(revision, _)| *revision)
     }
 
-    /// Goes back to what there was at a revision, in the next era.
+    /// Restores the state of a revision, in the next store era.
     pub fn restore(&mut self, revision: u64, now: Millis) {
         let former: Vec<_> = self.entries.keys().copied().collect();
         self.era += 1;
         self.revision = revision;
-        self.forgotten = self.forgotten.min(revision);
-        self.changed_at.retain(|(at, _)| *at <= revision);
+        self.compacted_revision = self.compacted_revision.min(revision);
+        self.revision_times.retain(|(at, _)| *at <= revision);
         self.route_changes.retain(|(at, _)| *at <= revision);
         self.entry_changes.retain(|news| news.position.revision <= revision);
         self.evacuation_changes.retain(|news| news.position.revision <= revision);
 
-        self.enter_era();
+        self.rewrite_history_era();
         let routes = self.route_changes.last();
         self.routes = routes.map(|(_, routes)| routes.clone()).unwrap_or_default();
         self.evacuated.clear();
@@ -228,15 +233,16 @@
         }
         self.entries.clear();
         for news in self.entry_changes.clone() {
-            self.replay(news);
+            self.replay_change(news);
         }
         for instance in former.into_iter().filter(|one| !self.entries.contains_key(one)) {
             self.absences.insert(instance, Absence { since: now, until: None });
         }
     }
 
-    /// What it tells now is told in its present era, also what was written in a former one.
-    fn enter_era(&mut self) {
+    /// Moves the change history to the present era: the store reports all positions in this era,
+    /// also those of writes in a former one.
+    fn rewrite_history_era(&mut self) {
         let era = self.era;
 
         for news in &mut self.entry_changes {
@@ -250,8 +256,8 @@
         }
     }
 
-    /// Takes a change of an entry in that was there before.
-    fn replay(&mut self, news: BackendUpdate) {
+    /// Applies a change of the history to the entries again.
+    fn replay_change(&mut self, news: BackendUpdate) {
         let former = self.entries.values().find(|entry| entry.name == news.name).cloned();
         self.entries.retain(|_, entry| entry.name != news.name);
 
@@ -266,18 +272,18 @@
         self.entries.insert(entry.instance, entry);
     }
 
-    /// Whether changes after a revision cannot be told.
-    fn lacks(&self, after: u64) -> bool {
-        after < self.forgotten || after > self.revision
+    /// Reports whether the changes after a revision are not available.
+    fn lacks_history_after(&self, after: u64) -> bool {
+        after < self.compacted_revision || after > self.revision
     }
 
-    pub fn forget_history(&mut self) {
-        self.forgotten = self.revision;
+    pub fn compact_history(&mut self) {
+        self.compacted_revision = self.revision;
     }
 
     pub fn begin_call(
         &mut self,
-        (balancer, life): (BalancerNumber, u32),
+        (balancer, start_count): (BalancerNumber, u32),
         (kind, call): (StoreKind, StoreCall),
         has_slow_link: bool,
         now: Millis,
@@ -285,25 +291,33 @@
         self.call_count += 1;
         let wait = match &call {
             StoreCall::List { .. } => 0,
-            StoreCall::Watch { wait, .. } => Millis::try_from(wait.as_millis()).expect("short"),
+            StoreCall::Watch { wait, .. } => {
+                Millis::try_from(wait.as_millis()).expect("the duration fits")
+            }
         };
         let is_large = has_slow_link && kind == StoreKind::Configuration;
         let bytes = if is_large { self.routes.routes.len() * ROUTE_BYTES } else { 0 };
-        let transfer = Millis::try_from(bytes / LINK_BYTES_EACH_MS).expect("short");
+        let transfer = Millis::try_from(bytes / LINK_BYTES_PER_MS).expect("the duration fits");
         self.calls.push(OpenCall {
             balancer,
-            life,
+            start_count,
             kind,
             call,
             answer_at: now + 4 + transfer,
-            ends_at: now + wait,
-            gives_up_at: now + wait + transfer + CALL_TIMEOUT,
+            wait_ends_at: now + wait,
+            times_out_at: now + wait + transfer + CALL_TIMEOUT,
             is_silent: false,
         });
     }
 
-    /// The answer to a call, if there is something to say.
-    pub fn answer(&self, kind: StoreKind, call: &StoreCall, is_over: bool) -> Option<StoreAnswer> {
+    /// Returns the answer to a call. Returns None for a watch that has nothing to report and may
+    /// still wait.
+    pub fn answer(
+        &self,
+        kind: StoreKind,
+        call: &StoreCall,
+        is_wait_over: bool,
+    ) -> Option<StoreAnswer> {
         let position = self.position();
         let after = match call {
             StoreCall::List { .. } => None,
@@ -315,13 +329,13 @@
                 let objects = has_any.then(|| self.routes.clone()).into_iter().collect();
                 StoreAnswer::Routes(StoreReply::Page { objects, next_after: None, position })
             }
-            (StoreKind::Configuration, Some(after)) if self.lacks(after) => {
+            (StoreKind::Configuration, Some(after)) if self.lacks_history_after(after) => {
                 StoreAnswer::Routes(StoreReply::HistoryGone)
             }
             (StoreKind::Configuration, Some(after)) => {
                 let changes = self.route_changes.iter().filter(|(at, _)| *at > after);
                 let objects: Vec<_> = changes.map(|(_, routes)| routes.clone()).collect();
-                if objects.is_empty() && !is_over {
+                if objects.is_empty() && !is_wait_over {
                     return None;
                 }
                 StoreAnswer::Routes(StoreReply::Changes { objects, position })
@@ -345,26 +359,26 @@
                 let objects = objects.collect();
                 StoreAnswer::Evacuations(StoreReply::Page { objects, next_after: None, position })
             }
-            (StoreKind::Evacuations, Some(after)) if self.lacks(after) => {
+            (StoreKind::Evacuations, Some(after)) if self.lacks_history_after(after) => {
                 StoreAnswer::Evacuations(StoreReply::HistoryGone)
             }
             (StoreKind::Evacuations, Some(after)) => {
                 let changes =
                     self.evacuation_changes.iter().filter(|news| news.position.revision > after);
                 let objects: Vec<_> = changes.cloned().collect();
-                if objects.is_empty() && !is_over {
+                if objects.is_empty() && !is_wait_over {
                     return None;
                 }
                 StoreAnswer::Evacuations(StoreReply::Changes { objects, position })
             }
-            (StoreKind::Backends, Some(after)) if self.lacks(after) => {
+            (StoreKind::Backends, Some(after)) if self.lacks_history_after(after) => {
                 StoreAnswer::Backends(StoreReply::HistoryGone)
             }
             (StoreKind::Backends, Some(after)) => {
                 let changes =
                     self.entry_changes.iter().filter(|news| news.position.revision > after);
                 let objects: Vec<_> = changes.cloned().collect();
-                if objects.is_empty() && !is_over {
+                if objects.is_empty() && !is_wait_over {
                     return None;
                 }
                 StoreAnswer::Backends(StoreReply::Changes { objects, position })
--- a/crates/valvestage-policy/tests/simulation/world/faults.rs
+++ b/crates/valvestage-policy/tests/simulation/world/faults.rs
@@ -1,33 +1,35 @@
-//! What faults do.
+//! What each fault does when it begins and ends.
 
 use std::net::SocketAddrV4;
 
 use valvestage_core::ids::InstanceId;
 use valvestage_policy::steering::BackendPhase;
 
-use super::{ADDRESSES, World};
-use crate::backends::{Backend, LEAVES_AFTER, next_birth};
+use super::{ADDRESS_COUNT, World};
+use crate::backends::{Backend, DRAIN_MS, next_incarnation};
 use crate::events::{Event, Millis};
 use crate::fault::{Fault, FaultKind, RestoreDepth};
 use crate::oracles::Oracle;
 use crate::site::{SitePlan, ZONES, service_address};
 use crate::store::{MAX_ROUTES, StoreMode};
 
-/// The longest that a balancer is down, and all of them are.
-const DOWN_MS: Millis = 1_500;
-const HERD_DOWN_MS: Millis = 1_000;
+/// Longest time for which one balancer is down, and for which all balancers are down.
+const MAX_DOWN_MS: Millis = 1_500;
+const MAX_ALL_DOWN_MS: Millis = 1_000;
 
-/// Time in which all balancers are restarted one after the other.
-const ROLL_MS: Millis = 4_000;
+/// Duration of a rolling restart of all balancers.
+const ROLLING_RESTART_MS: Millis = 4_000;
 
-/// After a restore the operator writes again within this time; backend servers within this and the time between two writes.
+/// After a restore of the store the operator writes again within the first time, and backend
+/// servers within the second one plus the interval between two writes.
 const OPERATOR_WRITES_WITHIN: usize = 2_000;
 const BACKENDS_WRITE_WITHIN: usize = 1_200;
 
-/// An address is not given to another backend server before this.
+/// Shortest time before the address of an ended backend server is given to another one.
 const REUSE_AFTER: Millis = 2_000;
 
-/// Faults as they are played: a rolling restart is many restarts, and some last as long as they have to.
+/// Returns the faults as they are simulated: a rolling restart becomes one restart of each
+/// balancer, and the durations of some kinds are bounded or fixed.
 pub fn expand(faults: &[Fault], plan: &SitePlan) -> Vec<Fault> {
     let mut all = Vec::new();
 
@@ -35,16 +37,17 @@
         let Fault { kind, at, for_ms } = *fault;
         match kind {
             FaultKind::RollingRestart => {
-                let gap = ROLL_MS / u64::try_from(plan.balancers).expect("few");
+                let gap =
+                    ROLLING_RESTART_MS / u64::try_from(plan.balancers).expect("the count fits");
                 all.extend((0..plan.balancers).map(|number| Fault {
                     kind: FaultKind::Restart(number),
-                    at: at + gap * u64::try_from(number).expect("few"),
+                    at: at + gap * u64::try_from(number).expect("the count fits"),
                     for_ms: 100,
                 }));
             }
-            FaultKind::Restart(_) => all.push(Fault { for_ms: for_ms.min(DOWN_MS), ..*fault }),
-            FaultKind::Herd => all.push(Fault { for_ms: for_ms.min(HERD_DOWN_MS), ..*fault }),
-            FaultKind::BackendReplaced(_) => all.push(Fault { for_ms: LEAVES_AFTER, ..*fault }),
+            FaultKind::Restart(_) => all.push(Fault { for_ms: for_ms.min(MAX_DOWN_MS), ..*fault }),
+            FaultKind::Herd => all.push(Fault { for_ms: for_ms.min(MAX_ALL_DOWN_MS), ..*fault }),
+            FaultKind::BackendReplaced(_) => all.push(Fault { for_ms: DRAIN_MS, ..*fault }),
             FaultKind::AddressReused(_) => {
                 all.push(Fault { for_ms: for_ms.max(REUSE_AFTER), ..*fault });
             }
@@ -63,54 +66,55 @@
         let until = self.now + for_ms;
 
         match kind {
-            FaultKind::RouteChange(which) => {
-                let address = service_address(which % ADDRESSES);
-                if let Some(service) = self.wanted.get_mut(&address) {
+            FaultKind::RouteChange(pick) => {
+                let address = service_address(pick % ADDRESS_COUNT);
+                if let Some(service) = self.wanted_routes.get_mut(&address) {
                     *service = 1 - *service;
                 }
-                self.configure_if_possible();
+                self.write_configuration_if_possible();
             }
-            FaultKind::RouteDrop(which) => {
-                let address = service_address(which % ADDRESSES);
-                let is_last = self.wanted.len() == 1;
-                if self.wanted.remove(&address).is_none() || is_last {
-                    self.wanted.insert(address, which % 2);
+            FaultKind::RouteDrop(pick) => {
+                let address = service_address(pick % ADDRESS_COUNT);
+                let is_last = self.wanted_routes.len() == 1;
+                if self.wanted_routes.remove(&address).is_none() || is_last {
+                    self.wanted_routes.insert(address, pick % 2);
                 } else {
                     self.dropped_at.insert(address, self.now);
                 }
-                self.configure_if_possible();
+                self.write_configuration_if_possible();
             }
             FaultKind::RouteGrowth(count) => {
-                let first = 1_000 + self.wanted.len();
-                let count = count.min(MAX_ROUTES.saturating_sub(self.wanted.len()));
-                self.wanted.extend((first..first + count).map(|n| (service_address(n), n % 2)));
-                self.configure_if_possible();
+                let first = 1_000 + self.wanted_routes.len();
+                let count = count.min(MAX_ROUTES.saturating_sub(self.wanted_routes.len()));
+                self.wanted_routes
+                    .extend((first..first + count).map(|n| (service_address(n), n % 2)));
+                self.write_configuration_if_possible();
             }
-            FaultKind::Restart(which) => self.stop(which % self.plan.balancers, until),
+            FaultKind::Restart(pick) => self.stop_balancer(pick % self.plan.balancers, until),
             FaultKind::Herd => {
                 for balancer in 0..self.plan.balancers {
-                    self.stop(balancer, until);
+                    self.stop_balancer(balancer, until);
                 }
             }
             FaultKind::RollingRestart => {}
-            FaultKind::StoreCut(which) => {
-                let node = &mut self.balancers[which % self.plan.balancers];
+            FaultKind::StoreCut(pick) => {
+                let node = &mut self.balancers[pick % self.plan.balancers];
                 node.is_cut_from_store = true;
                 node.disturbed_at = node.disturbed_at.max(until);
             }
             FaultKind::PeerCut { balancer, is_deaf } => {
                 let node = &mut self.balancers[balancer % self.plan.balancers];
                 if is_deaf {
-                    node.is_deaf = true;
+                    node.is_inbound_cut = true;
                 } else {
-                    node.is_mute = true;
+                    node.is_outbound_cut = true;
                 }
                 node.disturbed_at = node.disturbed_at.max(until);
             }
-            FaultKind::ZoneCut(which) => self.cut_zone(which % self.plan.zones, until),
-            FaultKind::Freeze(which) => {
-                let node = &mut self.balancers[which % self.plan.balancers];
-                node.frozen_until = node.frozen_until.max(until);
+            FaultKind::ZoneCut(pick) => self.cut_zone(pick % self.plan.zones, until),
+            FaultKind::Freeze(pick) => {
+                let node = &mut self.balancers[pick % self.plan.balancers];
+                node.paused_until = node.paused_until.max(until);
                 node.disturbed_at = node.disturbed_at.max(until);
             }
             FaultKind::SilentCalls => {
@@ -122,46 +126,50 @@
             FaultKind::StoreRefuses => self.disturb_store(StoreMode::Refuses, until),
             FaultKind::StoreSilent => self.disturb_store(StoreMode::Silent, until),
             FaultKind::StoreLapse => {
-                self.lapses = true;
+                self.entries_lapse_while_away = true;
                 self.disturb_store(StoreMode::Refuses, until);
             }
             FaultKind::StoreForgets => {
-                self.store.forget_history();
+                self.store.compact_history();
                 self.store_disturbed_at = self.store_disturbed_at.max(self.now);
             }
             FaultKind::StoreRestored(_) => self.disturb_store(StoreMode::Refuses, until),
             FaultKind::StoreLoses => {
-                self.store.loses = true;
+                self.store.loses_answers = true;
                 self.store_disturbed_at = self.store_disturbed_at.max(until);
             }
-            FaultKind::BackendSilent(which) => {
-                if let Some(instance) = self.choose_backend(which) {
-                    let backend = self.backends.get_mut(&instance).expect("it is there");
+            FaultKind::BackendSilent(pick) => {
+                if let Some(instance) = self.choose_backend(pick) {
+                    let backend =
+                        self.backends.get_mut(&instance).expect("the backend server exists");
                     backend.silent_until = until;
                 }
             }
-            FaultKind::BackendCrash(which) => {
-                if let Some(instance) = self.choose_backend(which) {
+            FaultKind::BackendCrash(pick) => {
+                if let Some(instance) = self.choose_backend(pick) {
                     self.end_backend(instance);
                 }
             }
-            FaultKind::BackendReplaced(which) => self.replace_backend(which),
-            FaultKind::Rebirth(which) => {
-                if let Some(instance) = self.choose_backend(which) {
+            FaultKind::BackendReplaced(pick) => self.replace_backend(pick),
+            FaultKind::Rebirth(pick) => {
+                if let Some(instance) = self.choose_backend(pick) {
                     self.end_backend(instance);
                 }
             }
-            FaultKind::ForeignEntry(which) => {
-                if let Some(instance) = self.choose_backend(which) {
-                    self.store.spoil_entry(instance);
+            FaultKind::ForeignEntry(pick) => {
+                if let Some(instance) = self.choose_backend(pick) {
+                    self.store.make_entry_unusable(instance);
                 }
             }
-            FaultKind::Evacuation(which) => self.evacuate(which % self.plan.zones),
-            FaultKind::ColdReturn(which) => self.end_zone(which % self.plan.zones),
-            FaultKind::AddressReused(which) => {
-                if let Some(instance) = self.choose_backend(which) {
+            FaultKind::Evacuation(pick) => self.evacuate(pick % self.plan.zones),
+            FaultKind::ColdReturn(pick) => self.crash_zone(pick % self.plan.zones),
+            FaultKind::AddressReused(pick) => {
+                if let Some(instance) = self.choose_backend(pick) {
                     self.end_backend(instance);
-                    self.backends.get_mut(&instance).expect("it is there").disturbed_at = until;
+                    self.backends
+                        .get_mut(&instance)
+                        .expect("the backend server exists")
+                        .address_free_at = until;
                 }
             }
         }
@@ -175,17 +183,17 @@
         let balancers = self.plan.balancers;
 
         match kind {
-            FaultKind::Restart(which) => self.start_if_down(which % balancers),
+            FaultKind::Restart(pick) => self.start_if_down(pick % balancers),
             FaultKind::Herd => (0..balancers).for_each(|balancer| self.start_if_down(balancer)),
-            FaultKind::StoreCut(which) => {
-                self.balancers[which % balancers].is_cut_from_store = false;
+            FaultKind::StoreCut(pick) => {
+                self.balancers[pick % balancers].is_cut_from_store = false;
             }
             FaultKind::PeerCut { balancer, is_deaf } => {
                 let node = &mut self.balancers[balancer % balancers];
-                if is_deaf { node.is_deaf = false } else { node.is_mute = false }
+                if is_deaf { node.is_inbound_cut = false } else { node.is_outbound_cut = false }
             }
-            FaultKind::ZoneCut(which) => {
-                let zone = which % self.plan.zones;
+            FaultKind::ZoneCut(pick) => {
+                let zone = pick % self.plan.zones;
                 self.cut_zones[zone] = false;
             }
             FaultKind::StoreRefuses | FaultKind::StoreSilent => {
@@ -193,27 +201,27 @@
             }
             FaultKind::StoreLapse => {
                 self.store.mode = StoreMode::Answers;
-                self.lapses = false;
+                self.entries_lapse_while_away = false;
             }
             FaultKind::StoreRestored(depth) => self.restore_store(number, depth),
-            FaultKind::StoreLoses => self.store.loses = false,
+            FaultKind::StoreLoses => self.store.loses_answers = false,
             FaultKind::BackendReplaced(_) => self.end_drained(),
             FaultKind::AddressReused(_) => self.reuse_addresses(),
-            FaultKind::Rebirth(which) => self.bear_again(which),
-            FaultKind::Evacuation(which) => self.take_back(number, which % self.plan.zones),
-            FaultKind::ColdReturn(which) => self.return_zone(which % self.plan.zones),
+            FaultKind::Rebirth(pick) => self.restart_crashed_backend(pick),
+            FaultKind::Evacuation(pick) => self.end_evacuation(number, pick % self.plan.zones),
+            FaultKind::ColdReturn(pick) => self.start_replacements(pick % self.plan.zones),
             _ => {}
         }
     }
 
-    /// The operator's write is refused while the store is away.
-    fn configure_if_possible(&mut self) {
+    /// Writes the operator's configuration, unless the store is away and would refuse it.
+    fn write_configuration_if_possible(&mut self) {
         if self.store.mode == StoreMode::Answers {
-            self.configure();
+            self.write_configuration();
         }
     }
 
-    fn stop(&mut self, balancer: usize, until: Millis) {
+    fn stop_balancer(&mut self, balancer: usize, until: Millis) {
         let node = &mut self.balancers[balancer];
 
         node.policy = None;
@@ -222,7 +230,7 @@
 
     fn start_if_down(&mut self, balancer: usize) {
         if self.balancers[balancer].policy.is_none() {
-            self.start(balancer);
+            self.start_balancer(balancer);
         }
     }
 
@@ -240,28 +248,30 @@
         }
     }
 
-    /// The operator asks for an evacuation, if the store takes it.
+    /// Writes the operator's request for an evacuation, unless the store is away or the deployment
+    /// has no evacuations.
     fn evacuate(&mut self, zone: usize) {
         if self.store.mode == StoreMode::Answers && self.plan.places.is_some() {
-            self.wants_evacuated[zone] = true;
-            self.store.evacuate(ZONES[zone], true);
+            self.wanted_evacuations[zone] = true;
+            self.store.set_evacuated(ZONES[zone], true);
             self.evacuated_since[zone].get_or_insert(self.now);
         }
     }
 
-    /// The operator takes a zone back, as soon as the store takes that.
-    fn take_back(&mut self, fault: usize, zone: usize) {
+    /// Ends the evacuation of a zone, as soon as the store answers.
+    fn end_evacuation(&mut self, fault: usize, zone: usize) {
         if self.store.mode == StoreMode::Answers {
-            self.wants_evacuated[zone] = false;
-            self.store.evacuate(ZONES[zone], false);
+            self.wanted_evacuations[zone] = false;
+            self.store.set_evacuated(ZONES[zone], false);
             self.evacuated_since[zone] = None;
         } else {
             self.queue.add(self.now + 200, Event::FaultEnds(fault));
         }
     }
 
-    /// All backend servers of a zone end without a word, unless there is no other zone.
-    fn end_zone(&mut self, zone: usize) {
+    /// Crashes all backend servers of a zone. Does nothing if there is no other zone, or if the
+    /// deployment has no cold starts.
+    fn crash_zone(&mut self, zone: usize) {
         if self.plan.zones == 1 || self.plan.places.is_none() {
             return;
         }
@@ -270,15 +280,18 @@
         let up: Vec<_> = up.map(|backend| backend.instance).collect();
         for instance in up {
             self.end_backend(instance);
-            self.backends.get_mut(&instance).expect("it is there").comes_back = true;
+            self.backends
+                .get_mut(&instance)
+                .expect("the backend server exists")
+                .returns_with_zone = true;
         }
     }
 
-    /// Others come in their places, together.
-    fn return_zone(&mut self, zone: usize) {
+    /// Starts replacements of the backend servers that crashed together with their zone.
+    fn start_replacements(&mut self, zone: usize) {
         let mut services = Vec::new();
         for backend in self.backends.values_mut().filter(|backend| backend.zone == zone) {
-            if std::mem::take(&mut backend.comes_back) {
+            if std::mem::take(&mut backend.returns_with_zone) {
                 services.push(backend.service);
             }
         }
@@ -288,7 +301,7 @@
         }
     }
 
-    /// The store comes back from what it had when it went away, or some changes before.
+    /// Restores the store from a copy that lacks its last changes.
     fn restore_store(&mut self, fault: usize, depth: RestoreDepth) {
         let revision = match depth {
             RestoreDepth::Changes(count) => self.store.revision.saturating_sub(count),
@@ -298,19 +311,24 @@
             }
         };
         if self.trace.faults {
-            println!("{} ms: restored {} to {revision}", self.now, self.store.revision);
+            println!(
+                "{} ms: store restored from revision {} to {revision}",
+                self.now, self.store.revision
+            );
         }
 
         self.store.restore(revision, self.now);
         self.store.mode = StoreMode::Answers;
         self.store_disturbed_at = self.store_disturbed_at.max(self.now);
-        self.forget_lost_words();
-        let later = u64::try_from(self.draw.below(OPERATOR_WRITES_WITHIN)).expect("it fits");
-        self.queue.add(self.now + later, Event::OperatorWrites);
+        self.reset_lost_writes();
+        let later =
+            u64::try_from(self.draw.below(OPERATOR_WRITES_WITHIN)).expect("the number fits");
+        self.queue.add(self.now + later, Event::OperatorRewrites);
     }
 
-    /// Promises count from when the store has something again that it lost, and silence from its return.
-    fn forget_lost_words(&mut self) {
+    /// Resets what the oracles take as stored, after a restore: the bounds of lost writes count
+    /// from when they are written again, and the lapse time of entries counts from the restore.
+    fn reset_lost_writes(&mut self) {
         let version = self.store.routes.version;
         self.acknowledged.retain(|(acknowledged, _)| *acknowledged <= version);
         for (zone, since) in self.evacuated_since.iter_mut().enumerate() {
@@ -318,19 +336,21 @@
         }
 
         for backend in self.backends.values_mut() {
-            let later = u64::try_from(self.draw.below(BACKENDS_WRITE_WITHIN)).expect("it fits");
-            backend.last_beat = if backend.has_ended { self.now } else { self.now + later };
+            let later =
+                u64::try_from(self.draw.below(BACKENDS_WRITE_WITHIN)).expect("the number fits");
+            backend.last_written_at = if backend.has_ended { self.now } else { self.now + later };
             let kept = self.store.entries.get(&backend.instance);
-            backend.born_at = backend.born_at.filter(|_| kept.is_some());
+            backend.entry_stored_at = backend.entry_stored_at.filter(|_| kept.is_some());
             let drains = kept.is_some_and(|entry| entry.phase == BackendPhase::Draining);
             backend.drain_stored_at = backend.drain_stored_at.filter(|_| drains);
         }
     }
 
-    /// The operator writes its newest configuration again, and what it wants of zones, where the store has something else.
-    pub(super) fn write_again(&mut self) {
+    /// Writes the operator's newest configuration and evacuations again where the store has lost
+    /// them.
+    pub(super) fn rewrite_lost_state(&mut self) {
         if self.store.mode != StoreMode::Answers {
-            self.queue.add(self.now + 200, Event::OperatorWrites);
+            self.queue.add(self.now + 200, Event::OperatorRewrites);
             return;
         }
 
@@ -340,9 +360,9 @@
             self.store.put_routes(routes);
         }
         for (zone, name) in ZONES.iter().enumerate().take(self.plan.zones) {
-            let is_wanted = self.wants_evacuated[zone];
+            let is_wanted = self.wanted_evacuations[zone];
             if self.store.evacuated.contains(*name) != is_wanted {
-                self.store.evacuate(name, is_wanted);
+                self.store.set_evacuated(name, is_wanted);
                 self.evacuated_since[zone] = is_wanted.then_some(self.now);
             }
         }
@@ -353,14 +373,14 @@
         self.store_disturbed_at = self.store_disturbed_at.max(until);
     }
 
-    /// One of those that take flows, unless it is the last of its service.
-    fn choose_backend(&self, which: usize) -> Option<InstanceId> {
+    /// Returns a backend server that accepts flows, unless it is the last one of its service.
+    fn choose_backend(&self, pick: usize) -> Option<InstanceId> {
         let is_up = |instance: &InstanceId| {
             let backend = &self.backends[instance];
-            !backend.has_ended && !backend.is_silent(self.now) && backend.drains_since.is_none()
+            !backend.has_ended && !backend.is_silent(self.now) && backend.draining_since.is_none()
         };
         let up: Vec<_> = self.backends.keys().copied().filter(is_up).collect();
-        let chosen = *up.get(which % up.len().max(1))?;
+        let chosen = *up.get(pick % up.len().max(1))?;
         let service = self.backends[&chosen].service;
         let others = up.iter().filter(|other| self.backends[*other].service == service).count();
 
@@ -368,55 +388,58 @@
     }
 
     fn end_backend(&mut self, instance: InstanceId) {
-        let backend = self.backends.get_mut(&instance).expect("it is there");
+        let backend = self.backends.get_mut(&instance).expect("the backend server exists");
 
         backend.has_ended = true;
         backend.flows.clear();
     }
 
-    /// Another one starts, and one says that it leaves.
-    fn replace_backend(&mut self, which: usize) {
-        let Some(instance) = self.choose_backend(which) else { return };
+    /// Starts a new backend server, and lets another one drain.
+    fn replace_backend(&mut self, pick: usize) {
+        let Some(instance) = self.choose_backend(pick) else { return };
         let (service, zone) = (self.backends[&instance].service, self.backends[&instance].zone);
-        if !self.reaches_store(zone) {
+        if !self.can_reach_store(zone) {
             return;
         }
 
         self.add_backend(service, zone, None);
         let now = self.now;
-        let backend = self.backends.get_mut(&instance).expect("it is there");
-        backend.drains_since = Some(now);
+        let backend = self.backends.get_mut(&instance).expect("the backend server exists");
+        backend.draining_since = Some(now);
         backend.drain_stored_at = Some(now);
         let entry = backend.entry(self.base);
         self.store.put_entry(entry, self.now);
     }
 
-    /// Those that have served on for long enough end, and take their entries away.
+    /// Ends the backend servers that have drained for long enough, and deletes their entries if the
+    /// store is reachable.
     fn end_drained(&mut self) {
-        let is_over = |since: Option<Millis>| since.is_some_and(|at| at + LEAVES_AFTER <= self.now);
-        let over = self.backends.values().filter(|b| !b.has_ended && is_over(b.drains_since));
+        let is_over = |since: Option<Millis>| since.is_some_and(|at| at + DRAIN_MS <= self.now);
+        let over = self.backends.values().filter(|b| !b.has_ended && is_over(b.draining_since));
         let over: Vec<_> = over.map(|backend| (backend.instance, backend.zone)).collect();
 
         for (instance, zone) in over {
             self.end_backend(instance);
-            if self.reaches_store(zone) {
+            if self.can_reach_store(zone) {
                 self.store.delete_entry(instance, self.now);
             }
         }
     }
 
-    /// Addresses of those that have ended go to backend servers of the other service.
+    /// Starts backend servers of the other service at the addresses that are due for reuse.
     fn reuse_addresses(&mut self) {
         let is_due = |at: Millis| at > 0 && at <= self.now;
-        let due = self.backends.values().filter(|b| b.has_ended && is_due(b.disturbed_at));
+        let due = self.backends.values().filter(|b| b.has_ended && is_due(b.address_free_at));
         let due: Vec<_> = due.map(|b| (b.instance, b.service, b.zone, b.address)).collect();
 
         for (instance, service, zone, address) in due {
-            // Another one may have started again there meanwhile, and an address has one process.
+            // A new incarnation may have started there meanwhile, and an address has only one
+            // process.
             if self.is_in_use(address) {
                 continue;
             }
-            self.backends.get_mut(&instance).expect("it is there").disturbed_at = 0;
+            self.backends.get_mut(&instance).expect("the backend server exists").address_free_at =
+                0;
             self.add_backend(1 - service, zone, Some(address));
         }
     }
@@ -425,34 +448,34 @@
         self.backends.values().any(|backend| !backend.has_ended && backend.address == address)
     }
 
-    /// One that has crashed starts again under its name, where no other has its address.
-    fn bear_again(&mut self, which: usize) {
+    /// Starts the next incarnation of a crashed backend server, one whose address is not in use.
+    fn restart_crashed_backend(&mut self, pick: usize) {
         let has_crashed = |backend: &&Backend| {
             backend.has_ended
-                && backend.drains_since.is_none()
-                && backend.heir.is_none()
+                && backend.draining_since.is_none()
+                && backend.successor.is_none()
                 && !self.is_in_use(backend.address)
         };
         let crashed = self.backends.values().filter(has_crashed);
         let crashed: Vec<_> = crashed.map(|backend| backend.instance).collect();
-        let Some(former) = crashed.get(which % crashed.len().max(1)).copied() else { return };
+        let Some(former) = crashed.get(pick % crashed.len().max(1)).copied() else { return };
 
         let cold_until = self.cold_until();
-        let heir = next_birth(former);
-        let old = self.backends.get_mut(&former).expect("it is there");
-        old.heir = Some(heir);
-        old.disturbed_at = 0;
-        let mut backend = Backend::new(heir, old.service, old.zone, old.address);
-        backend.last_beat = self.now;
+        let successor = next_incarnation(former);
+        let old = self.backends.get_mut(&former).expect("the backend server exists");
+        old.successor = Some(successor);
+        old.address_free_at = 0;
+        let mut backend = Backend::new(successor, old.service, old.zone, old.address);
+        backend.last_written_at = self.now;
         backend.cold_until = cold_until;
-        if self.reaches_store(backend.zone) {
-            backend.born_at = Some(self.now);
+        if self.can_reach_store(backend.zone) {
+            backend.entry_stored_at = Some(self.now);
             self.store.put_entry(backend.entry(self.base), self.now);
         }
-        self.backends.insert(heir, backend);
+        self.backends.insert(successor, backend);
     }
 
-    pub(super) fn violate(&mut self, oracle: Oracle, what: String) {
+    pub(super) fn record_violation(&mut self, oracle: Oracle, what: String) {
         let at = self.now;
 
         self.violations.push(crate::oracles::Violation { oracle, at, what });
