--- a/crates/valvestage-experiment/src/data_path/decision_time.rs
+++ b/crates/valvestage-experiment/src/data_path/decision_time.rs
@@ -31,8 +31,8 @@
 /// Returns the mean time of a decision in nanoseconds, for packets of established flows in random
 /// order.
 pub fn decision_nanoseconds(director: &mut FlowDirector, keys: &[FlowKey]) -> f64 {
-    let mut draws = SeededRng::new(5);
-    let order: Vec<FlowKey> = (0..DECISIONS).map(|_| keys[draws.below(keys.len())]).collect();
+    let mut rng = SeededRng::new(5);
+    let order: Vec<FlowKey> = (0..DECISIONS).map(|_| keys[rng.below(keys.len())]).collect();
     let now = SystemTime::now();
 
     let began = Instant::now();
--- a/crates/valvestage-experiment/src/fleet.rs
+++ b/crates/valvestage-experiment/src/fleet.rs
@@ -9,14 +9,14 @@
 //! | `store` | the part of the platform's store that balancers read |
 //! | `simulation` | simulation of balancers, datagrams and calls |
 //! | `usage` | resources that the balancers use over a span of time |
-//! | `scenes` | scenarios, and the time until all balancers know of a change |
+//! | `scenarios` | scenarios, and the time until all balancers know of a change |
 
-mod scenes;
+mod scenarios;
 mod simulation;
 mod store;
 mod usage;
 
-use self::scenes::ScenarioReport;
+use self::scenarios::ScenarioReport;
 use crate::table::Table;
 
 /// Number of backend servers per balancer.
@@ -27,7 +27,7 @@
 pub fn print_tables(sizes: &[usize], starts_only: bool) {
     let reports: Vec<_> = sizes
         .iter()
-        .map(|size| scenes::run_all(*size, size * BACKENDS_PER_BALANCER, starts_only))
+        .map(|size| scenarios::run_all(*size, size * BACKENDS_PER_BALANCER, starts_only))
         .collect();
 
     for scenario in 0..reports.first().map_or(0, Vec::len) {
--- a/crates/valvestage-experiment/src/flows/flow_model.rs
+++ b/crates/valvestage-experiment/src/flows/flow_model.rs
@@ -85,7 +85,7 @@
     configurations: Vec<Arc<Configuration>>,
     next_configuration: Arc<Configuration>,
     flows: Vec<Flow>,
-    draws: SeededRng,
+    rng: SeededRng,
     dead_index: Option<usize>,
 }
 
@@ -138,7 +138,7 @@
             keys,
             next_configuration,
             flows: vec![Flow::default(); FLOWS],
-            draws: SeededRng::new(SEED),
+            rng: SeededRng::new(SEED),
             dead_index: None,
         }
     }
@@ -147,27 +147,26 @@
         let mut events = Vec::new();
 
         for flow in 0..FLOWS {
-            events.push((self.draws.next_u64() % CHANGE_START_MS, Event::Open(flow)));
+            events.push((self.rng.next_u64() % CHANGE_START_MS, Event::Open(flow)));
             for _ in 0..PACKETS_PER_FLOW {
-                let at =
-                    CHANGE_START_MS + self.draws.next_u64() % (PACKETS_END_MS - CHANGE_START_MS);
+                let at = CHANGE_START_MS + self.rng.next_u64() % (PACKETS_END_MS - CHANGE_START_MS);
                 events.push((at, Event::Packet(flow)));
             }
         }
         for index in 0..self.ids.len() {
-            let learned_at = CHANGE_START_MS + self.draws.next_u64() % PROPAGATION_MS;
+            let learned_at = CHANGE_START_MS + self.rng.next_u64() % PROPAGATION_MS;
             if self.change.changes_backends() {
                 events.push((learned_at, Event::Configuration(index)));
             }
             if self.change.has_planned_stop() || self.change == Change::BalancerJoins {
                 events.push((
-                    CHANGE_START_MS + self.draws.next_u64() % PROPAGATION_MS,
+                    CHANGE_START_MS + self.rng.next_u64() % PROPAGATION_MS,
                     Event::View(index),
                 ));
             }
             if let Some(kill_delay) = self.change.kill_delay_ms() {
                 let detection_delay =
-                    FAILURE_DETECTION_MS + self.draws.next_u64() % FAILURE_DETECTION_SPREAD_MS;
+                    FAILURE_DETECTION_MS + self.rng.next_u64() % FAILURE_DETECTION_SPREAD_MS;
                 events.push((CHANGE_START_MS + kill_delay + detection_delay, Event::View(index)));
             }
         }
@@ -272,7 +271,7 @@
         opening: bool,
     ) -> Option<Option<BackendId>> {
         // The fabric no longer sprays packets to a failed balancer.
-        let mut index = self.draws.below(BALANCERS as usize);
+        let mut index = self.rng.below(BALANCERS as usize);
         if self.dead_index == Some(index) {
             index = (index + 1) % BALANCERS as usize;
         }
--- a/crates/valvestage-experiment/src/flows/hot_keys.rs
+++ b/crates/valvestage-experiment/src/flows/hot_keys.rs
@@ -51,10 +51,10 @@
         sums.push(sum);
     }
 
-    let mut draws = SeededRng::new(SEED);
+    let mut rng = SeededRng::new(SEED);
     (0..FLOWS)
         .map(|_| {
-            let drawn = draws.next_f64();
+            let drawn = rng.next_f64();
             sums.partition_point(|sum| *sum < drawn) as u64
         })
         .collect()
--- a/crates/valvestage-experiment/src/placement.rs
+++ b/crates/valvestage-experiment/src/placement.rs
@@ -1,12 +1,12 @@
 //! Strategies for placing flows when each balancer knows only its own flows.
 
 mod model;
-mod placement_way;
+mod placement_strategy;
 
 use crate::table::Table;
 
 use model::{PlacementLoad, PlacementMeasures, ideal_p99_ms, run};
-use placement_way::PlacementStrategy;
+use placement_strategy::PlacementStrategy;
 
 /// Deployments to compare: a small one of the present size, an intermediate one, and a large one
 /// with three and with five availability zones.
--- a/crates/valvestage-experiment/src/placement/model.rs
+++ b/crates/valvestage-experiment/src/placement/model.rs
@@ -13,7 +13,7 @@
 use valvestage_standins::seeded_rng::SeededRng;
 
 use super::PlacementSize;
-use super::placement_way::PlacementStrategy;
+use super::placement_strategy::PlacementStrategy;
 
 /// Mean run time in milliseconds: that of a preview.
 const MEAN_RUN_MS: f64 = 15.0;
@@ -90,7 +90,7 @@
 struct PlacementModel<'a> {
     size: &'a PlacementSize,
     strategy: PlacementStrategy,
-    draws: SeededRng,
+    rng: SeededRng,
     balancers: Vec<BalancerView>,
     backends: Vec<BackendQueue>,
     run_ends: BinaryHeap<RunEnd>,
@@ -110,7 +110,7 @@
     let mut imbalances = Vec::new();
 
     for _ in 0..REQUESTS_PER_RUN {
-        now += -model.draws.next_f64().ln() * mean_gap;
+        now += -model.rng.next_f64().ln() * mean_gap;
         model.complete_runs_until(now);
         if strategy == PlacementStrategy::GossipedCounts && now >= next_gossip {
             next_gossip = now + GOSSIP_ROUND.0;
@@ -134,7 +134,7 @@
 /// Returns the 99th percentile of response times in milliseconds for one queue in front of all
 /// slots.
 pub fn ideal_p99_ms(size: &PlacementSize, load: PlacementLoad) -> f64 {
-    let mut draws = SeededRng::new(load.seed);
+    let mut rng = SeededRng::new(load.seed);
     let slots = size.backends * size.slots;
     let mean_gap = MEAN_RUN_MS / (as_f64(slots) * load.share);
     let mut free_at: BinaryHeap<Reverse<u64>> = vec![Reverse(0); slots].into();
@@ -142,9 +142,9 @@
     let mut response_times = Vec::with_capacity(REQUESTS_PER_RUN);
 
     for _ in 0..REQUESTS_PER_RUN {
-        now += -draws.next_f64().ln() * mean_gap;
+        now += -rng.next_f64().ln() * mean_gap;
         let Some(Reverse(free)) = free_at.pop() else { continue };
-        let end = now.max(millis_of(free)) - draws.next_f64().ln() * MEAN_RUN_MS;
+        let end = now.max(millis_of(free)) - rng.next_f64().ln() * MEAN_RUN_MS;
         free_at.push(Reverse(nanos_of(end)));
         response_times.push(end - now + ROUND_TRIP_MS);
     }
@@ -159,7 +159,7 @@
         Self {
             size,
             strategy,
-            draws: SeededRng::new(seed),
+            rng: SeededRng::new(seed),
             balancers,
             backends: (0..size.backends).map(|_| BackendQueue::default()).collect(),
             run_ends: BinaryHeap::new(),
@@ -169,7 +169,7 @@
     }
 
     fn place_request(&mut self, now: f64) {
-        let balancer = self.draws.below(self.size.balancers);
+        let balancer = self.rng.below(self.size.balancers);
         let backend = self.choose_backend(balancer);
         self.balancers[balancer].in_flight[backend] += 1;
         let queue = &mut self.backends[backend];
@@ -185,7 +185,7 @@
     }
 
     fn start_run(&mut self, now: f64, sent: f64, backend: usize, balancer: usize) {
-        let end = now - self.draws.next_f64().ln() * MEAN_RUN_MS;
+        let end = now - self.rng.next_f64().ln() * MEAN_RUN_MS;
 
         self.run_ends.push(Reverse((nanos_of(end), backend, balancer, nanos_of(sent))));
     }
@@ -216,13 +216,13 @@
             .collect();
 
         match self.strategy {
-            PlacementStrategy::Random => in_zone[self.draws.below(in_zone.len())],
+            PlacementStrategy::Random => in_zone[self.rng.below(in_zone.len())],
             PlacementStrategy::TwoChoices => {
-                let two = [0; 2].map(|_| in_zone[self.draws.below(in_zone.len())]);
+                let two = [0; 2].map(|_| in_zone[self.rng.below(in_zone.len())]);
                 if view.in_flight[two[1]] < view.in_flight[two[0]] { two[1] } else { two[0] }
             }
             PlacementStrategy::Subset => {
-                let draw = self.draws.next_u64();
+                let draw = self.rng.next_u64();
                 let view = &self.balancers[balancer];
                 let best = self.least_loaded(balancer, view.subset.iter().copied(), draw);
                 let load = f64::from(view.in_flight[best]) / as_f64(self.size.slots);
@@ -231,7 +231,7 @@
             PlacementStrategy::LocalCounts
             | PlacementStrategy::GossipedCounts
             | PlacementStrategy::Exact => {
-                let draw = self.draws.next_u64();
+                let draw = self.rng.next_u64();
                 self.least_loaded_of_all(balancer, draw)
             }
         }
@@ -277,7 +277,7 @@
         for sender in 0..self.size.balancers {
             let counts = self.balancers[sender].in_flight.clone();
             for _ in 0..GOSSIP_ROUND.1 {
-                let receiver = self.draws.below(self.size.balancers);
+                let receiver = self.rng.below(self.size.balancers);
                 if receiver != sender {
                     self.balancers[receiver].reported[sender].clone_from(&counts);
                 }
--- a/crates/valvestage-experiment/src/requests/ideal.rs
+++ b/crates/valvestage-experiment/src/requests/ideal.rs
@@ -25,7 +25,7 @@
 /// Simulates one first-come, first-served queue with the arrivals and run times of the model. The
 /// only delays are those to callers and a constant one that extends each run.
 pub fn ideal(size: &ServiceSize, load: Load, round_trip: Duration) -> Measures {
-    let mut draws = SeededRng::new(load.seed);
+    let mut rng = SeededRng::new(load.seed);
     let rate = capacity(size) * load.share;
     let mean = Duration::from_secs(1).div_f64(rate);
     let slots = size.backends as usize * usize::from(size.slots);
@@ -34,9 +34,9 @@
     let mut measures = Measures::default();
     let mut now = start_time();
     for _ in 0..load.requests {
-        now += draws.exponential(mean);
-        let run_time = draws.exponential(MEAN_RUN_TIME);
-        let is_bulk = draws.next_f64() < load.bulk_share;
+        now += rng.exponential(mean);
+        let run_time = rng.exponential(MEAN_RUN_TIME);
+        let is_bulk = rng.next_f64() < load.bulk_share;
         let Reverse(free) = free_at.pop().expect("there are slots");
         let end = now.max(free) + run_time + round_trip;
 
--- a/crates/valvestage-experiment/src/requests/measures.rs
+++ b/crates/valvestage-experiment/src/requests/measures.rs
@@ -31,7 +31,7 @@
     pub refused: BTreeMap<&'static str, u64>,
     /// Number of retries sent to backend servers.
     pub retries: u64,
-    /// Number of tries that backend servers refused: no free slot, or shedding as a fault.
+    /// Number of attempts that backend servers refused: no free slot, or shedding as a fault.
     pub shed: u64,
     /// Number of requests with neither an answer nor a refusal by the end of the run.
     pub unresolved: u64,
--- a/crates/valvestage-policy/tests/simulation/fault.rs
+++ b/crates/valvestage-policy/tests/simulation/fault.rs
@@ -19,7 +19,7 @@
 const MIN_LARGE_GROWTH: usize = 4_300;
 const MAX_GROWTH_DELAY_MS: usize = 900;
 
-/// Longest outage of a store that is restored from an older copy.
+/// Longest outage of a store that is restored from a backup.
 const MAX_RESTORE_OUTAGE_MS: usize = 2_500;
 
 /// Most faults of a restore seed begin within a window around the first restore: the window's start
@@ -62,8 +62,7 @@
     StoreLapse,
     /// The store drops its change history, so that watches of older revisions fail.
     StoreForgets,
-    /// The store fails and is restored from an older copy. Its clients then write again what was
-    /// lost.
+    /// The store fails and is restored from a backup. Its clients then write again what was lost.
     StoreRestored(RestoreDepth),
     /// A share of the store's answers is lost.
     StoreLoses,
@@ -76,7 +75,7 @@
     /// A backend server crashes, and a backend server of the other service starts at its address.
     AddressReused(usize),
     /// A backend server crashes, and a new incarnation starts under its name.
-    Rebirth(usize),
+    BackendRestart(usize),
     /// Another writer overwrites an entry with one that names no usable backend server.
     ForeignEntry(usize),
     /// The operator evacuates a zone, and ends the evacuation later.
@@ -96,7 +95,7 @@
 
 /// First seed of the series with restarts under the same name and entries of other writers, besides
 /// the ordinary faults.
-pub const REBIRTH_SEEDS: u64 = 1_000_000;
+pub const BACKEND_RESTART_SEEDS: u64 = 1_000_000;
 
 /// First seed of the series that adds to those evacuations, and cold backend servers with their low
 /// limits.
@@ -109,8 +108,8 @@
 /// to nearly the largest size that the store accepts.
 pub const GROWTH_SEEDS: u64 = 4_000_000;
 
-/// First seed of the series in which the store is restored from an older copy, with other faults
-/// around that time.
+/// First seed of the series in which the store is restored from a backup, with other faults around
+/// that time.
 pub const RESTORE_SEEDS: u64 = 5_000_000;
 
 /// The set of faults that a seed draws from.
@@ -119,8 +118,8 @@
     /// Faults of every deployment.
     Ordinary,
     /// Ordinary faults, restarts under the same name, and entries of other writers.
-    Rebirths,
-    /// The faults of `Rebirths`, with evacuations and replacements by cold backend servers.
+    BackendRestarts,
+    /// The faults of `BackendRestarts`, with evacuations and replacements by cold backend servers.
     ZoneFaults,
     /// Only faults that keep balancers from the store, from each other and from callers.
     Cuts,
@@ -133,8 +132,8 @@
 impl FaultSeries {
     pub fn of(seed: u64) -> Self {
         match seed {
-            ..REBIRTH_SEEDS => Self::Ordinary,
-            REBIRTH_SEEDS..ZONE_FAULT_SEEDS => Self::Rebirths,
+            ..BACKEND_RESTART_SEEDS => Self::Ordinary,
+            BACKEND_RESTART_SEEDS..ZONE_FAULT_SEEDS => Self::BackendRestarts,
             ZONE_FAULT_SEEDS..CUT_SEEDS => Self::ZoneFaults,
             CUT_SEEDS..GROWTH_SEEDS => Self::Cuts,
             GROWTH_SEEDS..RESTORE_SEEDS => Self::Growths,
@@ -164,7 +163,7 @@
 
         let mut faults = match FaultSeries::of(seed) {
             FaultSeries::Ordinary => draw_ordinary(&mut draw),
-            FaultSeries::Rebirths => draw_with_rebirths(&mut draw),
+            FaultSeries::BackendRestarts => draw_with_backend_restarts(&mut draw),
             FaultSeries::ZoneFaults => draw_with_zone_faults(&mut draw),
             FaultSeries::Cuts => draw_cuts(&mut draw),
             FaultSeries::Growths => draw_growth(&mut draw),
@@ -181,16 +180,16 @@
     (0..count).map(|_| draw_fault(draw)).collect()
 }
 
-fn draw_with_rebirths(draw: &mut SeededDraw) -> Vec<Fault> {
+fn draw_with_backend_restarts(draw: &mut SeededDraw) -> Vec<Fault> {
     let mut faults = draw_ordinary(draw);
     let others = 1 + draw.below(3);
 
-    faults.extend((0..others).map(|_| draw_rebirth(draw)));
+    faults.extend((0..others).map(|_| draw_backend_restart(draw)));
     faults
 }
 
 fn draw_with_zone_faults(draw: &mut SeededDraw) -> Vec<Fault> {
-    let mut faults = draw_with_rebirths(draw);
+    let mut faults = draw_with_backend_restarts(draw);
     let others = 1 + draw.below(4);
 
     faults.extend((0..others).map(|_| draw_zone_fault(draw)));
@@ -244,7 +243,7 @@
         let pick = draw.below(1_000);
         let mut fault = match draw.below(8) {
             0 | 1 => with_random_time(FaultKind::BackendReplaced(pick), draw),
-            2 => draw_rebirth(draw),
+            2 => draw_backend_restart(draw),
             3 => draw_zone_fault(draw),
             _ => draw_fault(draw),
         };
@@ -306,10 +305,13 @@
     with_random_time(kind, draw)
 }
 
-fn draw_rebirth(draw: &mut SeededDraw) -> Fault {
+fn draw_backend_restart(draw: &mut SeededDraw) -> Fault {
     let pick = draw.below(1_000);
-    let kind =
-        if draw.below(3) == 0 { FaultKind::ForeignEntry(pick) } else { FaultKind::Rebirth(pick) };
+    let kind = if draw.below(3) == 0 {
+        FaultKind::ForeignEntry(pick)
+    } else {
+        FaultKind::BackendRestart(pick)
+    };
 
     with_random_time(kind, draw)
 }
--- a/crates/valvestage-policy/tests/simulation/main.rs
+++ b/crates/valvestage-policy/tests/simulation/main.rs
@@ -43,7 +43,9 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 
-use fault::{CUT_SEEDS, FaultPlan, GROWTH_SEEDS, REBIRTH_SEEDS, RESTORE_SEEDS, ZONE_FAULT_SEEDS};
+use fault::{
+    BACKEND_RESTART_SEEDS, CUT_SEEDS, FaultPlan, GROWTH_SEEDS, RESTORE_SEEDS, ZONE_FAULT_SEEDS,
+};
 use mutation::Mutation;
 use oracles::{Oracle, Violation};
 use world::World;
@@ -183,8 +185,8 @@
 }
 
 #[test]
-fn no_seed_with_rebirths_violates_anything() {
-    let failed = run_seeds(REBIRTH_SEEDS, SEEDS_PER_SERIES);
+fn no_seed_with_backend_restarts_violates_anything() {
+    let failed = run_seeds(BACKEND_RESTART_SEEDS, SEEDS_PER_SERIES);
 
     report(&failed);
     assert!(failed.is_empty(), "{} of {SEEDS_PER_SERIES} seeds violate a promise", failed.len());
@@ -305,7 +307,7 @@
 fn each_oracle_fails_where_its_promise_is_broken() {
     for (mutation, oracle) in Mutation::ALL {
         let seeds = (0..60)
-            .chain(REBIRTH_SEEDS..REBIRTH_SEEDS + 60)
+            .chain(BACKEND_RESTART_SEEDS..BACKEND_RESTART_SEEDS + 60)
             .chain(ZONE_FAULT_SEEDS..ZONE_FAULT_SEEDS + 60);
         let found = seeds.into_iter().any(|seed| {
             run_seed(seed, Some(mutation)).iter().any(|violation| violation.oracle == oracle)
--- a/crates/valvestage-policy/tests/simulation/seeds/dropped_packets.rs
+++ b/crates/valvestage-policy/tests/simulation/seeds/dropped_packets.rs
@@ -5,10 +5,11 @@
 //! three or more packets of one request are dropped.
 //!
 //! Cause: packets that could not be decided about yet were dropped, also those that had waited for
-//! the balancer to be ready, and the caller doubles its delay before each further copy. If the
-//! store reports the entry only after the caller's deadline, no balancer can prevent the failure.
+//! the balancer to be ready, and the caller doubles its delay before each further retransmission.
+//! If the store reports the entry only after the caller's deadline, no balancer can prevent the
+//! failure.
 //!
-//! In the trace: `Dropped` with the reason unknown token for each copy, by a balancer whose
+//! In the trace: `Dropped` with the reason unknown token for each transmission, by a balancer whose
 //! `RoutesInForce` has the same millisecond, while the store has no entry of the backend server;
 //! and its `BackendChanged` 0.4 to 2 s later.
 
--- a/crates/valvestage-policy/tests/simulation/seeds/living_flows.rs
+++ b/crates/valvestage-policy/tests/simulation/seeds/living_flows.rs
@@ -29,8 +29,8 @@
 }
 
 /// A flow moves to a balancer whose zone is partitioned from its backend server. Its packet is lost
-/// in the partition, and the copy arrives 26 ms after the partition, before any balancer of the
-/// other zone has been heard again.
+/// in the partition, and the retransmission arrives 26 ms after the partition, before any balancer
+/// of the other zone has been heard again.
 #[test]
 fn a_flow_that_moves_in_a_cut_and_sends_just_after_it_stays() {
     assert_no_violations(&[2_300_695]);
--- a/crates/valvestage-policy/tests/simulation/seeds/restored_stores.rs
+++ b/crates/valvestage-policy/tests/simulation/seeds/restored_stores.rs
@@ -1,16 +1,16 @@
-//! After a restore of the store from an older copy, balancers take ended backend servers for
-//! running ones, or learn of new ones too late.
+//! After a restore of the store from a backup, balancers take ended backend servers for running
+//! ones, or learn of new ones too late.
 
 use super::assert_no_violations;
 
-/// A crashed backend server restarts under its name while entries of the older copy are contested.
+/// A crashed backend server restarts under its name while entries of the backup are in conflict.
 #[test]
 fn a_start_shortly_after_a_restore_is_known_in_time() {
     assert_no_violations(&[5_003_403, 5_004_777]);
 }
 
 /// Watches that are to confirm that the store has settled end 20 ms after that. If a change came
-/// just before, the next watch lasted 1.5 s, and contested entries were admitted that much later.
+/// just before, the next watch lasted 1.5 s, and conflicting entries were accepted that much later.
 #[test]
 fn contested_entries_are_admitted_soon_after_the_store_has_settled() {
     assert_no_violations(&[5_000_703, 5_001_091]);
@@ -26,7 +26,7 @@
     assert_no_violations(&[5_005_953]);
 }
 
-/// The store fails again while an entry of the older copy is contested. The entry does not lapse
+/// The store fails again while an entry of the backup is in conflict. The entry does not lapse
 /// meanwhile, its successor cannot be written, and the entry is accepted once the time is over. The
 /// successor, written later, was taken permanently for one that the old entry had superseded.
 #[test]
--- a/crates/valvestage-policy/tests/simulation/store.rs
+++ b/crates/valvestage-policy/tests/simulation/store.rs
@@ -63,7 +63,7 @@
 /// The store's state: the configuration, the entries of backend servers and the evacuations, each
 /// with its change history.
 pub struct FakeStore {
-    /// Number of restores from an older copy.
+    /// Number of restores from a backup.
     pub era: StoreEra,
     pub revision: u64,
     pub routes: RouteMap,
@@ -217,23 +217,23 @@
         self.compacted_revision = self.compacted_revision.min(revision);
         self.revision_times.retain(|(at, _)| *at <= revision);
         self.route_changes.retain(|(at, _)| *at <= revision);
-        self.entry_changes.retain(|news| news.position.revision <= revision);
-        self.evacuation_changes.retain(|news| news.position.revision <= revision);
+        self.entry_changes.retain(|update| update.position.revision <= revision);
+        self.evacuation_changes.retain(|update| update.position.revision <= revision);
 
         self.rewrite_history_era();
         let routes = self.route_changes.last();
         self.routes = routes.map(|(_, routes)| routes.clone()).unwrap_or_default();
         self.evacuated.clear();
-        for news in &self.evacuation_changes {
-            if news.is_requested {
-                self.evacuated.insert(news.zone.clone());
+        for update in &self.evacuation_changes {
+            if update.is_requested {
+                self.evacuated.insert(update.zone.clone());
             } else {
-                self.evacuated.remove(&news.zone);
+                self.evacuated.remove(&update.zone);
             }
         }
         self.entries.clear();
-        for news in self.entry_changes.clone() {
-            self.replay_change(news);
+        for update in self.entry_changes.clone() {
+            self.replay_change(update);
         }
         for instance in former.into_iter().filter(|one| !self.entries.contains_key(one)) {
             self.absences.insert(instance, Absence { since: now, until: None });
@@ -245,27 +245,27 @@
     fn rewrite_history_era(&mut self) {
         let era = self.era;
 
-        for news in &mut self.entry_changes {
-            news.position.era = era;
-            if let EntryChange::Written(entry) = &mut news.change {
+        for update in &mut self.entry_changes {
+            update.position.era = era;
+            if let EntryChange::Written(entry) = &mut update.change {
                 entry.position.era = era;
             }
         }
-        for news in &mut self.evacuation_changes {
-            news.position.era = era;
+        for update in &mut self.evacuation_changes {
+            update.position.era = era;
         }
     }
 
     /// Applies a change of the history to the entries again.
-    fn replay_change(&mut self, news: BackendUpdate) {
-        let former = self.entries.values().find(|entry| entry.name == news.name).cloned();
-        self.entries.retain(|_, entry| entry.name != news.name);
+    fn replay_change(&mut self, update: BackendUpdate) {
+        let former = self.entries.values().find(|entry| entry.name == update.name).cloned();
+        self.entries.retain(|_, entry| entry.name != update.name);
 
-        let entry = match news.change {
+        let entry = match update.change {
             EntryChange::Written(entry) => entry,
             EntryChange::Unusable => {
                 let Some(former) = former else { return };
-                BackendEntry { phase: BackendPhase::Unusable, position: news.position, ..former }
+                BackendEntry { phase: BackendPhase::Unusable, position: update.position, ..former }
             }
             EntryChange::Deleted => return,
         };
@@ -363,8 +363,10 @@
                 StoreAnswer::Evacuations(StoreReply::HistoryGone)
             }
             (StoreKind::Evacuations, Some(after)) => {
-                let changes =
-                    self.evacuation_changes.iter().filter(|news| news.position.revision > after);
+                let changes = self
+                    .evacuation_changes
+                    .iter()
+                    .filter(|update| update.position.revision > after);
                 let objects: Vec<_> = changes.cloned().collect();
                 if objects.is_empty() && !is_wait_over {
                     return None;
@@ -376,7 +378,7 @@
             }
             (StoreKind::Backends, Some(after)) => {
                 let changes =
-                    self.entry_changes.iter().filter(|news| news.position.revision > after);
+                    self.entry_changes.iter().filter(|update| update.position.revision > after);
                 let objects: Vec<_> = changes.cloned().collect();
                 if objects.is_empty() && !is_wait_over {
                     return None;
--- a/crates/valvestage-policy/tests/simulation/world/checks.rs
+++ b/crates/valvestage-policy/tests/simulation/world/checks.rs
@@ -129,7 +129,7 @@
     }
 
     /// Checks an opening packet that reaches a backend server against the rate limit of cold ones.
-    /// Copies of an opening packet whose flow is already known are not counted.
+    /// Retransmissions of an opening packet whose flow is already known are not counted.
     pub(super) fn check_cold_rate(
         &mut self,
         instance: InstanceId,
--- a/crates/valvestage-policy/tests/simulation/world/faults.rs
+++ b/crates/valvestage-policy/tests/simulation/world/faults.rs
@@ -151,7 +151,7 @@
                 }
             }
             FaultKind::BackendReplaced(pick) => self.replace_backend(pick),
-            FaultKind::Rebirth(pick) => {
+            FaultKind::BackendRestart(pick) => {
                 if let Some(instance) = self.choose_backend(pick) {
                     self.end_backend(instance);
                 }
@@ -207,7 +207,7 @@
             FaultKind::StoreLoses => self.store.loses_answers = false,
             FaultKind::BackendReplaced(_) => self.end_drained(),
             FaultKind::AddressReused(_) => self.reuse_addresses(),
-            FaultKind::Rebirth(pick) => self.restart_crashed_backend(pick),
+            FaultKind::BackendRestart(pick) => self.restart_crashed_backend(pick),
             FaultKind::Evacuation(pick) => self.end_evacuation(number, pick % self.plan.zones),
             FaultKind::ColdReturn(pick) => self.start_replacements(pick % self.plan.zones),
             _ => {}
@@ -301,7 +301,7 @@
         }
     }
 
-    /// Restores the store from a copy that lacks its last changes.
+    /// Restores the store from a backup that lacks its last changes.
     fn restore_store(&mut self, fault: usize, depth: RestoreDepth) {
         let revision = match depth {
             RestoreDepth::Changes(count) => self.store.revision.saturating_sub(count),
--- a/crates/valvestage-policy/tests/simulation/world/flows.rs
+++ b/crates/valvestage-policy/tests/simulation/world/flows.rs
@@ -455,8 +455,8 @@
     }
 }
 
-/// Handles data at a backend server. New data begins a request; a copy of a request that has
-/// already been answered is answered again at once.
+/// Handles data at a backend server. New data begins a request; a retransmission of a request that
+/// has already been answered is answered again at once.
 fn receive_data(
     held: &mut HeldFlow,
     packet: &CallerPacket,
--- a/crates/valvestage-standins/src/packets/caller_flow.rs
+++ b/crates/valvestage-standins/src/packets/caller_flow.rs
@@ -101,7 +101,7 @@
         !matches!(self.state, FlowState::Opening { .. })
     }
 
-    /// Returns the opening packet: the first one for 0, otherwise its retransmission of this number.
+    /// Returns the opening packet: the first one for 0, otherwise that retransmission of it.
     #[must_use]
     pub fn opening_packet(&self, retransmissions: u32) -> FlowPacket {
         let mut packet = self.packet(flags::SYN, Vec::new());
