--- a/crates/valvestage-policy/src/balancer/balancer_options.rs
+++ b/crates/valvestage-policy/src/balancer/balancer_options.rs
@@ -24,7 +24,7 @@
     pub kept_decisions: usize,
     /// Minimum gap between two events or ticks that counts as a pause of the process.
     pub pause_limit: Duration,
-    /// Time after a pause without new work, in which the control part catches up with changes.
+    /// Time without new work after a pause, in which the control part catches up with changes.
     pub catch_up: Duration,
 }
 
--- a/crates/valvestage-policy/src/balancer/balancer_policy.rs
+++ b/crates/valvestage-policy/src/balancer/balancer_policy.rs
@@ -38,8 +38,8 @@
     pub(super) owner_map: OwnerMap,
     pub(super) grant: Option<LeaseGrant>,
     pub(super) imports: BTreeMap<ServiceId, PendingImport<P>>,
-    /// Former owner that a service's claims came from; copies of requests that run there are
-    /// relayed to it.
+    /// Former owner that a service's claims came from; retransmissions of requests that run there
+    /// are relayed to it.
     pub(super) former_owners: BTreeMap<ServiceId, BalancerId>,
     pub(super) log: DecisionLog,
     /// Time of the latest event or tick; `None` before the first.
@@ -98,9 +98,9 @@
         verdict
     }
 
-    /// Detects that the process was paused. After a pause it has an old configuration and view, and
-    /// reads packets that waited as long, so it dispatches no new work until the control part has
-    /// had the time to catch up.
+    /// Detects that the process was paused. After a pause the policy has an old configuration and
+    /// view, and packets may have waited for the whole pause, so it dispatches no new work until
+    /// the control part has had the time to catch up.
     pub(super) fn detect_pause(&mut self, now: SystemTime) {
         let latest = self.latest.replace(now);
         let gap = latest.and_then(|latest| now.duration_since(latest).ok()).unwrap_or_default();
--- a/crates/valvestage-policy/src/balancer/owner_change.rs
+++ b/crates/valvestage-policy/src/balancer/owner_change.rs
@@ -15,11 +15,11 @@
 /// Maximum number of requests held per service until the owner map arrives.
 pub(super) const MAX_HELD_REQUESTS: usize = 1_000;
 
-/// Time for which requests are held at most.
+/// Maximum time for which requests are held.
 const HOLD_TIME: Duration = Duration::from_secs(2);
 
-/// Retention of the claims of a handover that never comes into force: the longest deadline that
-/// settings accept.
+/// Retention, after [`HOLD_TIME`], of the claims of a handover that never comes into force: the
+/// longest deadline that settings accept.
 const IMPORT_RETENTION: Duration = Duration::from_secs(60);
 
 impl<P: Clone> BalancerPolicy<P> {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Returns a copy of a service's claims for its next owner, and holds new work back.
+    /// Exports a service's claims for its next owner, and holds new work back.
     pub fn start_handover(&mut self, service: ServiceId) -> Vec<ExportedClaim<P>> {
         self.dispatchers.get_mut(&service).map(|d| d.start_handover()).unwrap_or_default()
     }
--- a/crates/valvestage-policy/src/balancer/request_routing.rs
+++ b/crates/valvestage-policy/src/balancer/request_routing.rs
@@ -120,8 +120,8 @@
         match owner {
             Some(owner) if owner == own => Decider::Own,
             Some(owner) if may_relay && view.is_reachable(owner) => Decider::Peer(owner),
-            // Repeatable work needs no owner: the remaining balancers agree on one of them by the
-            // view.
+            // Repeatable requests need no owner: balancers with the same view select the same
+            // balancer.
             _ if request.repeatable => match view.service_home(request.service) {
                 Some(home) if home != own && hop.count == 0 => Decider::Peer(home),
                 _ => Decider::Own,
@@ -200,8 +200,8 @@
     Nobody,
 }
 
-/// Refuses a request without a claim. Its outcome is in doubt, since a copy may have reached
-/// another balancer.
+/// Refuses a request without a claim. Its outcome is in doubt, since an earlier transmission may
+/// have reached another balancer.
 pub(super) fn refuse_unclaimed<P>(
     request: &Request<P>,
     reason: RefusalReason,
--- a/crates/valvestage-policy/src/control/control_policy.rs
+++ b/crates/valvestage-policy/src/control/control_policy.rs
@@ -50,7 +50,7 @@
     next_heartbeat: SystemTime,
     /// Whether a change is to be announced to peers without waiting for the next interval.
     has_update: bool,
-    /// Pending fetches, with the time at which each is given up.
+    /// Pending fetches, with the time at which each times out.
     fetches: BTreeMap<ObjectKey, SystemTime>,
 }
 
@@ -273,7 +273,8 @@
         self.lease_manager.release();
     }
 
-    /// Reports whether the lease has been released: none is held and none will be acquired.
+    /// Reports whether the lease is being released and this balancer no longer relies on it. The
+    /// write that closes it may still be pending.
     #[must_use]
     pub fn is_lease_released(&self) -> bool {
         self.lease_manager.is_released()
--- a/crates/valvestage-policy/src/control/first_read.rs
+++ b/crates/valvestage-policy/src/control/first_read.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Reports whether the configuration was read, or the time to give up has come.
+    /// Reports whether the configuration was read, or the wait for the platform has timed out.
     #[must_use]
     pub fn is_done(&self, now: SystemTime) -> bool {
         self.is_answered || now >= self.give_up_at
--- a/crates/valvestage-policy/src/control/lease_manager.rs
+++ b/crates/valvestage-policy/src/control/lease_manager.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct LeaseOptions {
     /// Length of a lease. A longer lease bridges longer platform outages, but leaves the services
-    /// of a crashed owner without one for longer.
+    /// of a crashed balancer without an owner for longer.
     pub length: Duration,
     /// Upper bound of the difference between the clocks of any two balancers.
     pub clock_bound: Duration,
@@ -108,7 +108,8 @@
         self.is_leaving
     }
 
-    /// Reports whether the lease has been released: none is held and none will be acquired.
+    /// Reports whether the lease is being released and this balancer no longer relies on it. The
+    /// write that closes it may still be pending.
     #[must_use]
     pub fn is_released(&self) -> bool {
         self.is_leaving && self.expires.is_none()
--- a/crates/valvestage-policy/src/control/planned_stop.rs
+++ b/crates/valvestage-policy/src/control/planned_stop.rs
@@ -42,7 +42,7 @@
 
 #[derive(Debug, Clone)]
 enum Progress {
-    /// The next candidate has to be asked; these remain.
+    /// The service has to be offered to the first of these remaining candidates.
     Choosing(VecDeque<OwnerCandidate>),
     /// An offer is pending; these candidates remain if it is refused.
     Offering(VecDeque<OwnerCandidate>, OwnerHandover),
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Handles the answer to an offer. No answer counts as a refusal.
+    /// Handles the answer to an offer. A missing answer counts as a refusal.
     pub fn on_offered(&mut self, taken: bool) {
         if let Some(Progress::Offering(remaining, handover)) = self.progress.take() {
             self.progress = Some(if taken {
--- a/crates/valvestage-policy/src/flows/backend_availability.rs
+++ b/crates/valvestage-policy/src/flows/backend_availability.rs
@@ -25,7 +25,8 @@
     full_until: Option<Deadline>,
 }
 
-/// Tracks which backend servers do not answer, are at their connection limit, or are cut off.
+/// Tracks which backend servers do not answer, are at their connection limit, or are in an
+/// availability zone without any live balancer.
 #[derive(Debug, Clone, Default)]
 pub struct BackendAvailability {
     entries: HashMap<BackendId, AvailabilityEntry>,
--- a/crates/valvestage-policy/src/flows/configuration_history.rs
+++ b/crates/valvestage-policy/src/flows/configuration_history.rs
@@ -12,8 +12,8 @@
 
 /// Configuration in force, and those before it.
 ///
-/// Invariant: versions strictly decrease from front to back, so that the configuration in force
-/// never reverts.
+/// Invariant with `newest_only`: versions strictly decrease from front to back, so that the
+/// configuration in force never reverts.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigurationHistory {
     versions: VecDeque<Arc<Configuration>>,
--- a/crates/valvestage-policy/src/flows/exception_finder.rs
+++ b/crates/valvestage-policy/src/flows/exception_finder.rs
@@ -11,11 +11,11 @@
 use super::placement::place;
 use crate::membership::LiveView;
 
-/// Finds the bindings that have to be replicated to other balancers.
+/// Finds the bindings that have to be copied to other balancers.
 ///
-/// A flow on the backend server where the configuration in force places it needs no replica: any
-/// balancer that becomes its home computes the same placement. Only the other bindings, the
-/// exceptions, are copied to the balancers that may become home.
+/// The binding of a flow to the backend server on which the configuration in force places it needs
+/// no copy: any balancer that becomes the flow's home computes the same placement. Only the other
+/// bindings, the exceptions, are copied to the balancers that may become home.
 #[derive(Debug)]
 pub struct ExceptionFinder {
     own: BalancerId,
--- a/crates/valvestage-policy/src/flows/flow_director.rs
+++ b/crates/valvestage-policy/src/flows/flow_director.rs
@@ -189,8 +189,8 @@
                 .is_some_and(|backend| self.availability.is_usable(backend, now))
         };
 
-        // If all backend servers with free connections are silent or cut off, choose by hash among
-        // them.
+        // If all backend servers with free connections are silent or in zones without a live
+        // balancer, choose by hash among them.
         let has_room = |id| !self.availability.is_full(id, now);
         place(configuration, packet.service, packet.key, is_usable)
             .or_else(|| place(configuration, packet.service, packet.key, has_room))
@@ -212,7 +212,7 @@
     }
 
     /// Records that a backend server refused a flow for its connection limit, and removes the
-    /// binding, so that the retransmitted opening packet is placed again.
+    /// binding, so that the opening packet, which comes back with the refusal, is placed again.
     pub fn on_connections_full(&mut self, key: FlowKey, backend: BackendId, until: SystemTime) {
         self.availability.on_full(backend, until);
 
@@ -279,7 +279,7 @@
         true
     }
 
-    /// Returns a copy of the table, for work outside of the data path.
+    /// Returns the bindings of all flows in the table, for work outside of the data path.
     #[must_use]
     pub fn bindings(&self) -> Vec<Binding> {
         self.table.iter().map(|(key, entry)| Binding { key, backend: entry.backend }).collect()
--- a/crates/valvestage-policy/src/membership/heartbeat_table.rs
+++ b/crates/valvestage-policy/src/membership/heartbeat_table.rs
@@ -2,9 +2,9 @@
 //!
 //! Each balancer counts its own heartbeats. At every interval it exchanges messages with a few
 //! peers. A balancer whose count does not advance for too long is considered dead. Counts travel as
-//! digests of a few bytes. A full record is sent only on request and after a change, then a number
-//! of times that grows with the logarithm of the deployment's size. This bounds the size of
-//! messages regardless of the size of the deployment.
+//! digests of a few bytes. A full record is sent only on request, and several times after a change;
+//! this number grows with the logarithm of the deployment's size. This bounds the size of messages
+//! regardless of the size of the deployment.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, SystemTime};
@@ -119,8 +119,8 @@
     /// Counts one heartbeat and returns the peers to send it to.
     ///
     /// The targets rotate pseudo-randomly over all peers, dead ones included, so that a repaired
-    /// link is detected without intervention. Of every four rounds, three are limited to live
-    /// peers, as are all heartbeats that carry an update.
+    /// link is detected without intervention. Three of every four values of `round` limit the
+    /// targets to live peers, and so does an update.
     pub fn next_targets(&mut self, now: SystemTime, has_update: bool) -> Vec<PeerRecord> {
         const LIVE_ROUNDS: u64 = 3;
 
--- a/crates/valvestage-policy/src/membership/live_view.rs
+++ b/crates/valvestage-policy/src/membership/live_view.rs
@@ -27,7 +27,7 @@
 ///
 /// The home of a key is chosen in two steps: first a zone, weighted by its number of live
 /// balancers, then a balancer in the zone. So the cost grows with the number of zones and the size
-/// of one zone, not with the size of the fleet.
+/// of one zone, not with the size of the deployment.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct LiveView {
     /// Hash of the members; equal sets of members have equal epochs.
@@ -93,8 +93,8 @@
         self.zones.iter().any(|zone| zone.zone == name)
     }
 
-    /// Returns the availability zones that have backend servers but no member, because they are cut
-    /// off or down.
+    /// Returns the availability zones that have backend servers but no member, because of a network
+    /// partition or an outage.
     #[must_use]
     pub fn lost_zones(&self, configuration: &Configuration) -> BTreeSet<ZoneName> {
         let zones: BTreeSet<_> = configuration.backends().map(|backend| &backend.zone).collect();
--- a/crates/valvestage-policy/src/operations/decision_record.rs
+++ b/crates/valvestage-policy/src/operations/decision_record.rs
@@ -33,7 +33,7 @@
     FlowBound {
         /// Backend server that the flow was bound to.
         backend: BackendId,
-        /// Lookup stage that determined the backend server.
+        /// Layer that found the backend server.
         source: FlowSource,
         /// Configuration version in force at the time.
         version: ObjectVersion,
@@ -45,9 +45,9 @@
         /// Number of relays so far, this one included.
         hops: u8,
     },
-    /// A flow packet was refused.
+    /// A flow packet was refused, or dropped without a reply.
     FlowRefused {
-        /// Cause of the refusal.
+        /// Cause of the refusal or drop.
         reason: RefusalReason,
     },
     /// A request was sent to a backend server.
@@ -58,14 +58,14 @@
         attempt: Attempt,
         /// Cause of the retry; `None` for the first attempt.
         retry: Option<RetryReason>,
-        /// Occupied slots of the service, this one included.
+        /// Occupied slots of the service, including the one of this attempt.
         busy_slots: u32,
         /// Number of waiting requests.
         waiting: usize,
     },
     /// A request was completely answered.
     Answered,
-    /// A request was refused for good.
+    /// A request was refused, and is not retried.
     Refused {
         /// Outcome that the caller was given.
         outcome: Outcome,
--- a/crates/valvestage-policy/src/operations/plan.rs
+++ b/crates/valvestage-policy/src/operations/plan.rs
@@ -21,7 +21,7 @@
     pub new_flows_moved_percent: f64,
 }
 
-/// Cause for which a plan cannot be confirmed.
+/// Reason why a plan cannot be confirmed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlanRefusal {
     /// One sentence that says what the change would break.
@@ -45,7 +45,7 @@
     pub effects: Vec<ServiceEffect>,
     /// Risks of the change, one sentence each.
     pub dangers: Vec<String>,
-    /// Cause for which the plan cannot be confirmed; `None` if it can be.
+    /// Reason why the plan cannot be confirmed; `None` if it can be.
     pub refusal: Option<PlanRefusal>,
     /// Configuration after the change.
     pub result: RawConfiguration,
--- a/crates/valvestage-policy/src/operations/planner.rs
+++ b/crates/valvestage-policy/src/operations/planner.rs
@@ -25,8 +25,9 @@
 
 /// Creates the plan for an intent on the configuration `base`, whose platform object is `raw`.
 ///
-/// An intent that refers to an unknown object is an error. One that would break existing flows or
-/// leave too few slots gives a plan with a refusal, so that its effects can still be inspected.
+/// An intent that refers to an unknown object is an error. An intent that would break existing
+/// flows or leave too few slots gives a plan with a refusal, so that its effects can still be
+/// inspected.
 pub fn create_plan(
     id: String,
     base: &Configuration,
--- a/crates/valvestage-policy/src/requests.rs
+++ b/crates/valvestage-policy/src/requests.rs
@@ -1,7 +1,8 @@
 //! Request scheduling: admission, queueing, dispatch to backend servers, retries and claims.
 //!
 //! One balancer, the owner of a service, decides for all requests of the service. Only then is the
-//! count of occupied slots of each backend server exact, and a non-repeatable request claimed once.
+//! count of occupied slots of each backend server exact, and each non-repeatable request claimed
+//! only once.
 
 mod attempt_record;
 mod authority;
--- a/crates/valvestage-policy/src/requests/backend_pool.rs
+++ b/crates/valvestage-policy/src/requests/backend_pool.rs
@@ -248,7 +248,7 @@
     }
 
     /// Records that an attempt got no answer in time, and ejects the backend server once the number
-    /// of failures since its last answer reaches `failures_to_eject`.
+    /// of failures since its last answer or refusal for load reaches `failures_to_eject`.
     ///
     /// The slot stays occupied, because the backend server may still be running the request.
     pub fn on_failure(&mut self, id: BackendId, incarnation: Incarnation, now: SystemTime) {
--- a/crates/valvestage-policy/src/requests/claim.rs
+++ b/crates/valvestage-policy/src/requests/claim.rs
@@ -17,17 +17,17 @@
     RunningAtPreviousOwner,
     /// Answered; the segments are kept to answer retransmissions.
     Answered(Vec<P>),
-    /// Refused; every later copy gets the same refusal.
+    /// Refused; every retransmission gets the same refusal.
     Refused(Refusal),
 }
 
 /// One request with its attempts.
 ///
-/// A claim is kept until the deadline, and longer while an attempt holds a slot, so that a copy
-/// that arrives in time is neither run again nor given a different answer.
+/// A claim is kept until some time after the deadline, so that a retransmission that arrives in
+/// time is neither run again nor given a different answer, and a late answer still frees its slot.
 #[derive(Debug, Clone)]
 pub struct Claim<P> {
-    /// The first accepted copy of the request.
+    /// The request as it was first accepted.
     pub request: Request<P>,
     /// Progress; `Answered` and `Refused` are final.
     pub state: ClaimState<P>,
@@ -35,10 +35,10 @@
     pub attempts: Vec<AttemptRecord<P>>,
     /// Whether the request is in the wait queue, for its first attempt or for a retry.
     pub queued: bool,
-    /// Whether the claim table covers the whole time in which a copy may have been accepted. Only
-    /// then can the outcome "not run" be given.
+    /// Whether the claim table covers the whole time in which the request may have been accepted.
+    /// Only then can the outcome "not run" be given.
     pub covered: bool,
-    /// Time at which the claim is removed.
+    /// Time at which the claim is removed: `slot_grace` after the deadline.
     pub kept_until: Deadline,
 }
 
--- a/crates/valvestage-policy/src/requests/exported_claim.rs
+++ b/crates/valvestage-policy/src/requests/exported_claim.rs
@@ -1,4 +1,4 @@
-//! The claims that an owner transfers to its successor in a planned handover.
+//! The claims that an owner transfers to the next owner in a planned handover.
 
 use std::time::SystemTime;
 
@@ -12,7 +12,8 @@
 pub enum ExportedState<P> {
     /// Certainly not run: the next owner runs it.
     Waiting,
-    /// May be running: the previous owner answers it, and the next owner keeps copies from running.
+    /// May be running: the previous owner answers it, and the next owner keeps retransmissions from
+    /// running.
     Running,
     /// Answered: the next owner answers retransmissions.
     Answered(Vec<P>),
--- a/crates/valvestage-policy/src/requests/request_options.rs
+++ b/crates/valvestage-policy/src/requests/request_options.rs
@@ -42,11 +42,11 @@
     pub slot_grace: Duration,
     /// Selection algorithm of backend servers.
     pub choice: ChoiceRule,
-    /// Whether copies of a request are matched against the claim table; `false` is a baseline for
-    /// comparisons.
+    /// Whether retransmissions of a request are matched against the claim table; `false` is a
+    /// baseline for comparisons.
     pub claims: bool,
     /// Whether the outcome "not run" and the first run of a non-repeatable request need a claim
-    /// table that covers the whole time in which a copy may have been accepted; `false` is a
+    /// table that covers the whole time in which the request may have been accepted; `false` is a
     /// baseline for comparisons.
     pub window: bool,
     /// Whether the end of the lease bounds the deadline of dispatches; `false` is a baseline for
--- a/crates/valvestage-policy/src/requests/service_admission.rs
+++ b/crates/valvestage-policy/src/requests/service_admission.rs
@@ -22,8 +22,8 @@
         if !self.options.window {
             return true;
         }
-        // Balancers that cannot reach the owner run repeatable requests as well, so the claim table
-        // never covers all copies of one.
+        // Balancers that cannot reach the owner run repeatable requests as well, so one claim table
+        // never covers all runs of such a request.
         if request.repeatable {
             return false;
         }
@@ -110,9 +110,9 @@
         covered: bool,
         out: &mut Vec<RequestAction<P>>,
     ) {
-        // "Not run" also promises that no later copy runs, so it is given only if a claim that
-        // refuses later copies is kept. A deadline that is too far ahead comes into range later,
-        // possibly at another owner.
+        // "Not run" also promises that no retransmission runs later, so it is given only if a claim
+        // that refuses retransmissions is kept. A deadline that is too far ahead comes into range
+        // later, possibly at another owner.
         let can_keep_claim =
             !matches!(reason, RefusalReason::ClaimsFull | RefusalReason::DeadlineTooFar);
         let outcome = if covered && can_keep_claim { Outcome::NotRun } else { Outcome::InDoubt };
--- a/crates/valvestage-policy/src/requests/service_dispatcher.rs
+++ b/crates/valvestage-policy/src/requests/service_dispatcher.rs
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Handles a new request, or a copy of a known one.
+    /// Handles a new request, or a retransmission of a known one.
     pub fn accept(
         &mut self,
         now: SystemTime,
@@ -110,7 +110,7 @@
             return false;
         };
 
-        // Only the address that sent the first copy gets the answer.
+        // Only the address that the request was first accepted from gets the answer.
         if claim.request.caller != request.caller {
             return true;
         }
@@ -240,7 +240,7 @@
         usual.max(self.options.min_attempt_timeout)
     }
 
-    /// Refuses a request for good and sends the refusal, unless it already has a final answer.
+    /// Refuses a request finally and sends the refusal, unless it already has a final answer.
     pub(super) fn finish_refused(
         &mut self,
         now: SystemTime,
--- a/crates/valvestage-policy/src/requests/service_replies.rs
+++ b/crates/valvestage-policy/src/requests/service_replies.rs
@@ -206,7 +206,7 @@
                 self.record_timeouts(now, id);
                 self.finish_refused(now, id, RefusalReason::ExpiredRunning, out);
             }
-            // The previous owner answers; copies are past the deadline as well.
+            // The previous owner answers; retransmissions are past the deadline as well.
             ClaimState::RunningAtPreviousOwner
             | ClaimState::Answered(_)
             | ClaimState::Refused(_) => {}
@@ -214,7 +214,7 @@
     }
 
     /// Counts pending attempts older than the attempt timeout as failures of their backend servers.
-    /// One that was sent shortly before the deadline is no evidence of a failure.
+    /// An attempt that was sent shortly before the deadline is no evidence of a failure.
     fn record_timeouts(&mut self, now: SystemTime, id: RequestId) {
         let timeout = self.attempt_timeout();
         let Some(claim) = self.claims.get(id) else {
--- a/crates/valvestage-policy/src/requests/wait_queue.rs
+++ b/crates/valvestage-policy/src/requests/wait_queue.rs
@@ -68,7 +68,7 @@
         self.class_mut(class).pop_front()
     }
 
-    /// Returns the number of waiting requests that go before a new request of this class.
+    /// Estimates the number of waiting requests that go before a new request of this class.
     #[must_use]
     pub fn count_ahead_of(&self, class: RequestClass) -> usize {
         match class {
