--- a/crates/valvestage-balancer/src/commands.rs
+++ b/crates/valvestage-balancer/src/commands.rs
@@ -53,11 +53,11 @@
     InstallOwnerMap(Arc<OwnerMap>),
     /// Install the keys that sign and verify flow tokens.
     InstallKeys(TokenKeys),
-    /// Install the set of live balancers, and the data addresses of the others that answer.
+    /// Install the set of live balancers, and the data addresses of all other known ones.
     InstallView {
         /// The live balancers.
         view: LiveView,
-        /// Data addresses of the other balancers.
+        /// Data addresses of all other known balancers, dead ones included.
         addresses: BTreeMap<BalancerId, SocketAddr>,
     },
     /// Install the current lease; `None` if this balancer holds none.
--- a/crates/valvestage-balancer/src/control/bindings_task.rs
+++ b/crates/valvestage-balancer/src/control/bindings_task.rs
@@ -14,7 +14,7 @@
 use super::peer_clients::{PeerClients, call_context};
 use crate::commands::Command;
 
-/// Largest number of bindings in one message; such a message has about 1.3 KB.
+/// Largest number of bindings in one message; a message with this number has about 1.3 KB.
 const BINDINGS_PER_MESSAGE: usize = 100;
 
 /// Pause between two messages. Together with [`BINDINGS_PER_MESSAGE`] it limits the bandwidth of
@@ -34,8 +34,8 @@
 }
 
 /// Copies each binding that does not follow from the configuration to the balancers that may need
-/// it. The configuration and the live balancers are read once at the start; a change during the
-/// copy makes the task run again afterwards.
+/// it. The configuration and the live balancers are read once at the start; if they change
+/// meanwhile, the task runs again afterwards.
 pub(super) async fn copy_exceptions(state: &Arc<ControlState>, peers: &PeerClients) {
     let Some(flows) = state.query_data_path(Command::ListBindings).await else {
         return;
--- a/crates/valvestage-balancer/src/data_path/data_handler.rs
+++ b/crates/valvestage-balancer/src/data_path/data_handler.rs
@@ -40,7 +40,7 @@
     pub(super) policy: BalancerPolicy<Payload>,
     pub(super) metrics: Arc<BalancerMetrics>,
     pub(super) fabric_addresses: Vec<SocketAddr>,
-    /// Data addresses of the other balancers.
+    /// Data addresses of all other known balancers, dead ones included.
     pub(super) peer_addresses: BTreeMap<BalancerId, SocketAddr>,
     /// The same addresses as a set, for the check of a datagram's source.
     peer_sources: HashSet<SocketAddr>,
@@ -227,7 +227,7 @@
         &self.policy
     }
 
-    /// Adds a datagram to the output. One that cannot be encoded is counted and dropped.
+    /// Adds a datagram to the output. A datagram that cannot be encoded is counted and dropped.
     pub(super) fn push(&self, to: SocketAddr, envelope: &Envelope<'_>, out: &mut Vec<Outbound>) {
         match encode(envelope) {
             Ok(bytes) => out.push(Outbound { to, bytes }),
--- a/crates/valvestage-balancer/tests/processes/main.rs
+++ b/crates/valvestage-balancer/tests/processes/main.rs
@@ -75,7 +75,7 @@
 
     assert!(exit.success(), "exit {exit}");
     assert_safe(&deployment, &summary);
-    assert_eq!(summary.answered, summary.requests, "a request was cut: {summary:?}");
+    assert_eq!(summary.answered, summary.requests, "a request was not answered: {summary:?}");
     assert_eq!(summary.broken_echoing + summary.broken_silent, 0, "a flow broke: {summary:?}");
     assert_ne!(deployment.owner(), owner);
     deployment.wait_until_served();
--- a/crates/valvestage-core/src/ids.rs
+++ b/crates/valvestage-core/src/ids.rs
@@ -33,7 +33,7 @@
 /// Number of a key that signs flow tokens.
 pub type TokenKeyId = u8;
 
-/// Number of a lease among those that one balancer has held; increases with each acquisition.
+/// Number that distinguishes the leases of one balancer; increases with each acquisition.
 pub type LeaseEpoch = u64;
 
 /// Id of one start of a backend server; a restarted VM has a new one.
--- a/crates/valvestage-core/src/packets.rs
+++ b/crates/valvestage-core/src/packets.rs
@@ -68,7 +68,7 @@
     }
 }
 
-/// Load that a backend server reports with each answer; a hint that may be out of date.
+/// Load that a backend server reports with each packet; a hint that may be out of date.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct LoadReport {
     /// Number of slots in use.
--- a/crates/valvestage-core/src/reasons.rs
+++ b/crates/valvestage-core/src/reasons.rs
@@ -54,8 +54,8 @@
         UnauthorisedSource = 3, "unauthorised_source";
         /// No service has the destination address.
         UnknownService = 4, "unknown_service";
-        /// The answer names a service other than that in the record of the backend server that sent
-        /// it.
+        /// A packet from a backend server does not name the service, id and incarnation of the
+        /// sender's record, or a flow token was issued for another service.
         WrongService = 5, "wrong_service";
         /// The flow token fails verification.
         BadToken = 6, "bad_token";
@@ -83,7 +83,7 @@
         WindowNotCovered = 18, "window_not_covered";
         /// The retry budget is exhausted.
         RetryBudgetSpent = 19, "retry_budget_spent";
-        /// Backend servers refused every attempt.
+        /// The maximum number of attempts is reached.
         TriesExhausted = 20, "tries_exhausted";
         /// The caller cancelled the request.
         Cancelled = 21, "cancelled";
--- a/crates/valvestage-core/src/settings/balancer.rs
+++ b/crates/valvestage-core/src/settings/balancer.rs
@@ -35,7 +35,7 @@
     pub data_address: SocketAddr,
     /// TCP address of the peer service.
     pub peer_address: SocketAddr,
-    /// TCP address of the admin server (`/metrics`, `/livez`, `/readyz`).
+    /// TCP address of the admin server (`/metrics`, `/livez`, `/readyz`, `/status`, `/decisions`).
     pub admin_address: SocketAddr,
     /// Source addresses from which enveloped caller packets are accepted.
     pub fabric_addresses: Vec<SocketAddr>,
@@ -111,7 +111,7 @@
     pub data_address: SocketAddr,
     /// TCP address of the peer service.
     pub peer_address: SocketAddr,
-    /// TCP address of the admin server (`/metrics`, `/livez`, `/readyz`).
+    /// TCP address of the admin server (`/metrics`, `/livez`, `/readyz`, `/status`, `/decisions`).
     pub admin_address: SocketAddr,
     /// Source addresses from which enveloped caller packets are accepted; not empty.
     pub fabric_addresses: Vec<SocketAddr>,
--- a/crates/valvestage-core/src/time.rs
+++ b/crates/valvestage-core/src/time.rs
@@ -5,7 +5,8 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Point in time after which the result of a request is of no use.
+/// Point in time until which something is useful or valid, such as the answer to a request or a
+/// lease.
 pub type Deadline = SystemTime;
 
 /// Converts a time to milliseconds since the Unix epoch; times before the epoch give 0.
--- a/crates/valvestage-wire/src/envelope/header.rs
+++ b/crates/valvestage-wire/src/envelope/header.rs
@@ -44,13 +44,14 @@
     pub load: Option<LoadReport>,
     /// Backend server concerned; present in all packets between balancers and backend servers.
     pub target: Option<Target>,
-    /// Number of the attempt; present in requests to backend servers and in their answers.
+    /// Number of the attempt; present in requests and cancellations to backend servers, and in the
+    /// answers and refusals that follow from them.
     pub attempt: Option<Attempt>,
-    /// Relay information; present in all packets that one balancer relays to another.
+    /// Relay header; present in all packets that one balancer relays to another.
     pub hop: Option<RelayHeader>,
     /// Outcome for the caller and the reason; present in refusals.
     pub refusal: Option<(Outcome, RefusalReason)>,
-    /// Position of the datagram; present in answers of more than one datagram.
+    /// Position of the datagram within the answer; an answer without it is a single datagram.
     pub segment: Option<Segment>,
     /// Binding of a flow to a backend server; present in binding messages.
     pub binding: Option<Binding>,
--- a/crates/valvestage-wire/src/envelope/tlv_types.rs
+++ b/crates/valvestage-wire/src/envelope/tlv_types.rs
@@ -18,7 +18,7 @@
 pub const TARGET: u8 = 0xe6;
 /// Number of the attempt, 2 bytes.
 pub const ATTEMPT: u8 = 0xe7;
-/// Hop mark: count, 1 byte; purpose, 1 byte; view epoch, 8 bytes.
+/// Relay header: count, 1 byte; purpose, 1 byte; view epoch, 8 bytes.
 pub const HOP: u8 = 0xe8;
 /// Refusal: outcome, 1 byte; reason, 1 byte.
 pub const REFUSAL: u8 = 0xe9;
--- a/crates/valvestage-wire/src/errors.rs
+++ b/crates/valvestage-wire/src/errors.rs
@@ -7,7 +7,7 @@
 /// Error of encoding, decoding or transporting a message.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// The datagram does not start with a PROXY protocol v2 header.
+    /// The PROXY protocol v2 header of a datagram is missing or invalid, or cannot be encoded.
     #[error("envelope: header: {0}")]
     Header(String),
     /// The header does not contain a pair of IPv4 or IPv6 addresses.
@@ -21,10 +21,10 @@
         /// Description of the fault.
         problem: &'static str,
     },
-    /// The datagram would be longer than [`crate::envelope::MAX_DATAGRAM`].
+    /// The datagram is longer than [`crate::envelope::MAX_DATAGRAM`].
     #[error("envelope: {0} bytes exceed the maximum datagram length")]
     Oversized(usize),
-    /// A connection to a peer failed.
+    /// A connection or a call to a peer failed.
     #[error("peer {peer}: {step}: {cause}")]
     Peer {
         /// Address of the peer.
--- a/crates/valvestage-wire/src/status.rs
+++ b/crates/valvestage-wire/src/status.rs
@@ -12,13 +12,14 @@
     pub name: String,
     /// Balancer that owns the service; `None` if no owner is known.
     pub owner: Option<BalancerId>,
-    /// Number of slots in use, as counted by the owner.
+    /// Number of slots in use, as counted by the balancer that reports; only the owner's count
+    /// covers all requests of the service.
     pub busy_slots: u32,
-    /// Number of slots that may be used.
+    /// Number of slots that may be used, as counted by the balancer that reports.
     pub usable_slots: u32,
-    /// Number of requests that wait for a slot.
+    /// Number of requests that wait for a slot at the balancer that reports.
     pub waiting: u32,
-    /// Number of claims in the claim table.
+    /// Number of claims in the claim table of the balancer that reports.
     pub claims: u32,
 }
 
@@ -50,8 +51,8 @@
     pub has_lease: bool,
     /// Configuration version in force.
     pub configuration: ObjectVersion,
-    /// Time since the balancer last received state of the platform, directly or through a peer, in
-    /// milliseconds.
+    /// Time since the latest platform answer to any balancer that this one knows of, in
+    /// milliseconds; since the Unix epoch if there was none.
     pub configuration_age_ms: u64,
     /// Number of flows in its flow table.
     pub flows: u64,
