--- a/crates/valvectl/src/arguments.rs
+++ b/crates/valvectl/src/arguments.rs
@@ -30,14 +30,14 @@
 /// What to do.
 #[derive(Debug, Clone, Bpaf)]
 pub enum Command {
-    /// Make the first configuration from a deployment file
+    /// Create the first configuration from a deployment file
     #[bpaf(command)]
     Bootstrap {
         /// Deployment file (TOML)
         #[bpaf(long, argument("FILE"))]
         deployment: PathBuf,
     },
-    /// Show what a change would do; nothing happens
+    /// Show what a change would do, without making it
     #[bpaf(command)]
     Plan {
         #[bpaf(external)]
@@ -53,13 +53,13 @@
     /// Show the balancers and which configuration version each of them has
     #[bpaf(command)]
     Status,
-    /// Tell why something was decided
+    /// Explain why something was decided
     #[bpaf(command)]
     Why {
         #[bpaf(external)]
         question: Question,
     },
-    /// Make new flow tokens with a new key
+    /// Create a key that signs all new flow tokens
     #[bpaf(command)]
     RotateKeys,
 }
@@ -79,13 +79,13 @@
         /// Address of its VM
         #[bpaf(long, argument("ADDRESS"))]
         address: SocketAddr,
-        /// Requests that it runs at once
+        /// Maximum number of concurrent requests
         #[bpaf(long, argument("COUNT"))]
         slots: u16,
-        /// Flows that it holds at once
+        /// Maximum number of concurrent flows
         #[bpaf(long, argument("COUNT"), fallback(2000))]
         connections: u16,
-        /// Share of new work relative to its siblings
+        /// Share of new work relative to the other backend servers of the service
         #[bpaf(long, argument("SHARE"), fallback(100))]
         weight: u16,
         /// Name of the backend server
@@ -106,7 +106,7 @@
         #[bpaf(positional("NAME"))]
         name: String,
     },
-    /// Take a drained backend server out
+    /// Remove a drained backend server from the configuration
     #[bpaf(command)]
     Remove {
         /// Name of the backend server
@@ -187,7 +187,7 @@
     /// A change of the configuration
     #[bpaf(command)]
     Change {
-        /// Version that it made
+        /// Configuration version that the change produced
         #[bpaf(positional("VERSION"))]
         version: u64,
     },
--- a/crates/valvectl/src/calls.rs
+++ b/crates/valvectl/src/calls.rs
@@ -94,7 +94,7 @@
         let answer = answer.map_err(|error| self.unreachable("read answer", &error))?;
         if response.status().is_success() {
             return serde_json::from_slice(&answer)
-                .map_err(|error| self.unreachable("understand answer", &error));
+                .map_err(|error| self.unreachable("parse answer", &error));
         }
 
         let status = response.status().as_u16();
--- a/crates/valvectl/src/errors.rs
+++ b/crates/valvectl/src/errors.rs
@@ -8,7 +8,7 @@
 /// Reason why a command was not carried out.
 #[derive(Debug, Error)]
 pub enum CtlError {
-    /// The operators' API cannot be reached.
+    /// The operators' API cannot be reached, or gives an unreadable answer.
     #[error("operator {operator}: {step}: {cause}")]
     Unreachable {
         /// Address of the operators' API.
--- a/crates/valvestage-entry/src/data_thread.rs
+++ b/crates/valvestage-entry/src/data_thread.rs
@@ -99,7 +99,7 @@
 
     /// Runs the event loop until the process ends. Returns only if polling fails.
     pub fn run(mut self) -> io::Result<()> {
-        /// Capacity for the events of one poll, of which there are three sources.
+        /// Capacity for the events of one poll; there are three event sources.
         const MAX_EVENTS: usize = 8;
         let mut events = Events::with_capacity(MAX_EVENTS);
         let mut has_more = false;
--- a/crates/valvestage-entry/src/decision_log.rs
+++ b/crates/valvestage-entry/src/decision_log.rs
@@ -33,8 +33,8 @@
         Self { ring, vm, rate_limiter: LogRateLimiter::default() }
     }
 
-    /// Returns the number of lines that were dropped since the ring was full and that no later line
-    /// has reported.
+    /// Returns the number of lines that were dropped because the ring was full, and that no written
+    /// line has reported yet.
     #[must_use]
     pub fn dropped_lines(&self) -> u64 {
         self.ring.as_ref().map_or(0, LogRing::dropped_lines)
@@ -124,7 +124,7 @@
     }
 }
 
-/// Reports whether a decision is one that is made for every new flow.
+/// Reports whether a decision is of the kind that is made for every new flow.
 fn is_ordinary(decision: &Decision) -> bool {
     matches!(decision, Decision::Placed(placement) if placement.instead_of.is_none())
 }
--- a/crates/valvestage-entry/src/entry_metrics.rs
+++ b/crates/valvestage-entry/src/entry_metrics.rs
@@ -24,8 +24,8 @@
 /// Prefix of all metric names.
 const PREFIX: &str = "valvestage_entry";
 
-/// Half of the largest number of distinct service and availability zone names in labels, both
-/// counted together. Further names are reported as `other`.
+/// Half of the largest number of distinct names in labels; the limit applies to the names of
+/// services and availability zones together. Further names are reported as `other`.
 const MAX_LABEL_NAMES: usize = 64;
 
 /// Largest age in milliseconds, about 49 days, which is also reported if the store never confirmed
--- a/crates/valvestage-entry/src/log_rate_limiter.rs
+++ b/crates/valvestage-entry/src/log_rate_limiter.rs
@@ -2,7 +2,7 @@
 //!
 //! Lines of ordinary events are written for every new flow, so their number grows with the load,
 //! while a reader of the log looks for the exceptional events. Therefore each event has a limit of
-//! its own, and the next line of an event contains the number of its omitted lines.
+//! its own, and its next written line contains the number of its omitted lines.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
--- a/crates/valvestage-entry/src/main.rs
+++ b/crates/valvestage-entry/src/main.rs
@@ -30,7 +30,7 @@
     /// Settings file (TOML)
     #[bpaf(long, argument("FILE"), env("VALVESTAGE_CONFIG"))]
     settings: PathBuf,
-    /// Check the settings, say what is wrong with them, and start nothing
+    /// Check the settings and report any error, without starting anything
     #[bpaf(long)]
     check_settings: bool,
 }
--- a/crates/valvestage-entry/tests/process/site.rs
+++ b/crates/valvestage-entry/tests/process/site.rs
@@ -37,8 +37,8 @@
     }
 }
 
-/// Returns a loopback address that no other test uses, in this process or in one that runs at the
-/// same time, so that its ports are free.
+/// Returns a loopback address that no other test uses, in this test process or in another that runs
+/// at the same time, so that its ports are free.
 fn fresh_ip() -> Ipv4Addr {
     static COUNT: AtomicU8 = AtomicU8::new(1);
     let number = COUNT.fetch_add(1, Ordering::Relaxed);
--- a/crates/valvestage-entry/tests/process/troubleshooting.rs
+++ b/crates/valvestage-entry/tests/process/troubleshooting.rs
@@ -94,8 +94,8 @@
         balancer.metric("valvestage_entry_events_total{event=\"certainty\"}") == Some(2)
     });
 
-    // No route is known from this address. For all the balancer knows, one may have been added to
-    // the store in the meantime.
+    // The balancer knows no route from this address, but a route may have been added to the store
+    // in the meantime.
     let caller = Caller::new(&balancer);
     caller.send_to_port(&balancer, SYN, 40_001, SERVICE.port() + 1);
     wait_until("the packet is dropped", || {
--- a/crates/valvestage-operator/src/balancers.rs
+++ b/crates/valvestage-operator/src/balancers.rs
@@ -79,8 +79,9 @@
     }
 }
 
-/// Returns the demand of each service, summed over all balancers. Only the owner of a service
-/// counts its demand; the other balancers report zero.
+/// Returns the demand of each service, summed over all balancers. The owner of a service counts
+/// nearly all of it; other balancers count only the requests that they run themselves, such as
+/// those that a former owner finishes.
 #[must_use]
 pub fn sum_demand(
     configuration: &Configuration,
--- a/crates/valvestage-operator/src/changes.rs
+++ b/crates/valvestage-operator/src/changes.rs
@@ -80,7 +80,7 @@
     for _ in 0..MAX_WRITE_ATTEMPTS {
         match platform.write_json(key, base, value).await {
             Ok(PlatformReply::Written { version }) => return Ok(version),
-            // The conflicting write may be an earlier attempt of this one whose answer was lost.
+            // The conflicting write may be an earlier attempt whose answer was lost.
             Ok(_) => {}
             Err(error) => last_error = Some(error),
         }
--- a/crates/valvestage-operator/src/errors.rs
+++ b/crates/valvestage-operator/src/errors.rs
@@ -13,8 +13,9 @@
 /// Reason why an API call was not carried out.
 #[derive(Debug, Error)]
 pub enum ApiError {
-    /// The platform does not answer.
-    #[error("the platform does not answer: {0}")]
+    /// A call to the platform failed: it does not answer, rejects the token or stores an unreadable
+    /// object.
+    #[error("the call to the platform failed: {0}")]
     Platform(#[from] PlatformError),
     /// No attempt of a write got an answer that shows whether the write took effect.
     #[error("cannot determine whether the platform accepted change {change_id}")]
--- a/crates/valvestage-operator/src/plans.rs
+++ b/crates/valvestage-operator/src/plans.rs
@@ -59,7 +59,7 @@
     let plan = read_plan(platform, id).await?;
     let base = read_configuration(platform).await?.ok_or_else(no_configuration)?;
 
-    // The plan has been confirmed before: return the same answer.
+    // If the plan has been confirmed before, return the same answer.
     if base.raw.change_id == plan.id {
         return Ok(ConfirmResult { change_id: plan.id, version: base.checked.version });
     }
