--- a/crates/valvestage-balancer/src/data_path/data_handler.rs
+++ b/crates/valvestage-balancer/src/data_path/data_handler.rs
@@ -19,7 +19,7 @@
 use crate::metrics::BalancerMetrics;
 
 /// Time without a packet after which a flow is removed from the flow table. It exceeds one hour,
-/// the lifetime of a feed.
+/// the lifetime of a feed (a long-lived flow).
 const FLOW_IDLE_TIMEOUT: Duration = Duration::from_secs(2 * 3_600);
 
 /// Interval at which the flow table is searched for idle flows.
--- a/crates/valvestage-entry/src/data_thread.rs
+++ b/crates/valvestage-entry/src/data_thread.rs
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Sets this VM ready once the policy knows enough, unless the process is stopping.
+    /// Sets this VM ready once the policy is ready, unless the process is stopping.
     fn update_readiness(&mut self) {
         if !self.policy.is_ready() || self.is_stopping {
             return;
--- a/crates/valvestage-entry/src/entry_metrics.rs
+++ b/crates/valvestage-entry/src/entry_metrics.rs
@@ -29,7 +29,7 @@
 const MAX_LABEL_NAMES: usize = 64;
 
 /// Largest age in milliseconds, about 49 days, which is also reported if the store never confirmed
-/// the knowledge. The exposition format cannot represent the largest 64-bit numbers.
+/// the balancer's state. The exposition format cannot represent the largest 64-bit numbers.
 const MAX_AGE_MS: u64 = u32::MAX as u64;
 
 /// Upper bounds of the histogram buckets in seconds. They are placed around the deployments'
--- a/crates/valvestage-story/src/line_selection.rs
+++ b/crates/valvestage-story/src/line_selection.rs
@@ -6,8 +6,8 @@
 use crate::log_query::LogQuery;
 
 /// Period before the first line of a flow from which changes of the balancer's state are included,
-/// in milliseconds. It covers the entries of dead backend servers, which last about 2.3 s, and
-/// outages of a few seconds.
+/// in milliseconds. It covers the time for which the entry of a dead backend server remains, about
+/// 2.3 s, and outages of a few seconds.
 const LOOK_BACK_MS: u64 = 10_000;
 
 /// Events that change a balancer's view of the deployment as a whole.
