--- a/crates/valvestage-policy/src/steering.rs
+++ b/crates/valvestage-policy/src/steering.rs
@@ -1,8 +1,8 @@
 //! Packet steering for flows whose payload only the two endpoints can read.
 //!
 //! A balancer sees the packets that callers send, but not the answers of backend servers, and keeps
-//! no state that has to survive a restart. Every packet of a caller carries a token that names the
-//! backend server of its flow, so any balancer can steer any flow.
+//! no state that has to survive a restart. Once a flow is open, every packet of its caller carries
+//! a token that names the backend server of the flow, so any balancer can steer any flow.
 //!
 //! Packet path:
 //!
@@ -18,7 +18,7 @@
 //! |---|---|
 //! | [`knowledge`] | what is known about routes and backend servers |
 //! | [`store`] | following the platform's store, and the choice of the balancers that do so |
-//! | [`peers`] | messages, queries and answers between balancers |
+//! | [`peers`] | messages, pulls and answers between balancers |
 //! | [`keeper`] | keeping the knowledge up to date from the store and the peers |
 //!
 //! Shared: [`entry_policy`] combines both paths, [`decision`] describes decisions for logs and
--- a/crates/valvestage-policy/src/steering/decision.rs
+++ b/crates/valvestage-policy/src/steering/decision.rs
@@ -167,7 +167,7 @@
         /// Whether the store answers.
         answers: bool,
     },
-    /// The store answers from another era than before, which means that it was restored from an
+    /// The store answers from another era than before, which means that it was restored from a
     /// backup.
     StoreEra {
         /// Kind of objects concerned.
@@ -184,12 +184,12 @@
         /// Position from which the watch was to continue.
         position: StorePosition,
     },
-    /// Another balancer was heard for the first time.
+    /// Another balancer was heard from for the first time.
     PeerFound {
         /// Address of the balancer.
         peer: SocketAddrV4,
     },
-    /// A balancer has not been heard for so long that it counts as lost.
+    /// A balancer has not been heard from for so long that it counts as lost.
     PeerLost {
         /// Address of the balancer.
         peer: SocketAddrV4,
@@ -220,7 +220,7 @@
         /// Number of datagrams in the answer.
         datagrams: usize,
     },
-    /// An answer of another balancer was not complete in time. The rest is requested again.
+    /// An answer of another balancer was not complete in time. The rest may be pulled again.
     AnswerIncomplete(IncompleteAnswer),
     /// The process was paused.
     Paused {
@@ -294,7 +294,7 @@
     pub received: usize,
     /// Number of datagrams asked for; 0 if the other balancer decides how many to send.
     pub expected: usize,
-    /// Time since the query.
+    /// Time since the pull was sent.
     pub waited: Duration,
 }
 
--- a/crates/valvestage-policy/src/steering/entry_policy.rs
+++ b/crates/valvestage-policy/src/steering/entry_policy.rs
@@ -27,13 +27,14 @@
 /// Interval at which timers are checked.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A gap between two ticks of at least this length counts as a pause of the process. Ticks come at
-/// least every 100 ms, and somewhat later on a slow or busy VM.
+/// A stall of at least this length counts as a pause of the process. Ticks come at least every 100
+/// ms, and somewhat later on a slow or busy VM.
 const MIN_PAUSE: Duration = Duration::from_secs(1);
 
-/// After a gap between two ticks of at least this length, packets may have arrived that have not
-/// been read yet: two ticks of [`TICK_INTERVAL`] were missed. A request is overdue after 400 ms at
-/// the earliest.
+/// A gap between two ticks of at least this length counts as a stall, after which packets may have
+/// arrived that have not been read yet: two ticks of [`TICK_INTERVAL`] were missed. It is shorter
+/// than the 400 ms after which a request is overdue at the earliest, so that unread
+/// acknowledgements are not taken for missing ones.
 const MIN_STALL: Duration = Duration::from_millis(300);
 
 /// A balancer may be cut off from the store if the store has confirmed nothing to it for this time,
@@ -41,8 +42,8 @@
 /// if the balancers that follow the store have died.
 const ISOLATED_AFTER: Duration = Duration::from_millis(3_500);
 
-/// A balancer may be cut off from the other availability zones if it has heard none of their
-/// balancers for this time. Each balancer sends a heartbeat to four of all others every 400 ms.
+/// A balancer may be cut off from the other availability zones if it has heard from none of their
+/// balancers for this time. Each balancer sends a heartbeat to four other balancers every 400 ms.
 const ZONE_SILENCE: Duration = Duration::from_millis(1_500);
 
 /// Start-up options of a balancer.
@@ -66,7 +67,7 @@
     pub seed: u64,
 }
 
-/// An interval in which the process stood still.
+/// An interval in which the process was stalled.
 #[derive(Debug, Clone, Copy)]
 struct Stall {
     /// Time of the last tick before the interval.
@@ -89,7 +90,7 @@
     last_tick: Instant,
     /// Whether a stall since the last tick has been noted already.
     is_gap_noted: bool,
-    /// The latest interval in which the process stood still.
+    /// The latest interval in which the process was stalled.
     stall: Option<Stall>,
     /// The report to other balancers on what is seen here, as of the last tick.
     report: BalancerReport,
@@ -182,8 +183,7 @@
         self.steering.can_decide(&self.knowledge, packet)
     }
 
-    /// Records that a packet was held back in vain, since what it needs did not become known in
-    /// time.
+    /// Records that the hold time of a packet has ended before what it needs became known.
     pub fn on_held_too_long(&mut self, packet: &CallerPacket, now: Instant) {
         self.steering.on_hold_expired(&self.knowledge, packet, now);
     }
@@ -262,8 +262,8 @@
         }
 
         self.note_gap(now);
-        // The acknowledgement that a request seems to miss may be among the packets that are not
-        // read yet.
+        // After a stall, the acknowledgement that a request seems to miss may be among the packets
+        // that are not read yet.
         if !std::mem::take(&mut self.is_gap_noted) {
             self.steering.judge_overdue(&self.knowledge, now);
         }
@@ -282,7 +282,8 @@
         actions
     }
 
-    /// Updates the members of this availability zone, the ended evacuations and the isolation.
+    /// Updates the shares of cold backend servers, releases the zones whose evacuation has ended,
+    /// and updates whether this balancer is isolated.
     fn update_zones(&mut self, now: Instant) {
         if self.steering.has_cold_limit() {
             let members = self.keeper.zone_members(now);
@@ -308,8 +309,8 @@
         self.has_other_zones && is_unconfirmed && !hears_others
     }
 
-    /// Notes whether the process stood still since the last tick. Packets that arrived meanwhile
-    /// are read before the next tick.
+    /// Records a stall if the process was stalled since the last tick, and a pause if the stall was
+    /// long. Packets that arrived meanwhile are read before the next tick.
     fn note_gap(&mut self, now: Instant) {
         let gap = now.saturating_duration_since(self.last_tick);
         if self.is_gap_noted || gap < MIN_STALL {
--- a/crates/valvestage-policy/src/steering/health/answer_norm.rs
+++ b/crates/valvestage-policy/src/steering/health/answer_norm.rs
@@ -3,14 +3,14 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Number of answer sizes that are kept: some seconds of a busy address, and 128 bytes per address.
+/// Number of answer sizes that are kept: some seconds of a busy address, and 256 bytes per address.
 const WINDOW: usize = 32;
 
 /// Weight of a new answer time in the moving average after the start-up phase, so that the average
 /// covers about 30 answers.
 const WEIGHT: f64 = 1.0 / 32.0;
 
-/// Number of answers before anything counts as usual.
+/// Number of answers that have to be seen before their usual size or time counts as known.
 const MIN_SAMPLES: usize = 16;
 
 /// Number of standard deviations below the median, on a logarithmic scale, from which an answer
@@ -18,8 +18,8 @@
 const SHORT_DEVIATIONS: f64 = 3.5;
 
 /// Minimum distance of a short answer from the median, as a natural logarithm (ln 3): an answer of
-/// more than a third of the usual size is never short, however similar the others are. An error has
-/// some 150 bytes.
+/// more than a third of the usual size is never short, however similar the others are. An error
+/// answer has some 150 bytes.
 const MIN_SHORT_MARGIN: f64 = 1.098_6;
 
 /// A request is overdue after this multiple of the usual answer time.
--- a/crates/valvestage-policy/src/steering/health/backend_health.rs
+++ b/crates/valvestage-policy/src/steering/health/backend_health.rs
@@ -24,7 +24,7 @@
 /// backend server lives is worse than a wait, so this takes more than a suspicion.
 const FLOWS_TO_GIVE_UP: usize = 3;
 
-/// The same number while another balancer also reports the suspicion.
+/// As [`FLOWS_TO_GIVE_UP`], while another balancer reports the suspicion as well.
 const FLOWS_TO_CONFIRM: usize = 1;
 
 /// Duration of a suspicion, after which a new flow tries the backend server again. The entry of a
--- a/crates/valvestage-policy/src/steering/health/backend_observer.rs
+++ b/crates/valvestage-policy/src/steering/health/backend_observer.rs
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Records that the process stood still until now. Answers to requests that were under way may
+    /// Records that the process was stalled until now. Answers to requests that were under way may
     /// have arrived at any time since, so their times are unknown.
     pub fn on_stall(&mut self, now: Instant) {
         self.timed_from = Some(now);
--- a/crates/valvestage-policy/src/steering/health/backend_pace.rs
+++ b/crates/valvestage-policy/src/steering/health/backend_pace.rs
@@ -16,9 +16,9 @@
 use super::outcome_count::decayed_weight;
 use crate::steering::decision::Decision;
 
-/// Number of virtual answers at the median pace that are added to those of a backend server. On
-/// simulated days with slow backend servers, 0.979 of the requests were served with 4, 0.980 with
-/// 2, and 0.983 with 1 and the steps below (docs/DECISIONS.md).
+/// Number of virtual answers at the median pace that are added to those of a backend server. In
+/// simulations with slow backend servers, 0.979 of the requests were served with 4, 0.980 with 2,
+/// and 0.983 with 1 and the rounding to [`PACE_STEP`] (docs/DECISIONS.md).
 const PRIOR_ANSWERS: f64 = 1.0;
 
 /// Limit on the ratio of one answer to the usual time, since a packet of a slower answer may have
@@ -36,10 +36,11 @@
 /// A slow backend server is logged as recovered below this pace.
 const RECOVERED_FACTOR: f64 = 1.4;
 
-/// Number of answers needed to log either; the times of single answers vary by half of the mean.
+/// Number of answers, weighted by age, that are needed to log a backend server as slow or
+/// recovered; the times of single answers vary by half of the mean.
 const MIN_ANSWERS_TO_LOG: f64 = 3.0;
 
-/// Number of answers from which on a backend server counts for the median.
+/// Number of answers, weighted by age, from which on a backend server counts for the median.
 const MIN_ANSWERS_TO_COMPARE: f64 = 0.5;
 
 /// Number of backend servers needed for a median: of two, either may be the one that has changed.
--- a/crates/valvestage-policy/src/steering/health/flow_request.rs
+++ b/crates/valvestage-policy/src/steering/health/flow_request.rs
@@ -23,9 +23,10 @@
     }
 }
 
-/// A request after which the caller has sent another one or ended the flow.
+/// A request whose outcome is known: the caller has sent another one or ended the flow, or the
+/// request was overdue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndedRequest {
-    /// Bytes of the answer that the caller acknowledged; 0 if it gave up without an answer.
+    /// Bytes of the answer that the caller acknowledged; 0 if there was no answer.
     pub answer_bytes: u32,
 }
--- a/crates/valvestage-policy/src/steering/health/outcome_count.rs
+++ b/crates/valvestage-policy/src/steering/health/outcome_count.rs
@@ -25,7 +25,7 @@
         self.answered + self.poor
     }
 
-    /// Returns the share of requests that ended badly; 0 if there are no requests.
+    /// Returns the share of poor requests; 0 if there are no requests.
     #[must_use]
     pub fn poor_share(&self) -> f64 {
         if self.total() > 0.0 { self.poor / self.total() } else { 0.0 }
--- a/crates/valvestage-policy/src/steering/health/outlier_detector.rs
+++ b/crates/valvestage-policy/src/steering/health/outlier_detector.rs
@@ -21,8 +21,8 @@
 use crate::steering::seeded_draw::SeededDraw;
 
 /// Standard deviations by which the number of poor requests has to exceed the number expected from
-/// the share of the others. Some answers are short without a fault: of 15 requests, three are poor
-/// by chance in one of 300 cases at [`MIN_EXPECTED_SHARE`], which is not sufficient.
+/// the share of the others. Some answers are short without a fault: at [`MIN_EXPECTED_SHARE`],
+/// three of 15 requests are poor by chance in one of 300 cases, so three of 15 are not sufficient.
 const DEVIATIONS: f64 = 2.5;
 
 /// Additional poor requests required on top of the deviations.
@@ -41,14 +41,15 @@
 /// Factor by which the poor requests then have to exceed the expected number.
 const RETURN_FACTOR: f64 = 3.0;
 
-/// Number of poor requests seen by one balancer from which on it asks others for their counts.
+/// Number of poor requests seen by one balancer from which on it reports its counts, and thereby
+/// asks the others for theirs.
 const POOR_TO_REQUEST_COUNTS: f64 = 0.9;
 
 /// How long a count reported by another balancer is used. In the largest reference deployment, each
-/// balancer hears two thirds of the others within this time.
+/// balancer hears from two thirds of the others within this time.
 const PEER_COUNT_TTL: Duration = Duration::from_secs(6);
 
-/// How long counts are reported after they were asked for.
+/// How long counts are reported after they were asked for, and avoidances after they began.
 pub(in crate::steering) const REPORT_PERIOD: Duration = Duration::from_secs(2);
 
 /// Number of poor requests below which a backend server counts as free of failures.
@@ -59,8 +60,8 @@
 
 /// Maximum number of backend servers reported in a heartbeat, for counts and for avoidances each. A
 /// count takes some 11 bytes, an avoidance 8. With 16 of each, control traffic took up to 5 KB per
-/// second while many fail; with 8, simulated days on which a quarter of all backend servers fail
-/// are served no worse (docs/DECISIONS.md).
+/// second while many fail; with 8, no fewer requests are served in simulations in which a quarter
+/// of all backend servers fail (docs/DECISIONS.md).
 const MAX_REPORTS: usize = 8;
 
 /// Outlier detector that compares the backend servers of each service.
@@ -234,7 +235,7 @@
     }
 }
 
-/// Reports whether far more requests ended badly than expected from the other backend servers.
+/// Reports whether far more requests were poor than expected from the other backend servers.
 fn stands_out(count: &OutcomeCount, has_failed: bool) -> bool {
     let OutcomeCount { poor, expected, .. } = *count;
     let is_back = poor >= RETURN_POOR
--- a/crates/valvestage-policy/src/steering/health/outlier_record.rs
+++ b/crates/valvestage-policy/src/steering/health/outlier_record.rs
@@ -9,9 +9,9 @@
 use super::outcome_count::{DecayingCount, OutcomeCount};
 use super::outlier_detector::{NEGLIGIBLE_POOR, REPORT_PERIOD};
 
-/// Duration of the first avoidance; doubled with each further one. Each balancer adds a random time
-/// of up to [`JITTER`] of it, so that the first one that tries the backend server again can warn
-/// the others.
+/// Duration of the first avoidance; doubled with each further one. Each balancer adds a random part
+/// (see [`JITTER`]), so that the first balancer that tries the backend server again can warn the
+/// others.
 const BASE_AVOIDANCE: Duration = Duration::from_secs(4);
 
 /// Maximum random addition to an avoidance, as a share of it.
--- a/crates/valvestage-policy/src/steering/health/request_judge.rs
+++ b/crates/valvestage-policy/src/steering/health/request_judge.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Default)]
 pub struct RequestJudge {
     /// Norms by the address and port that callers send to, since requests of different kinds use
-    /// different ones.
+    /// different addresses.
     norms: HashMap<SocketAddrV4, AnswerNorm>,
     overdue: OverdueQueue,
 }
@@ -39,7 +39,8 @@
         log_ratio
     }
 
-    /// Records how a request ended, and reports whether it ended badly.
+    /// Records how a request ended, and reports whether it is poor: whether its answer is missing
+    /// or much shorter than usual.
     pub fn is_poor(&mut self, service: SocketAddrV4, ended: EndedRequest) -> bool {
         if ended.answer_bytes == 0 {
             return true;
@@ -56,8 +57,8 @@
         self.overdue.pop_due(now)
     }
 
-    /// Records that the process was paused: the answers of requests under way may have arrived, so
-    /// their deadlines are dropped.
+    /// Records that the process was paused. Acknowledgements of the answers to requests under way
+    /// may have been lost, so the deadlines of these requests are dropped.
     pub fn on_pause(&mut self) {
         self.overdue.clear();
     }
--- a/crates/valvestage-policy/src/steering/keeper.rs
+++ b/crates/valvestage-policy/src/steering/keeper.rs
@@ -4,7 +4,7 @@
 //! |---|---|
 //! | [`knowledge_keeper`] | when to call the store, and what to send to other balancers |
 //! | [`keeper_action`] | actions that the driver carries out |
-//! | `keeper_exchange` | requests to other balancers, and answers to theirs |
+//! | `keeper_exchange` | pulls from other balancers, and answers to theirs |
 //! | `keeper_updates` | what was learned, for the log and for other balancers |
 
 pub mod keeper_action;
--- a/crates/valvestage-policy/src/steering/keeper/keeper_exchange.rs
+++ b/crates/valvestage-policy/src/steering/keeper/keeper_exchange.rs
@@ -1,4 +1,4 @@
-//! Requests to other balancers, and answers to theirs, with the log events of both.
+//! Pulls from other balancers, and answers to theirs, with the log events of both.
 
 use std::net::SocketAddrV4;
 use std::time::Instant;
@@ -15,7 +15,7 @@
     BackendsPart, BackendsPull, PeerHeartbeat, PeerMessage, RoutesPull, WalkScope,
 };
 
-/// Sends requests to other balancers, answers theirs, and records what was learned.
+/// Pulls from other balancers, answers their pulls, and records what was learned.
 #[derive(Debug)]
 pub(in crate::steering) struct KeeperExchange {
     exchange: PeerExchange,
@@ -24,12 +24,12 @@
 }
 
 impl KeeperExchange {
-    /// Creates an exchange that answers over a link of so many megabits per second.
+    /// Creates an exchange that answers over a link of `link_mbps` megabits per second.
     pub(in crate::steering) fn new(link_mbps: f64) -> Self {
         Self { exchange: PeerExchange::new(link_mbps), has_unannounced_changes: false }
     }
 
-    /// Returns when the next answer is due. None if no balancer waits for one.
+    /// Returns when the next answer is due. `None` if no balancer waits for one.
     pub(in crate::steering) fn next_due(&self) -> Option<Instant> {
         self.exchange.next_due()
     }
@@ -39,7 +39,7 @@
         self.exchange.is_receiving_answer(now)
     }
 
-    /// Repeats requests that were not answered, and answers the balancers whose turn it is.
+    /// Repeats pulls that were not answered, and answers the balancers whose turn it is.
     pub(in crate::steering) fn on_tick(
         &mut self,
         knowledge: &Knowledge,
@@ -66,7 +66,8 @@
             || self.exchange.knows_more_backends(knowledge, heartbeat)
     }
 
-    /// Requests what the sender of a heartbeat knows more, unless an answer is already awaited.
+    /// Pulls what the sender of a heartbeat knows and this balancer does not, unless an answer is
+    /// already awaited.
     pub(in crate::steering) fn pull_updates(
         &mut self,
         knowledge: &Knowledge,
@@ -82,8 +83,8 @@
         pulls.into_iter().map(|pull| send_action((sender, pull))).collect()
     }
 
-    /// Requests everything from the sender of a heartbeat if it considers other backend servers
-    /// live although both balancers know all changes.
+    /// Pulls everything from the sender of a heartbeat if it considers other backend servers live
+    /// although both balancers know all changes.
     pub(in crate::steering) fn compare(
         &mut self,
         knowledge: &Knowledge,
@@ -93,8 +94,8 @@
         self.exchange.compare_backends(knowledge, sender, heartbeat, now)
     }
 
-    /// Handles a request or an answer. Entries that the answer reports as gone may return until the
-    /// given time.
+    /// Handles a pull or an answer. Entries that the answer reports as gone may return until
+    /// `missing_until`, if that is given.
     pub(in crate::steering) fn on_message(
         &mut self,
         knowledge: &mut Knowledge,
@@ -150,7 +151,7 @@
         actions
     }
 
-    /// Applies the result of a part of a configuration.
+    /// Applies the result of processing a part of a configuration.
     fn apply_step(
         &mut self,
         knowledge: &mut Knowledge,
@@ -180,8 +181,8 @@
         let is_new_era = knowledge.directory.changed_at().era > era;
 
         // Other balancers cannot use what came before the end of a walk. If each part is announced,
-        // 60 balancers that start before 1,500 backend servers send each other 309 messages each;
-        // announced only at the end, it is 107.
+        // 60 balancers that start in front of 1,500 backend servers send each other 309 messages
+        // each; with announcements only at the end of a walk, 107.
         self.has_unannounced_changes |= is_new_era || !step.changed.is_empty();
         if step.is_walk_complete {
             knowledge.note_caught_up();
@@ -198,7 +199,8 @@
     KeeperAction::Send(peer, message)
 }
 
-/// Changes of backend servers come several times a second, so requests for them are not logged.
+/// Records a pull of a configuration or of everything. Changes of backend servers come several
+/// times a second, so pulls of them are not logged.
 fn record_pull(
     knowledge: &Knowledge,
     updates: &mut KeeperUpdates,
--- a/crates/valvestage-policy/src/steering/keeper/knowledge_keeper.rs
+++ b/crates/valvestage-policy/src/steering/keeper/knowledge_keeper.rs
@@ -50,7 +50,8 @@
     /// Whether the next heartbeats ask balancers that know more to answer at once.
     wants_answer: bool,
     updates: KeeperUpdates,
-    /// Whether a balancer was heard that has a configuration and has read all backend servers.
+    /// Whether a heartbeat has arrived from a balancer that has a configuration and has read all
+    /// backend servers.
     has_complete_peer: bool,
     /// Until when packets are likely to wait at other balancers for entries of tokens that this
     /// balancer cannot resolve either.
@@ -126,7 +127,7 @@
         actions
     }
 
-    /// Handles that the process was paused: other balancers may know more by now.
+    /// Handles a pause of the process: other balancers may know more by now.
     pub fn on_pause(&mut self, now: Instant) {
         self.updates.notify_if(true);
         self.wants_answer = true;
@@ -179,9 +180,9 @@
         }
     }
 
-    /// Applies the entries that a restored store still shows once it has settled, and notifies
-    /// other balancers. They wait for the same confirmation by the store, and receive it with that
-    /// heartbeat.
+    /// Applies the conflicting entries that a restored store still shows once it has settled, and
+    /// notifies other balancers. They wait for the same confirmation by the store, and receive it
+    /// with the heartbeat that notifies them.
     fn resolve_conflicts(&mut self, knowledge: &mut Knowledge, now: Instant) {
         let confirmed_at = knowledge.confirmed_at();
         let admitted = knowledge.directory.resolve_conflicts(confirmed_at, now);
@@ -193,7 +194,7 @@
     }
 
     /// Extends the deadlines of missing entries. Their time to return counts from the store's last
-    /// failure, since the store may have been away again before they could return.
+    /// failure, since the store may have been unavailable again before they could return.
     fn extend_missing_deadlines(&self, knowledge: &mut Knowledge) {
         if let Some(at) = self.store.settles_at() {
             knowledge.settle_at(at);
@@ -349,8 +350,8 @@
 
         let compares = exchange.compare(knowledge, (sender, heartbeat), now);
         actions.extend(compares.map(|message| KeeperAction::Send(sender, message)));
-        // Nothing has changed after what is known here, so it is complete as far as the peer's
-        // knowledge is.
+        // The peer knows no change that is not known here, so the knowledge here is complete up to
+        // the same position as the peer's.
         let directory = &mut knowledge.directory;
         directory.complete(heartbeat.complete_until);
         if heartbeat.version == knowledge.routes.version
@@ -430,7 +431,8 @@
         let changed = self.store.on_backends_reply(knowledge, reply, now);
 
         self.record_link_state(StoreKind::Backends, was_failing);
-        // Other balancers leave the reading of a long list to those that read it faster.
+        // Other balancers leave the reading of a long list to those that read it faster, so they
+        // are notified of the time of the first page.
         self.updates.notify_if(!had_page && self.store.page_time().is_some());
         let is_complete_now = knowledge.directory.is_complete() != was_complete;
         let is_new_era = knowledge.directory.changed_at().era > era;
--- a/crates/valvestage-policy/src/steering/knowledge.rs
+++ b/crates/valvestage-policy/src/steering/knowledge.rs
@@ -13,7 +13,7 @@
 //! | `incarnation_order` | the order of incarnations at one address and under one name |
 //! | `store_restores` | what stays known after the store is restored from a backup |
 //! | [`evacuated_zones`] | availability zones that get no new flows at the operator's request |
-//! | [`zone_contacts`] | since when the other availability zones are heard |
+//! | [`zone_contacts`] | since when the other availability zones have been heard from |
 //! | `lapse` | which removed entries may return |
 
 pub mod backend_directory;
@@ -45,8 +45,8 @@
 /// Confirmations come with each watch, every 1.5 s, and travel in heartbeats.
 const CERTAIN_FOR: Duration = Duration::from_secs(5);
 
-/// Time within which this balancer catches up with a peer that knows more: two rounds of requests
-/// to a slow VM, and a heartbeat from a peer that knows the same.
+/// Time within which this balancer catches up with a peer that knows more: two rounds of pulls to a
+/// slow VM, and a heartbeat from a peer that knows the same.
 const CATCH_UP_TIME: Duration = Duration::from_millis(700);
 
 /// What a balancer knows, on which placement and steering are based.
@@ -58,7 +58,7 @@
     pub directory: BackendDirectory,
     /// The availability zones that get no new flows.
     pub evacuated: EvacuatedZones,
-    /// Since when the other availability zones are heard.
+    /// Since when the other availability zones have been heard from.
     pub contacts: ZoneContacts,
     /// Whether operators can evacuate zones here. If so, no flow is placed before the evacuated
     /// zones are known.
@@ -70,14 +70,15 @@
     /// The first confirmation after the most recent gap in which entries could lapse unseen.
     gap_ended_at: Option<Instant>,
     /// When entries that lapsed before the store last failed to answer have had time to return.
-    /// None if the store never failed.
+    /// `None` if the store never failed.
     settles_at: Option<Instant>,
-    /// Since when a peer is known to know more. None if no peer does.
+    /// Since when a peer is known to know more. `None` if no peer does.
     behind_since: Option<Instant>,
-    /// Whether this balancer is partitioned together with its availability zone.
+    /// Whether this balancer is cut off, together with its availability zone, from the store and
+    /// all other zones.
     is_isolated: bool,
-    /// Since when this balancer sees the callers' packets. None if it has seen them for as long as
-    /// matters.
+    /// Since when this balancer sees the callers' packets. `None` if it has seen them for as long
+    /// as matters.
     packets_seen_from: Option<Instant>,
 }
 
@@ -145,7 +146,8 @@
     }
 
     /// Reports whether an event that was learned at a time may have happened while this balancer
-    /// did not hear from the store, no longer ago than entries take to return.
+    /// did not hear from the store. That is so during a gap between confirmations, and for as long
+    /// after the gap as entries take to return.
     #[must_use]
     pub fn was_disconnected_from_store(&self, learned_at: Instant) -> bool {
         let is_out = self.confirmed_at.is_some_and(|at| self.could_lapse(at, learned_at));
@@ -156,8 +158,8 @@
         is_out || was_out
     }
 
-    /// Returns the earliest time from which updates of the store could be missing, given what was
-    /// learned at a time. That is the time itself if none could.
+    /// Returns the earliest time from which updates of the store may have been missing here when an
+    /// event was learned at a time. That is the time itself if none may have been.
     pub(in crate::steering) fn updates_missing_since(&self, learned_at: Instant) -> Instant {
         let is_near = |at: Instant| learned_at.saturating_duration_since(at) <= CERTAIN_FOR;
         let gap_began_at = self.gap_began_at.filter(|_| self.gap_ended_at.is_some_and(is_near));
@@ -193,13 +195,13 @@
         self.confirmed_at.is_some_and(|at| at >= begins_at + time)
     }
 
-    /// Returns when the store last confirmed the knowledge. None if it never did.
+    /// Returns when the store last confirmed the knowledge. `None` if it never did.
     #[must_use]
     pub fn confirmed_at(&self) -> Option<Instant> {
         self.confirmed_at
     }
 
-    /// Returns the time since the store last confirmed the knowledge. None if it never did.
+    /// Returns the time since the store last confirmed the knowledge. `None` if it never did.
     #[must_use]
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.confirmed_at.map(|at| now.saturating_duration_since(at))
@@ -212,19 +214,20 @@
         self.confirmed_at.is_some_and(|at| now.saturating_duration_since(at) <= CERTAIN_FOR)
     }
 
-    /// Sets whether this balancer is partitioned together with its availability zone. Returns true
-    /// if that has changed.
+    /// Sets whether this balancer is cut off, together with its availability zone, from the store
+    /// and all other zones. Returns true if that has changed.
     pub fn set_isolated(&mut self, is_isolated: bool) -> bool {
         std::mem::replace(&mut self.is_isolated, is_isolated) != is_isolated
     }
 
-    /// Reports whether this balancer is partitioned together with its availability zone.
+    /// Reports whether this balancer is cut off, together with its availability zone, from the
+    /// store and all other zones.
     #[must_use]
     pub fn is_isolated(&self) -> bool {
         self.is_isolated
     }
 
-    /// Lets zones whose evacuation was lifted get flows again once the state of their backend
+    /// Lets zones whose evacuation has ended get flows again once the state of their backend
     /// servers is known, and returns these zones. Their state has to be known only where a
     /// slow-start rate is configured: backend servers that are cold bear little load.
     pub fn release_returning_zones(&mut self, now: Instant) -> Vec<ZoneName> {
--- a/crates/valvestage-policy/src/steering/knowledge/backend_directory.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/backend_directory.rs
@@ -29,7 +29,7 @@
     pub(super) tokens: HashMap<ShortToken, InstanceId>,
     /// All known incarnations of each name, including the gone ones.
     pub(super) names: HashMap<BackendName, Vec<InstanceId>>,
-    /// The services that the configuration in force names. None before the first configuration.
+    /// The services that the configuration in force names. `None` before the first configuration.
     pub(super) services: Option<HashSet<ServiceName>>,
     /// Every change up to this position is known. The start if nothing was read yet.
     complete_until: StorePosition,
@@ -40,13 +40,13 @@
     changed_at: StorePosition,
     /// Gone entries before this position are forgotten.
     history_begins_at: StorePosition,
-    /// When entries that lapsed, or that a restored store has lost, have had time to return. None
-    /// if the store was never away.
+    /// When entries that lapsed, or that a restored store has lost, have had time to return. `None`
+    /// if the store was never unavailable.
     pub(super) settles_at: Option<Instant>,
     /// Position of the store when it was first listed in its present era. Entries up to here may
     /// stem from the backup.
     pub(super) era_head: StorePosition,
-    /// When the store has no entry left that stems only from the backup. None if the store was
+    /// When the store has no entry left that stems only from the backup. `None` if the store was
     /// never restored.
     pub(super) era_settles_at: Option<Instant>,
     /// Entries from the backup that conflict with what is known from an earlier era.
@@ -65,7 +65,7 @@
     /// 0.
     #[must_use]
     pub fn token_of(number: u64) -> ShortToken {
-        // Fibonacci hashing: spreads ids that differ in few bits over all 32 bits.
+        // Fibonacci hashing: spreads numbers that differ in few bits over all 32 bits.
         const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
         let hash = number.wrapping_mul(GOLDEN_RATIO) >> 32;
 
@@ -170,8 +170,8 @@
             return if self.apply_peer_drain(&entry, now) { vec![instance] } else { Vec::new() };
         }
 
-        // An entry that was never heard of before and was not in the store when it was read at a
-        // later position may return, like the other entries that were missing then.
+        // An unknown entry that was not in the store when the store was read at a later position
+        // may return, like the other entries that were missing then.
         let is_unknown = known.is_none() && !self.conflicting.contains_key(&instance);
         let is_absent = is_unknown && !entry.is_gone() && position > self.complete_until;
         let missing_until = match known {
@@ -187,9 +187,9 @@
         changed
     }
 
-    /// Adds an entry that a peer considers live and that was removed before this balancer read the
-    /// store, as a gone one. A network partition may keep a live backend server from the store, so
-    /// its flows can be steered until that is known.
+    /// Adds as gone an entry that a peer considers live but that was removed before this balancer
+    /// read the store. A network partition may keep a live backend server from the store, so its
+    /// flows stay steerable until it is known whether it has ended.
     pub fn apply_obsolete_entry(
         &mut self,
         mut entry: BackendEntry,
@@ -340,8 +340,8 @@
         }
     }
 
-    /// Applies that a full list at a position lacks entries, and returns these: they are gone, or
-    /// missing if a time is given until which they may return.
+    /// Applies a full list that was read at a position: live entries that it lacks are gone, or
+    /// missing if a time is given until which they may return. Returns these entries.
     pub fn retain_listed(
         &mut self,
         listed: &HashSet<InstanceId>,
@@ -359,9 +359,9 @@
         absent
     }
 
-    /// Applies that a peer, which knows every change up to a position as well, reports entries as
-    /// gone. Returns those that were known as live: they are gone, or missing if a time is given
-    /// until which they may return.
+    /// Applies the entries that a peer reports as gone, if both balancers know every change up to
+    /// the same position. Returns those that were known as live: they are now gone, or missing if a
+    /// time is given until which they may return.
     pub fn apply_peer_removals(
         &mut self,
         gone: &HashSet<InstanceId>,
--- a/crates/valvestage-policy/src/steering/knowledge/backend_entry.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/backend_entry.rs
@@ -60,7 +60,7 @@
     pub zone: ZoneName,
     /// Number of requests that it processes concurrently; at least 1.
     pub slots: u32,
-    /// When its slow start ends. None if it has no slow start.
+    /// When its slow start ends. `None` if it has no slow start.
     pub cold_until: Option<Instant>,
     /// Phase in its life cycle.
     pub phase: BackendPhase,
--- a/crates/valvestage-policy/src/steering/knowledge/backend_name.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/backend_name.rs
@@ -46,9 +46,9 @@
         Self { digest: text_digest(name), number }
     }
 
-    /// Returns the id of the incarnation that started at `started_at`, which is None if its entry
-    /// does not say when. The id is the same at every balancer. Its last ten hex digits are those of
-    /// the name, for readers of logs. Two starts of one name share the other digits once in 16
+    /// Returns the id of the incarnation that started at `started_at`, which is `None` if its entry
+    /// does not say when. The id is the same at every balancer. Its last ten hex digits are those
+    /// of the name, for readers of logs. Two starts of one name share the other digits once in 16
     /// million.
     #[must_use]
     pub fn incarnation(self, started_at: Option<StartMillis>) -> InstanceId {
--- a/crates/valvestage-policy/src/steering/knowledge/entry_table.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/entry_table.rs
@@ -57,8 +57,8 @@
         self.entries.insert(entry.instance, entry);
     }
 
-    /// Applies a change to an entry. Returns the result of the change, or None if there is no such
-    /// entry.
+    /// Applies a change to an entry. Returns the result of the change, or `None` if there is no
+    /// such entry.
     pub(super) fn change<T>(
         &mut self,
         instance: InstanceId,
@@ -126,7 +126,7 @@
         self.visited(self.by_position.iter().map(|(_, instance)| instance))
     }
 
-    /// Returns the entries with positions after the result one, in order.
+    /// Returns the entries with positions after the given one, in order.
     pub(super) fn after(&self, position: StorePosition) -> impl Iterator<Item = &BackendEntry> {
         let begin = Bound::Excluded((position, InstanceId::MAX));
         let later = self.by_position.range((begin, Bound::Unbounded));
--- a/crates/valvestage-policy/src/steering/knowledge/entry_times.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/entry_times.rs
@@ -48,8 +48,8 @@
     }
 
     /// Returns the time within which a start of a backend server is known, not counting times in
-    /// which the store was not heard. The process may not reach the store until the previous entry
-    /// lapses, and then writes its own within a heartbeat.
+    /// which the store was not heard from. The process may be unable to reach the store until the
+    /// previous entry lapses, and then writes its own within a heartbeat.
     #[must_use]
     pub fn start_known_within(self) -> Duration {
         self.lapse() + self.heartbeat + PROPAGATION_TIME
--- a/crates/valvestage-policy/src/steering/knowledge/evacuated_zones.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/evacuated_zones.rs
@@ -7,9 +7,9 @@
 use valvestage_core::StorePosition;
 use valvestage_core::ids::ZoneName;
 
-/// Longest time for which a zone gets no new flows after its evacuation was lifted, while the state
-/// of its backend servers is not known. What is read of them is at most one watch of 1.5 s and its
-/// relay behind.
+/// Longest time for which a zone gets no new flows after its evacuation has ended, while the state
+/// of its backend servers is not known. What is known of them lags behind by at most one watch of
+/// 1.5 s and its relay.
 const MAX_RETURN_DELAY: Duration = Duration::from_millis(2_500);
 
 /// Time for which a zone gets no new flows after a restored store has lost its evacuation, so that
@@ -25,10 +25,10 @@
     pub zones: Vec<ZoneName>,
 }
 
-/// Condition for a zone whose evacuation was lifted to get new flows again.
+/// Condition for a zone whose evacuation has ended to get new flows again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct ReturnCondition {
-    /// Position up to which its backend servers have to be known. None if only the time counts.
+    /// Position up to which its backend servers have to be known. `None` if only the time counts.
     known_until: Option<StorePosition>,
     /// When the zone gets new flows whatever is known of its backend servers.
     until: Instant,
@@ -40,7 +40,7 @@
     /// Every change up to this position is known. The start if nothing was read yet.
     as_of: StorePosition,
     zones: BTreeSet<ZoneName>,
-    /// Zones whose evacuation was lifted but that get no new flows yet. None of them is in `zones`.
+    /// Zones whose evacuation has ended but that get no new flows yet. None of them is in `zones`.
     returning: BTreeMap<ZoneName, ReturnCondition>,
 }
 
@@ -57,7 +57,7 @@
         self.as_of
     }
 
-    /// Returns the zones whose evacuation the operator has not lifted.
+    /// Returns the zones whose evacuation the operator has not ended.
     #[must_use]
     pub fn zones(&self) -> &BTreeSet<ZoneName> {
         &self.zones
@@ -75,7 +75,7 @@
         self.zones.is_empty() && self.returning.is_empty()
     }
 
-    /// Returns the report for peers. None if nothing was read yet.
+    /// Returns the report for peers. `None` if nothing was read yet.
     #[must_use]
     pub fn report(&self) -> Option<EvacuationReport> {
         let zones = self.zones.iter().cloned().collect();
@@ -84,7 +84,7 @@
     }
 
     /// Applies a report. Returns true if it is newer and the evacuated zones have changed. Zones
-    /// whose evacuation was lifted get no new flows before [`Self::release_returning`] releases
+    /// whose evacuation has ended get no new flows before [`Self::release_returning`] releases
     /// them.
     pub fn replace(&mut self, report: EvacuationReport, now: Instant) -> bool {
         if report.as_of <= self.as_of {
@@ -110,7 +110,7 @@
     }
 
     /// Releases and returns the zones whose backend servers are known up to the required position,
-    /// or whose time is over. None for `known_until` stands for any position.
+    /// or whose time is over. `None` for `known_until` stands for any position.
     pub fn release_returning(
         &mut self,
         known_until: Option<StorePosition>,
--- a/crates/valvestage-policy/src/steering/knowledge/incarnation_order.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/incarnation_order.rs
@@ -15,7 +15,7 @@
     /// known as gone. An address has one process: its earlier incarnations have ended, though their
     /// entries last for some more seconds. When a fifth of the backend servers fell silent and
     /// others took their addresses 2 s later, this saved one in eight of the requests that were
-    /// lost to them.
+    /// lost at the silent ones.
     pub(super) fn end_predecessors(
         &mut self,
         entry: &BackendEntry,
@@ -71,8 +71,8 @@
     ///
     /// Incarnations are ordered by store position, once a restored store has settled. Within one
     /// era a superseded incarnation never returns, whatever the revision of a write that it sent
-    /// before its end. But an entry from the backup of a restored store does not end for good an
-    /// incarnation that is written after the restore.
+    /// before its end. But an entry from the backup of a restored store does not permanently end an
+    /// incarnation whose entry is written after the restore.
     pub(super) fn is_older_incarnation(&self, entry: &BackendEntry, now: Instant) -> bool {
         let era = entry.position.era;
         let known = self.entries.get(entry.instance);
@@ -112,8 +112,8 @@
         })
     }
 
-    /// Records where an incarnation stood before its entry became unusable, given its next phase.
-    /// The order of incarnations depends on that position.
+    /// Records the position of an incarnation's entry before the entry becomes unusable, given its
+    /// next phase. The order of incarnations depends on that position.
     pub(super) fn record_position_before_unusable(
         &mut self,
         instance: InstanceId,
@@ -243,9 +243,9 @@
 
     /// Records that the entry of a name was removed from the store, and returns the superseded
     /// incarnations whose removal was not known. A superseded incarnation does not return, whenever
-    /// its entry is removed. The removal is recorded at its own position: if it is recorded only
-    /// with the next list, it has a revision that peers take for known, and a balancer may consider
-    /// the incarnation live for good.
+    /// its entry is removed. The removal is recorded at its own position: if it were recorded only
+    /// with the next list, it would have a revision that peers already take for known, and a
+    /// balancer might consider the incarnation live permanently.
     pub(in crate::steering) fn mark_superseded_gone(
         &mut self,
         name: BackendName,
--- a/crates/valvestage-policy/src/steering/knowledge/lapse.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/lapse.rs
@@ -40,9 +40,9 @@
     /// whose entry is gone has not ended as long as the entry may return and the backend server
     /// either showed life shortly before or shared a network partition with this balancer.
     ///
-    /// The time to return does not run while the store is away, since no entry can return then.
-    /// After a partition this keeps the flows in the zone that was cut off until its entries are
-    /// back.
+    /// The time to return does not run while the store is unavailable, since no entry can return
+    /// then. After a partition this keeps the flows in the zone that was cut off until its entries
+    /// are back.
     pub(in crate::steering) fn has_ended(&self, instance: InstanceId) -> bool {
         let entry = self.knowledge.directory.get(instance);
 
@@ -51,7 +51,7 @@
                 let may_be_alive = self.may_return(since) && self.may_be_alive(entry, since);
                 !may_be_alive && !self.is_inconclusive(entry, since)
             }
-            // A balancer that started after the lapse has no signs of life of its own to go by.
+            // A balancer that started after the lapse has not seen any signs of life itself.
             BackendPhase::Gone { since, end: BackendEnd::LapsedUnseen } => {
                 !self.may_return(since) && !self.is_inconclusive(entry, since)
             }
@@ -82,9 +82,9 @@
             || self.may_have_lapsed_in_partition(entry, lapsed_at)
     }
 
-    /// Reports whether the zone of a backend server, or the zone of this balancer, was partitioned
-    /// when the entry lapsed, and the entry has not had the time to return since. That time begins
-    /// when balancers on the other side of the partition are heard again.
+    /// Reports whether the zone of a backend server, or the zone of this balancer, was cut off by a
+    /// network partition when the entry lapsed, and the entry has not had the time to return since.
+    /// That time begins when balancers on the other side of the partition are heard from again.
     fn may_have_lapsed_in_partition(&self, entry: &BackendEntry, lapsed_at: Instant) -> bool {
         match self.reach(&entry.zone) {
             ZoneReach::Unknown => false,
@@ -151,10 +151,10 @@
     }
 
     /// Reports whether nothing speaks for or against the life of a backend server: no sign of life
-    /// was seen, and either its entry cannot return now because the store is away, or this balancer
-    /// started too late to see whether the backend server was silent before the lapse. The first
-    /// packet of a flow that has just moved here from another balancer is forwarded. If the backend
-    /// server is dead, the caller's first retransmission shows it 200 ms later.
+    /// was seen, and either its entry cannot return now because the store is unavailable, or this
+    /// balancer started too late to see whether the backend server was silent before the lapse. The
+    /// first packet of a flow that has just moved here from another balancer is forwarded. If the
+    /// backend server is dead, the caller's first retransmission shows it 200 ms later.
     fn is_undetermined(&self, entry: &BackendEntry, alive_from: Instant) -> bool {
         let is_unseen = !self.health.has_signal_since(entry.instance, alive_from);
         let knowledge = self.knowledge;
--- a/crates/valvestage-policy/src/steering/knowledge/ready_backends.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/ready_backends.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Default)]
 pub struct ZoneBackends {
     instances: BTreeSet<InstanceId>,
-    /// The backend servers whose entries said when they were read that a slow start was under way.
+    /// The backend servers that were in slow start when their entries were read.
     with_slow_start: BTreeSet<InstanceId>,
     /// Number of requests that all of them process concurrently.
     slots: u64,
--- a/crates/valvestage-policy/src/steering/knowledge/route_map.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/route_map.rs
@@ -25,10 +25,10 @@
     /// The services behind each address.
     pub routes: HashMap<SocketAddrV4, Vec<RouteTarget>>,
     /// The regions to which new flows of an address may go. Invariant: each address is also in
-    /// `routes`. The other addresses have no such limit.
+    /// `routes`. New flows of other addresses may go to all regions.
     pub allowed_regions: HashMap<SocketAddrV4, BTreeSet<RegionName>>,
     /// Request rate of a cold backend server of each service. Services that are not named have no
-    /// such limit.
+    /// limit on that rate.
     pub cold_rates: HashMap<ServiceName, ColdRate>,
     /// Idle time after which a flow may be forgotten, in milliseconds.
     pub idle_timeout_ms: u64,
@@ -58,7 +58,7 @@
         self.routes.values().flatten().map(|target| target.service.clone()).collect()
     }
 
-    /// Reports whether new flows of an address may go to a region. None stands for an unknown
+    /// Reports whether new flows of an address may go to a region. `None` stands for an unknown
     /// region.
     #[must_use]
     pub fn allows(&self, address: SocketAddrV4, region: Option<&RegionName>) -> bool {
--- a/crates/valvestage-policy/src/steering/knowledge/store_restores.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/store_restores.rs
@@ -1,8 +1,8 @@
 //! What stays known of backend servers after the store is restored from a backup.
 //!
-//! The backup shows some entries as they were before. Until each live backend server has written
-//! its entry again, and the entries of the others have lapsed, an entry from the backup proves
-//! nothing against what is known from an earlier era:
+//! The restored store shows some entries as they were when the backup was made. Until each live
+//! backend server has written its entry again, and the entries of the others have lapsed, an entry
+//! from the backup proves nothing against what is known from an earlier era:
 //!
 //! - A backend server that is known to be draining gets no new flows.
 //! - The entry of a backend server that has ended, or whose name or address another one has by now,
@@ -88,8 +88,8 @@
         instances
     }
 
-    /// Reconciles an entry with what earlier eras of the store showed. Returns None if the entry is
-    /// conflicting.
+    /// Reconciles an entry with what earlier eras of the store showed. Returns `None` if the entry
+    /// is conflicting.
     pub(super) fn reconcile_eras(
         &mut self,
         mut entry: BackendEntry,
@@ -143,7 +143,7 @@
         true
     }
 
-    /// Returns when the conflicts are resolved. None if no entry is conflicting.
+    /// Returns when the conflicts are resolved. `None` if no entry is conflicting.
     #[must_use]
     pub fn conflicts_resolve_at(&self) -> Option<Instant> {
         self.era_settles_at.filter(|_| !self.conflicting.is_empty())
--- a/crates/valvestage-policy/src/steering/knowledge/zone_contacts.rs
+++ b/crates/valvestage-policy/src/steering/knowledge/zone_contacts.rs
@@ -1,6 +1,6 @@
-//! Since when balancers of the other availability zones are heard.
+//! Since when balancers of the other availability zones have been heard from.
 //!
-//! A zone that is partitioned shows it by the silence of its balancers. What is learned of its
+//! A network partition around a zone shows in the silence of its balancers. What is learned of its
 //! backend servers during the partition, and just after it, shows where the partition was, not
 //! which of them are alive.
 
@@ -9,26 +9,26 @@
 
 use valvestage_core::ids::ZoneName;
 
-/// Silence after which a zone may have been partitioned. The shortest partition in which entries
-/// lapse lasts for two heartbeats of backend servers, 1.5 s. Each balancer sends heartbeats to four
-/// others every 0.4 s.
+/// Silence after which a zone may have been cut off by a network partition. The shortest partition
+/// in which entries lapse lasts for two heartbeats of backend servers, 1.5 s. Each balancer sends
+/// heartbeats to four others every 0.4 s.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Whether an availability zone can be reached, as far as its balancers show.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ZoneReach {
-    /// No balancer of another zone was ever heard, so nothing is known of partitions.
+    /// No balancer of another zone was ever heard from, so nothing is known of partitions.
     Unknown,
-    /// No balancer of the zone was heard lately.
+    /// No balancer of the zone was heard from recently.
     Silent,
-    /// Balancers of the zone have been heard without a break since this time.
+    /// Balancers of the zone have been heard from without a break since this time.
     Since(Instant),
 }
 
-/// When one zone, or any other zone, was heard.
+/// When one zone, or any of the other zones, was heard from.
 #[derive(Debug, Clone, Copy)]
 struct ZoneContact {
-    /// When it was first heard after the last silence. Not after `heard_at`.
+    /// When it was first heard from after the last silence. Never later than `heard_at`.
     heard_since: Instant,
     heard_at: Instant,
 }
@@ -50,7 +50,7 @@
     }
 }
 
-/// When the other availability zones were heard.
+/// When the other availability zones were heard from.
 #[derive(Debug, Default)]
 pub struct ZoneContacts {
     zones: HashMap<ZoneName, ZoneContact>,
@@ -59,7 +59,7 @@
 }
 
 impl ZoneContacts {
-    /// Records that a balancer of another zone was heard.
+    /// Records that a balancer of another zone was heard from.
     pub fn on_heard(&mut self, zone: &ZoneName, now: Instant) {
         let first = ZoneContact { heard_since: now, heard_at: now };
 
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Reports whether any other zone was heard within the given time before now.
+    /// Reports whether any other zone was heard from within the given time before now.
     #[must_use]
     pub fn hears_others(&self, within: Duration, now: Instant) -> bool {
         self.any_zone
--- a/crates/valvestage-policy/src/steering/packets/caller_packet.rs
+++ b/crates/valvestage-policy/src/steering/packets/caller_packet.rs
@@ -52,7 +52,8 @@
     },
     /// The caller is sent a reset, which ends the flow.
     Reset(ResetReason),
-    /// The packet is dropped; the caller retransmits it.
+    /// The packet is not forwarded: it is held if the reason is transient, and dropped otherwise.
+    /// The caller retransmits it.
     Drop(DropReason),
 }
 
@@ -74,7 +75,7 @@
     BackendsCold,
     /// The backend server of the flow has ended.
     BackendGone,
-    /// The backend server of the flow is suspected to be dead.
+    /// The backend server of the flow is considered dead.
     BackendSilent,
 }
 
@@ -94,7 +95,7 @@
     }
 }
 
-/// Reason why a packet is dropped.
+/// Reason why a packet is dropped or held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum DropReason {
     /// Routes or backend servers are not known yet.
@@ -107,7 +108,8 @@
     /// new flows any more, and no other backend server can take the flow. The first transmission
     /// may still be answered, so the flow is not reset.
     NoOther,
-    /// The caller was sent a reset a moment ago, and sent this packet before it got the reset.
+    /// The caller was sent a reset a moment ago, and is likely to have sent this packet before it
+    /// got the reset.
     AlreadyTold,
 }
 
--- a/crates/valvestage-policy/src/steering/packets/flow_record.rs
+++ b/crates/valvestage-policy/src/steering/packets/flow_record.rs
@@ -32,8 +32,8 @@
     sent_until: u32,
     /// Sequence number of the byte that the caller expects next.
     acknowledged: u32,
-    /// When a packet was forwarded as a probe to a backend server that is suspected to be dead;
-    /// `None` if there was none since the last answer.
+    /// When a packet was forwarded as a probe to a backend server that may be dead; `None` if there
+    /// was none since the last answer.
     probed_at: Option<Instant>,
     /// Request whose outcome is still open; `None` if the outcome is known, or the start of the
     /// request was not seen.
@@ -56,7 +56,8 @@
 pub struct AnswerSignal {
     /// Whether the answer is to an opening packet; otherwise it is to a request.
     pub opening: bool,
-    /// Since when the answer was awaited; `None` if more data came than was asked for.
+    /// Since when the answer was awaited; `None` if nothing was under way, as when a further part
+    /// of an answer is acknowledged.
     pub since: Option<Instant>,
 }
 
@@ -210,10 +211,10 @@
         packet.data_length > 0 && is_after(end, self.sent_until)
     }
 
-    /// Handles a packet as a probe of a suspected backend server, if the packet asks for an answer.
-    /// Returns true if an earlier probe is still unanswered after `MAX_ANSWER_TIME`. A probe sent
-    /// at or before `not_before` does not count, since it may have been lost in a network
-    /// partition.
+    /// Handles a packet as a probe of a backend server that may be dead, if the packet asks for an
+    /// answer. Returns true if an earlier probe is still unanswered after `MAX_ANSWER_TIME`. A
+    /// probe sent at or before `not_before` does not count, since it may have been lost in a
+    /// network partition.
     pub fn has_failed_probe(
         &mut self,
         packet: &CallerPacket,
--- a/crates/valvestage-policy/src/steering/packets/held_packets.rs
+++ b/crates/valvestage-policy/src/steering/packets/held_packets.rs
@@ -13,8 +13,8 @@
 /// Maximum number of held packets, of 1.3 KB each.
 const MAX_HELD: usize = 256;
 
-/// Time for which a packet is held: a caller that still wants an answer has retransmitted it by
-/// then, since retransmissions are at most 1.6 s apart.
+/// Time for which a packet is held: a caller that still waits for an answer has retransmitted it
+/// within this time, since retransmissions are at most 1.6 s apart.
 const HOLD_TIME: Duration = Duration::from_secs(2);
 
 /// Held packet, with the payload that its driver needs to forward it.
@@ -24,7 +24,7 @@
     pub packet: CallerPacket,
     /// Driver-specific data, such as the bytes of the packet.
     pub payload: T,
-    /// Number of copies received so far; the last copy replaces the one before.
+    /// Number of transmissions received so far; each replaces the one before.
     pub copies: u32,
     /// When the hold time ends.
     until: Instant,
@@ -43,7 +43,8 @@
 }
 
 impl<T> HeldPackets<T> {
-    /// Holds a packet, replacing an earlier copy. Returns false if there is no room for it.
+    /// Holds a packet, replacing an earlier transmission of it. Returns false if there is no room
+    /// for it.
     pub fn hold(&mut self, packet: CallerPacket, payload: T, now: Instant) -> bool {
         let until = now + HOLD_TIME;
         if let Some(held) =
--- a/crates/valvestage-policy/src/steering/packets/reset_scheduler.rs
+++ b/crates/valvestage-policy/src/steering/packets/reset_scheduler.rs
@@ -3,7 +3,7 @@
 //! A reset that only answers packets comes too late for an idle flow: by then the caller has sent
 //! its next request, which it cannot repeat if the request is not idempotent. And a caller whose
 //! request was acknowledged before its backend server died sends nothing more and waits until its
-//! deadline. Therefore, when a backend server has ended or is declared dead, its flows are reset
+//! deadline. Therefore, when a backend server has ended or is considered dead, its flows are reset
 //! proactively.
 
 use std::collections::{HashMap, VecDeque};
@@ -43,11 +43,11 @@
     /// Backend servers whose entries are gone and whose flows are not reset yet; some of the
     /// entries may only have lapsed.
     gone: Vec<InstanceId>,
-    /// Backend servers that were declared dead since the last round.
+    /// Backend servers that have come to be considered dead since the last round.
     silent: Vec<InstanceId>,
     /// Flows to reset; their records are removed already.
     due: VecDeque<PendingReset>,
-    /// Flows that were reset lately, each with the time until which no further reset is sent.
+    /// Flows that were reset recently, each with the time until which no further reset is sent.
     recent_resets: HashMap<FlowAddresses, Instant>,
 }
 
@@ -57,7 +57,7 @@
         self.gone.extend(instances);
     }
 
-    /// Records that a backend server was declared dead, so that its idle flows are reset in the
+    /// Records that a backend server is considered dead, so that its idle flows are reset in the
     /// next round.
     pub(in crate::steering) fn on_considered_dead(&mut self, instance: InstanceId) {
         if !self.silent.contains(&instance) {
@@ -92,8 +92,8 @@
         self.collect(flows, &ended, ResetReason::BackendGone, FlowSelection::Open);
     }
 
-    /// Queues resets for the idle flows of backend servers that were declared dead. Flows that wait
-    /// for an answer may still get it; they are reset when the caller retransmits.
+    /// Queues resets for the idle flows of backend servers that are considered dead. Flows that
+    /// wait for an answer may still get it; they are reset when the caller retransmits.
     fn collect_silent(&mut self, flows: &mut FlowTracker) {
         let silent: Vec<_> =
             std::mem::take(&mut self.silent).into_iter().map(EndedBackend::all_of).collect();
--- a/crates/valvestage-policy/src/steering/packets/steering_policy.rs
+++ b/crates/valvestage-policy/src/steering/packets/steering_policy.rs
@@ -174,14 +174,15 @@
         self.backends.judge_overdue(knowledge, &mut self.flows, now);
     }
 
-    /// Records that the process was stalled until now: when the packets that came meanwhile were
+    /// Records that the process was stalled until now. When the packets that arrived meanwhile were
     /// sent is not known.
     pub fn on_stall(&mut self, now: Instant) {
         self.backends.on_stall(now);
     }
 
-    /// Records that the process was stalled for so long that packets may have been lost that answer
-    /// what was under way, so that no missing answer counts against a backend server.
+    /// Records that the process was paused: it was stalled for so long that packets that
+    /// acknowledge answers may have been lost. Requests under way therefore do not count against a
+    /// backend server.
     pub fn on_pause(&mut self) {
         self.backends.on_pause();
         self.flows.forget_requests();
@@ -308,9 +309,9 @@
     /// Only the token determines the backend server, not the service to which the address routes
     /// now: open flows stay where they are under a new configuration, and a balancer that has just
     /// started does not know earlier configurations. Requiring a match of the two loses 0.018 of
-    /// the requests of a day in which all balancers are restarted after a change of routes. A token
-    /// that the caller did not get on this flow does no harm: the packet names one incarnation,
-    /// which refuses flows that it does not have.
+    /// the requests in a simulation in which all balancers are restarted after a change of routes.
+    /// A token that the caller did not get on this flow does no harm: the packet names one
+    /// incarnation, which refuses flows that it does not have.
     fn on_established(
         &mut self,
         knowledge: &Knowledge,
--- a/crates/valvestage-policy/src/steering/packets/unresolved_tokens.rs
+++ b/crates/valvestage-policy/src/steering/packets/unresolved_tokens.rs
@@ -10,8 +10,9 @@
 
 use crate::steering::knowledge::backend_directory::BackendDirectory;
 
-/// Maximum number of tokens asked about at once. The packets of further tokens are held; their
-/// tokens are asked about when earlier ones are resolved or have expired.
+/// Maximum number of tokens asked about at once. Packets with further tokens are held, too. Such a
+/// token is asked about once its packet is retransmitted after an earlier token was resolved or has
+/// expired.
 const MAX_UNRESOLVED: usize = 8;
 
 /// Time for which a token is asked about after its last packet, the same as the hold time of
--- a/crates/valvestage-policy/src/steering/peers/awaited_answer.rs
+++ b/crates/valvestage-policy/src/steering/peers/awaited_answer.rs
@@ -10,16 +10,16 @@
 /// Mbit/s holds 50 ms; the rest allows for a slow VM at either end.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// A balancer that has not answered so many pulls in a row is not asked again by a retry: it may be
-/// gone, or have too much to answer. The next heartbeat that announces more knowledge determines
-/// whom to ask.
+/// A balancer that has left this many pulls in a row unanswered is not asked again by a retry: it
+/// may be gone, or have too much to answer. The next heartbeat that announces more knowledge
+/// determines whom to ask.
 const MAX_UNANSWERED_PULLS: u32 = 3;
 
 /// A pull that was sent to one balancer, and what has arrived of the answer.
 #[derive(Debug, Clone)]
 pub(in crate::steering) struct AwaitedAnswer {
     peer: SocketAddrV4,
-    /// Number of expected datagrams; 0 if it is not known before the first one arrives.
+    /// Number of expected datagrams; 0 if the other balancer decides how many to send.
     expected: usize,
     received: usize,
     began_at: Instant,
--- a/crates/valvestage-policy/src/steering/peers/backend_parts.rs
+++ b/crates/valvestage-policy/src/steering/peers/backend_parts.rs
@@ -14,8 +14,9 @@
 use crate::steering::knowledge::backend_entry::{BackendEnd, BackendEntry, BackendPhase};
 use crate::steering::store::watch_role::millis_since;
 
-/// Bytes of one change of a backend server in the codec's encoding: a name of up to 5 and 9 bytes,
-/// an incarnation digest of 4, a position of 11, an address of 7, and some small fields.
+/// Bytes of one change of a backend server in the codec's encoding: a name whose digest and number
+/// take up to 5 and 9 bytes, an incarnation digest of 4, a position of 11, an address of 7, and
+/// some small fields.
 const CHANGE_BYTES: usize = 45;
 
 /// Number of changes in one datagram. The names of a part fit into the rest of it.
--- a/crates/valvestage-policy/src/steering/peers/backend_walk.rs
+++ b/crates/valvestage-policy/src/steering/peers/backend_walk.rs
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Continues with a balancer, which may be another one and then may not know what the former
-    /// one knew beyond the position up to which it knew everything.
+    /// Continues the walk with a balancer. If it is not the former one, it may not know what the
+    /// former one has reported beyond the position up to which that one knew everything.
     fn continue_with(&mut self, peer: SocketAddrV4) {
         if self.peer != peer {
             self.peer = peer;
@@ -196,8 +196,9 @@
     }
 
     /// Reports whether to ask for everything because an entry is missing whose time to return is
-    /// over. Changes after the position up to which everything is known do not show that it went
-    /// before, and it keeps this balancer's knowledge from being complete.
+    /// over; true at most once per [`COMPARE_INTERVAL`]. Changes after the position up to which
+    /// everything is known do not show that the entry was removed before, and while it is missing,
+    /// this balancer's knowledge does not become complete.
     fn should_pull_overdue(&mut self, knowledge: &Knowledge, now: Instant) -> bool {
         let is_due = self.next_compare_at.is_none_or(|from| from <= now);
         if !is_due || !knowledge.directory.has_expired_missing(now) {
@@ -244,8 +245,8 @@
         Some((incomplete, next_message.map(|message| (peer, message))))
     }
 
-    /// Processes a part. At the end of a walk of everything, backend servers that the peer does not
-    /// know are gone, or missing until `missing_until` if that is given.
+    /// Processes a part. At the end of a walk of everything, backend servers that the peer has
+    /// shown to be gone are gone here, too, or missing until `missing_until` if that is given.
     pub(in crate::steering) fn on_part(
         &mut self,
         knowledge: &mut Knowledge,
--- a/crates/valvestage-policy/src/steering/peers/peer_exchange.rs
+++ b/crates/valvestage-policy/src/steering/peers/peer_exchange.rs
@@ -40,7 +40,8 @@
 /// Pulls each kind of knowledge from one balancer at a time, and answers the pulls of others.
 #[derive(Debug)]
 pub struct PeerExchange {
-    /// The configuration in force, in chunks. It may be one version behind until it is renewed.
+    /// The configuration in force, in chunks. It may be outdated until it is renewed before its
+    /// next use.
     catalogue: RouteCatalogue,
     routes: RouteTransfer,
     backends: BackendWalk,
@@ -111,9 +112,9 @@
     /// while an answer is awaited, or soon after the last comparison.
     ///
     /// When balancers conclude by themselves that a backend server is gone, its end gets the
-    /// revision that was read last, so two balancers may conclude different ends at one revision. A
-    /// balancer that has read up to that revision pulls neither of them otherwise, and would count
-    /// the gone backend servers as live for good.
+    /// revision that was read last, so two balancers may conclude different ends at one revision.
+    /// Without the comparison, a balancer that has read up to that revision would pull neither of
+    /// them, and would count the gone backend servers as live permanently.
     pub fn compare_backends(
         &mut self,
         knowledge: &Knowledge,
@@ -134,7 +135,7 @@
         self.backends.compare(peer, now)
     }
 
-    /// Returns the answers that did not arrive completely in time.
+    /// Returns the answers that did not arrive completely in time, with the pulls for the rest.
     pub fn retry_overdue(&mut self, knowledge: &Knowledge, now: Instant) -> Vec<OverdueAnswer> {
         if self.routes.is_waiting() {
             self.renew_catalogue(knowledge);
@@ -216,8 +217,8 @@
         self.queue.push(peer, pull, now);
     }
 
-    /// Returns the next balancer to answer, and the answer; `None` while the link is busy or nobody
-    /// waits.
+    /// Returns the next balancer to answer, and the answer; `None` while the link is busy or no
+    /// balancer waits.
     pub fn next_answer(
         &mut self,
         knowledge: &Knowledge,
@@ -234,7 +235,7 @@
         Some((peer, messages))
     }
 
-    /// Returns when the next answer may be sent; `None` if nobody waits.
+    /// Returns when the next answer may be sent; `None` if no balancer waits.
     #[must_use]
     pub fn next_due(&self) -> Option<Instant> {
         self.queue.next_due()
--- a/crates/valvestage-policy/src/steering/peers/peer_message.rs
+++ b/crates/valvestage-policy/src/steering/peers/peer_message.rs
@@ -7,7 +7,7 @@
 //! Messages are not authenticated: the settings hold no secret, and one from the store could not be
 //! read while the store is unreachable, which is when peers matter most. Addresses of balancers can
 //! be reached only from the deployment's own network, and a message can add nothing that the
-//! backend server named by it would not check itself.
+//! backend server it names would not check itself.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -94,7 +94,7 @@
     pub outage_age_ms: u32,
     /// Balancers that follow the store, including the sender if it does.
     pub watchers: Vec<WatcherSighting>,
-    /// Some balancers that it has heard recently.
+    /// Some balancers that it has heard from recently.
     pub peers: Vec<SocketAddrV4>,
     /// What it has observed of backend servers in trouble.
     pub health: HealthReport,
@@ -111,8 +111,8 @@
 
 impl PeerHeartbeat {
     /// Adds the time that the heartbeat has waited to be read, which is `waited` at most, to the
-    /// ages of the store confirmations in it. Forwarded as fresh, they would keep the other
-    /// balancers from noticing that the store answers nobody any more.
+    /// ages of the store confirmations in it. If they were forwarded as fresh, the other balancers
+    /// would not notice that the store no longer answers any balancer.
     ///
     /// The age of the last outage stays as it is: to take an outage for a later one does no harm.
     pub fn add_age(&mut self, waited: Duration) {
@@ -165,7 +165,7 @@
 /// What one balancer has observed of backend servers in trouble.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HealthReport {
-    /// Backend servers that are suspected to have failed.
+    /// Backend servers that are suspected to be dead.
     pub suspects: Vec<InstanceId>,
     /// Outcomes of requests at backend servers that seem to fail more of them than others do.
     pub outcomes: Vec<OutcomeReport>,
@@ -357,7 +357,8 @@
     pub phase: RecordedPhase,
 }
 
-/// [`crate::steering::BackendPhase`] without a time of the sender's clock.
+/// [`crate::steering::BackendPhase`] without times of the sender's clock, which mean nothing to
+/// other balancers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordedPhase {
     /// It accepts new flows.
--- a/crates/valvestage-policy/src/steering/peers/peer_table.rs
+++ b/crates/valvestage-policy/src/steering/peers/peer_table.rs
@@ -9,14 +9,15 @@
 use super::zone_members::ZoneMembers;
 use crate::steering::seeded_draw::SeededDraw;
 
-/// A balancer that was neither heard nor reported for so long is forgotten unless the settings name
-/// it. This is longer than the longest network partition that the platform's documentation names.
+/// A balancer that was neither heard from nor reported for this time is forgotten unless the
+/// settings name it. This is longer than the longest network partition that the platform's
+/// documentation names.
 pub(in crate::steering) const FORGET_AFTER: Duration = Duration::from_secs(20);
 
 /// Maximum number of balancers in the table, far above the size that the system is designed for.
 const MAX_PEERS: usize = 2_048;
 
-/// Balancers that were heard within this time are named to others.
+/// Balancers that were heard from within this time are named to others.
 pub(in crate::steering) const RECENTLY_HEARD_WITHIN: Duration = Duration::from_secs(3);
 
 /// Number of rounds in which a balancer sends heartbeats to all others before they count as knowing
@@ -33,7 +34,7 @@
     own: SocketAddrV4,
     /// Addresses named by the settings, which are never forgotten.
     seeds: Vec<SocketAddrV4>,
-    /// The balancers that were heard or reported.
+    /// The balancers that were heard from or reported.
     sightings: BTreeMap<SocketAddrV4, PeerSighting>,
     /// Balancers that have not had their turn in the present round, the next one last.
     ///
@@ -44,11 +45,11 @@
     rounds: u64,
     /// Set until this balancer and the others count as knowing each other.
     unsettled: Option<UnsettledView>,
-    /// When any balancer was last heard.
+    /// When any balancer was last heard from.
     heard_at: Option<Instant>,
 }
 
-/// What has to happen before a balancer that knew nobody counts as known to all others.
+/// What has to happen before a balancer that knew no other one counts as known to all others.
 #[derive(Debug, Clone, Copy)]
 struct UnsettledView {
     /// The round that has to begin.
@@ -57,7 +58,7 @@
     until: Instant,
 }
 
-/// When a balancer was last heard, and last heard or reported by others.
+/// When a balancer was last heard from, and when it was last heard from or reported by others.
 #[derive(Debug, Clone)]
 struct PeerSighting {
     directly_heard_at: Option<Instant>,
@@ -97,13 +98,13 @@
         self.seeds = seeds.iter().copied().filter(|seed| *seed != self.own).collect();
     }
 
-    /// Returns the number of balancers that were heard or reported.
+    /// Returns the number of balancers that were heard from or reported.
     #[must_use]
     pub fn len(&self) -> usize {
         self.sightings.len()
     }
 
-    /// Reports whether no balancer was heard or reported.
+    /// Reports whether no balancer was heard from or reported.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.sightings.is_empty()
@@ -115,8 +116,8 @@
             return false;
         }
 
-        // A balancer that has heard nobody for a while may have been forgotten by others, which
-        // then take over its work.
+        // A balancer that has heard from no other one for a while may have been forgotten by
+        // others, which then take over its work.
         if !self.hears_anyone(now) {
             self.mark_unsettled(now);
         }
@@ -148,7 +149,7 @@
     /// Records that others may not know this balancer, or it may not know them, until enough rounds
     /// have been completed.
     pub fn mark_unsettled(&mut self, now: Instant) {
-        // The present round may have passed them over already.
+        // The present round may have left them out already.
         let until_round = self.rounds + 1 + ROUNDS_TO_SETTLE;
 
         self.unsettled = Some(UnsettledView { until_round, until: now + SETTLE_TIME });
@@ -158,7 +159,7 @@
         self.heard_at.is_some_and(|at| now.saturating_duration_since(at) < RECENTLY_HEARD_WITHIN)
     }
 
-    /// Returns the balancers of an availability zone to which this balancer belongs.
+    /// Returns the balancers of `zone`, which has to be the availability zone of this balancer.
     #[must_use]
     pub fn zone_members(&self, zone: &ZoneName, now: Instant) -> ZoneMembers {
         let may_be_member =
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Returns the number of balancers that were heard recently.
+    /// Returns the number of balancers that were heard from recently.
     #[must_use]
     pub fn recent_count(&self, now: Instant) -> u32 {
         let recent = self.sightings.values().filter(|sighting| sighting.is_recent(now));
@@ -179,7 +180,7 @@
         u32::try_from(recent.count()).unwrap_or(u32::MAX)
     }
 
-    /// Records that another balancer has reported one.
+    /// Records that a balancer was reported by another one.
     pub fn on_reported(&mut self, peer: SocketAddrV4, now: Instant) {
         if peer == self.own || self.sightings.len() >= MAX_PEERS {
             return;
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Removes the balancers that were neither heard nor reported for long, and returns them.
+    /// Removes the balancers that were neither heard from nor reported for long, and returns them.
     pub fn forget_silent(&mut self, now: Instant) -> Vec<SocketAddrV4> {
         self.settle(now);
         let is_silent = |sighting: &PeerSighting| {
@@ -213,7 +214,8 @@
         silent
     }
 
-    /// Returns the next balancers in turn. Every balancer gets its turn before one gets a second.
+    /// Returns the next balancers in turn. Every balancer gets its turn before any gets a second
+    /// one.
     pub fn next_in_turn(&mut self, count: usize, draw: &mut SeededDraw) -> Vec<SocketAddrV4> {
         let mut chosen = Vec::with_capacity(count);
 
@@ -242,7 +244,7 @@
         order
     }
 
-    /// Returns some balancers that were heard recently, starting at an offset given by `draw`.
+    /// Returns some balancers that were heard from recently, starting at an offset given by `draw`.
     pub fn sample_recent(&self, count: usize, draw: usize, now: Instant) -> Vec<SocketAddrV4> {
         let recent = self.sightings.iter().filter(|(_, sighting)| sighting.is_recent(now));
         let recent: Vec<SocketAddrV4> = recent.map(|(peer, _)| *peer).collect();
--- a/crates/valvestage-policy/src/steering/peers/route_chunk.rs
+++ b/crates/valvestage-policy/src/steering/peers/route_chunk.rs
@@ -24,14 +24,16 @@
 /// A chunk of fewer bytes ends before an address only if the address does not fit into it.
 const SMALL_CHUNK_BYTES: usize = MAX_CHUNK_BYTES / 3;
 
-/// In a chunk of more bytes, the denser boundaries apply, so that it ends soon.
+/// In a chunk of more bytes, the denser boundaries of [`LARGE_CHUNK_BOUNDARY_EVERY`] apply, so that
+/// it ends soon.
 const LARGE_CHUNK_BYTES: usize = MAX_CHUNK_BYTES * 2 / 3;
 
-/// One address in so many begins a new chunk if the chunk before it is neither small nor large.
+/// One address in this many begins a new chunk if the chunk before it is neither small nor large.
 const BOUNDARY_EVERY: u64 = 64;
 
-/// One address in so many begins a new chunk if the chunk before it is large. Nearly all boundaries
-/// then depend on addresses rather than on sizes, and a route that is added moves few of them.
+/// One address in this many begins a new chunk if the chunk before it is large. Nearly all
+/// boundaries then depend on addresses rather than on sizes, and a route that is added moves few of
+/// them.
 const LARGE_CHUNK_BOUNDARY_EVERY: u64 = 8;
 
 /// Maximum number of targets in one entry of a chunk, which fit into a datagram. An address with
@@ -50,8 +52,7 @@
 pub struct RouteChunk {
     /// Names of services and regions, which are referred to by index.
     pub names: Vec<String>,
-    /// Limits of the load of backend servers during their slow start, for those of these services
-    /// that have such a limit.
+    /// Request rates of cold backend servers, for those of these services that have one.
     pub cold_rates: Vec<(NameIndex, ColdRate)>,
     /// Addresses in ascending order, each with some or all of its targets.
     pub entries: Vec<ChunkEntry>,
@@ -64,7 +65,7 @@
     pub address: SocketAddrV4,
     /// Indexes of services in the chunk's names, with their weights.
     pub targets: Vec<(NameIndex, u32)>,
-    /// Indexes of the regions to which new flows may go; `None` if there is no such limit.
+    /// Indexes of the regions to which new flows may go; `None` if they may go to all regions.
     pub regions: Option<Vec<NameIndex>>,
 }
 
--- a/crates/valvestage-policy/src/steering/peers/route_transfer.rs
+++ b/crates/valvestage-policy/src/steering/peers/route_transfer.rs
@@ -41,7 +41,7 @@
     chunks: HashMap<ChunkDigest, Arc<RouteChunk>>,
     awaited: Option<AwaitedAnswer>,
     /// The last chunk of the awaited answer: when it arrives, chunks before it that have not
-    /// arrived are lost.
+    /// arrived count as lost.
     last_requested: Option<ChunkDigest>,
 }
 
--- a/crates/valvestage-policy/src/steering/peers/zone_members.rs
+++ b/crates/valvestage-policy/src/steering/peers/zone_members.rs
@@ -11,7 +11,7 @@
     /// known count as members: a decision by rank then rather leaves work to a balancer that does
     /// not exist than takes over the work of another one.
     pub others: Vec<SocketAddrV4>,
-    /// Whether all members know this balancer, and this balancer knows all of them, as far as can
-    /// be told.
+    /// Whether all members know this balancer, and this balancer knows all of them, as far as it
+    /// can know that.
     pub is_settled: bool,
 }
--- a/crates/valvestage-policy/src/steering/placement/backend_choice.rs
+++ b/crates/valvestage-policy/src/steering/placement/backend_choice.rs
@@ -18,9 +18,9 @@
 /// Reason to expect that a backend server may not serve a flow, in ascending order of severity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ChoiceDoubt {
-    /// There is no such reason.
+    /// No reason is known.
     None,
-    /// It does not answer.
+    /// It is suspected to be dead, or did not answer this flow before.
     Silent,
     /// Its entry is missing.
     Missing,
--- a/crates/valvestage-policy/src/steering/placement/cold_shares.rs
+++ b/crates/valvestage-policy/src/steering/placement/cold_shares.rs
@@ -78,7 +78,8 @@
 }
 
 impl ColdShares {
-    /// Returns the rate that limits a backend server at present; `None` if it has no such limit.
+    /// Returns the maximum number of requests per second to a backend server at present; `None` if
+    /// it is not limited.
     #[must_use]
     pub fn limit_for(
         limit: Option<ColdLimit>,
--- a/crates/valvestage-policy/src/steering/placement/exclusion.rs
+++ b/crates/valvestage-policy/src/steering/placement/exclusion.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns the reason to refuse a flow for which no backend server is left. Of several reasons,
-    /// it is the one that passes first, since it tells the caller when to retry.
+    /// it is the one that is expected to pass first, since it tells the caller when to retry.
     pub(in crate::steering) fn reason(&self) -> ResetReason {
         if self.cold.get() > 0 {
             ResetReason::BackendsCold
--- a/crates/valvestage-policy/src/steering/placement/fleet_demand.rs
+++ b/crates/valvestage-policy/src/steering/placement/fleet_demand.rs
@@ -1,7 +1,7 @@
 //! Demand of the callers for each service, over the whole deployment.
 //!
 //! Each balancer knows how many of its own flows wait for an answer, and reports it to the others
-//! in its heartbeats. With hundreds of balancers, each hears some of every zone within a few
+//! in its heartbeats. With hundreds of balancers, each hears from some of every zone within a few
 //! seconds, and takes these as a sample of their zone.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -24,22 +24,22 @@
 
 /// Time constant of the average of flows that wait for an answer. Requests take some tens of
 /// milliseconds, so that a balancer sees several within it. With twice the time, 6,359 instead of
-/// 5,446 of 180,000 tries were refused on 295 balancers with 86% of the slots busy, and 647 instead
-/// of 475 with two zones short of slots.
+/// 5,446 of 180,000 attempts were refused on 295 balancers with 86% of the slots busy, and 647
+/// instead of 475 with two zones short of slots.
 const SMOOTHING: Duration = Duration::from_millis(500);
 
 /// Age at which the weight of a report has fallen to 1/e. Recent reports matter more than many: of
-/// 295 balancers in five zones, each hears two of every zone per second, whose mean is off by a
-/// third, but the errors of all balancers even out. With equal weights for 6 s there were 18,892
+/// 295 balancers in five zones, each hears from two of every zone per second, whose mean is off by
+/// a third, but the errors of all balancers even out. With equal weights for 6 s there were 18,892
 /// refusals instead of 5,291 (86% of the slots busy, demand that varies by 15% every 11 s).
 const REPORT_DECAY: Duration = Duration::from_millis(500);
 
-/// A zone none of whose balancers was heard for this time may be cut off, so no flows are sent
+/// A zone none of whose balancers was heard from for this time may be cut off, so no flows are sent
 /// there because of its spare slots.
 const MAX_ZONE_SILENCE: Duration = Duration::from_secs(3);
 
 /// Interval between two computations of the shares. The demand is averaged over a longer time, and
-/// changes little within it.
+/// changes little within the interval.
 const RENEW_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Maximum number of services reported in a heartbeat, the busiest first. Each takes seven bytes,
@@ -75,13 +75,13 @@
 }
 
 impl ZoneReports {
-    /// Reports whether a balancer of the zone was heard recently.
+    /// Reports whether a balancer of the zone was heard from recently.
     fn is_reachable(&self, now: Instant) -> bool {
         self.last_heard.is_some_and(|at| now.saturating_duration_since(at) < MAX_ZONE_SILENCE)
     }
 
-    /// Returns the number of requests that so many balancers of the zone have under way for a
-    /// service, if each has the weighted mean of the reports.
+    /// Returns the number of requests that the given number of balancers of the zone have under way
+    /// for a service, if each has the weighted mean of the reports.
     fn demand(&self, service: ServiceDigest, balancers: f64) -> f64 {
         let reported = self.demands.get(&service).copied().unwrap_or_default();
 
@@ -175,7 +175,7 @@
     }
 
     /// Samples the flows under way, and recomputes the shares if it is time. `peer_count` is the
-    /// number of other balancers known, including those not heard yet.
+    /// number of other balancers known, including those not heard from yet.
     pub(in crate::steering) fn on_tick(
         &mut self,
         options: &SteeringOptions,
@@ -219,7 +219,7 @@
         std::mem::take(&mut self.decisions)
     }
 
-    /// Removes the reports of balancers that were last heard before the given time.
+    /// Removes the reports of balancers that were last heard from before the given time.
     pub fn forget(&mut self, before: Instant) {
         self.peers.retain(|_, report| report.at >= before);
     }
@@ -258,7 +258,7 @@
         let zones = self.reports_by_zone(&options.zone, now);
         let heard: u32 = zones.values().map(|reports| reports.heard).sum();
         let others = u32::try_from(peer_count).unwrap_or(u32::MAX);
-        // Balancers that were not heard yet are assumed to be spread over the zones like the
+        // Balancers that were not heard from yet are assumed to be spread over the zones like the
         // others.
         let balancers_per_heard = f64::from(others.saturating_add(1).max(heard)) / f64::from(heard);
 
--- a/crates/valvestage-policy/src/steering/placement/flow_placer.rs
+++ b/crates/valvestage-policy/src/steering/placement/flow_placer.rs
@@ -40,8 +40,8 @@
 
 impl FlowPlacer<'_> {
     /// Chooses a backend server of a service. `instead_of` is the one that did not answer this flow
-    /// before, and comes after all others. Returns the reason for a refusal if no backend server
-    /// may take the flow.
+    /// before, and ranks like one that is suspected to be dead. Returns the reason for a refusal if
+    /// no backend server may take the flow.
     pub(in crate::steering) fn place(
         &self,
         flow: FlowAddresses,
--- a/crates/valvestage-policy/src/steering/placement/steering_options.rs
+++ b/crates/valvestage-policy/src/steering/placement/steering_options.rs
@@ -28,22 +28,22 @@
     /// Load of an open idle flow, in requests. A long-lived flow sends about one request per
     /// second, which takes some 40 ms.
     pub idle_flow_load: f64,
-    /// Additional load, in requests per slot, that the servers of this zone may have before a flow
-    /// is placed in another zone. docs/DECISIONS.md lists the trials behind the value.
+    /// Additional load, in requests per slot, that the backend servers of this zone may have before
+    /// a flow is placed in another zone. docs/DECISIONS.md lists the trials behind the value.
     pub zone_preference: f64,
-    /// Additional load, in requests per slot, that the servers of all zones of this region may have
-    /// before a flow is placed in another region, where each packet of a request takes tens of
-    /// milliseconds longer. docs/DECISIONS.md lists the trials behind the value.
+    /// Additional load, in requests per slot, that the backend servers of all zones of this region
+    /// may have before a flow is placed in another region, where each packet of a request takes
+    /// tens of milliseconds longer. docs/DECISIONS.md lists the trials behind the value.
     pub region_preference: f64,
     /// Additional load, in requests per slot, that the others may have before a flow is placed on a
-    /// backend server that fails more requests than they do. It is twice the preference for the own
+    /// backend server that fails more requests than they do. It is twice the preference for this
     /// zone, since another zone is better than a failing backend server. If all are avoided, the
     /// penalty has no effect.
     pub avoidance_penalty: f64,
     /// Factor on the load of a backend server that is still slow after its start.
     pub cold_factor: f64,
     /// How long a backend server that is gone is remembered, so that the callers of its flows can
-    /// be notified. Flows are forgotten after 60 s.
+    /// be sent resets. Flows are forgotten after 60 s.
     pub gone_retention: Duration,
 }
 
--- a/crates/valvestage-policy/src/steering/placement/zone_shares.rs
+++ b/crates/valvestage-policy/src/steering/placement/zone_shares.rs
@@ -3,18 +3,18 @@
 //! Among hundreds of balancers, a single one sees so few requests of a backend server that its own
 //! zone never looks busy to it. The zone of a new flow is therefore drawn by shares that follow
 //! from the demand of all balancers' callers and the slots of each zone. Demand does not depend on
-//! where flows are placed, so many balancers that receive the same reports spread their flows
-//! alike, and none of them moves all of its flows at once.
+//! where flows are placed, so balancers that receive the same reports spread their flows alike, and
+//! none of them moves all of its flows at once.
 
 use valvestage_core::ids::ZoneName;
 
-/// Used share of its slots above which a zone, or a region, sends flows elsewhere if there is more
+/// Share of its slots in use above which a zone, or a region, sends new flows elsewhere if there is
 /// room.
 ///
 /// With 295 balancers and one zone whose callers ask for all of its slots, the shares reduce
-/// refusals by full backend servers from 31,516 to 55 (of some 210,000 tries in 60 s). A value of
-/// 0.6 gives a quarter fewer refusals than 0.9, but flows in another zone stall while that zone is
-/// cut off: with 8 balancers the score of a simulated day falls by 0.001 with 0.6, and by 0.0002 to
+/// refusals by full backend servers from 31,516 to 55 (of some 210,000 attempts in 60 s). A value
+/// of 0.6 gives a quarter fewer refusals than 0.9, but flows in another zone stall while that zone
+/// is cut off: with 8 balancers the score of a simulation falls by 0.001 with 0.6, and by 0.0002 to
 /// 0.0008 with 0.9.
 pub const SPILL_FROM: f64 = 0.9;
 
--- a/crates/valvestage-policy/src/steering/store/evacuation_follower.rs
+++ b/crates/valvestage-policy/src/steering/store/evacuation_follower.rs
@@ -19,7 +19,7 @@
     pub zone: ZoneName,
     /// The store's position at the change.
     pub position: StorePosition,
-    /// Whether the evacuation is requested; `false` if the operator has withdrawn it.
+    /// Whether the evacuation is requested; `false` if the operator has ended it.
     pub is_requested: bool,
 }
 
@@ -27,8 +27,8 @@
 #[derive(Debug)]
 pub struct EvacuationFollower {
     follower: StoreFollower,
-    /// The availability zones of the deployment. Evacuations of other zones are ignored, since
-    /// whoever wrote them does not know the deployment.
+    /// The availability zones of the deployment. Evacuations of other zones are ignored, since they
+    /// were not written for this deployment.
     zones: BTreeSet<ZoneName>,
     /// The evacuated zones in the pages read so far of the current list.
     listed: BTreeSet<ZoneName>,
@@ -52,7 +52,7 @@
         self.follower.is_failing()
     }
 
-    /// Returns the decisions to log, collected since this was last called.
+    /// Returns the decisions made since the last call.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         self.follower.take_decisions()
     }
--- a/crates/valvestage-policy/src/steering/store/store_follower.rs
+++ b/crates/valvestage-policy/src/steering/store/store_follower.rs
@@ -168,9 +168,9 @@
     page_time: Option<Duration>,
     /// The latest known era; `None` before the first answer.
     era: Option<StoreEra>,
-    /// When watches have to end at the latest; `None` if there is no such time.
+    /// When watches have to end at the latest; `None` if they have no such limit.
     watch_due: Option<Instant>,
-    /// Decisions to log, collected until [`Self::take_decisions`].
+    /// Decisions since the last call of [`Self::take_decisions`].
     decisions: Vec<Decision>,
 }
 
@@ -214,12 +214,12 @@
         }
     }
 
-    /// Returns the decisions to log, collected since this was last called.
+    /// Returns the decisions made since the last call.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         std::mem::take(&mut self.decisions)
     }
 
-    /// Allows lists from the store's cache, which may be some seconds old. It fits objects for
+    /// Allows lists from the store's cache, which may be some seconds old. This suits objects for
     /// which a watch from the list's position brings the later changes early enough. If the history
     /// after that position is gone, the next list is a current one.
     pub fn allow_cached_lists(&mut self) {
@@ -312,7 +312,7 @@
         }
     }
 
-    /// Restarts with a list as after failures: nobody has followed the store for a while, so
+    /// Restarts with a list as after failures: no balancer has followed the store for a while, so
     /// entries may have lapsed unnoticed. Has no effect while a call is in flight.
     pub fn assume_outage(&mut self) {
         if !self.has_call_in_flight {
--- a/crates/valvestage-policy/src/steering/store/store_link.rs
+++ b/crates/valvestage-policy/src/steering/store/store_link.rs
@@ -21,13 +21,13 @@
 /// A failed call is retried within 0.8 s, so a store that is reachable again has answered by then.
 const RETRY_TIME: Duration = Duration::from_millis(800);
 
-/// The store counts as answering for so long after its last answer: one watch, and time for a slow
-/// answer.
+/// The store counts as answering for this time after its last answer: one watch, and time for a
+/// slow answer.
 const ANSWER_TTL: Duration = Duration::from_millis(2_500);
 
-/// Delay after the time at which conflicts can be resolved until the watches end whose answers have
-/// to confirm the knowledge first. Waits are sent in whole milliseconds, so a watch that ends
-/// exactly at that time could end too early.
+/// Delay from the time at which conflicts can be resolved to the end of the watches, whose answers
+/// have to confirm the knowledge before the conflicts are resolved. Waits are sent in whole
+/// milliseconds, so a watch that ends exactly at that time could end too early.
 const CONFLICT_RESOLUTION_DELAY: Duration = Duration::from_millis(20);
 
 /// Period after the start in which a balancer leaves watches to others: two rounds of heartbeats to
@@ -105,7 +105,7 @@
             || evacuations.is_some_and(EvacuationFollower::is_failing)
     }
 
-    /// Returns the decisions to log, collected since this was last called.
+    /// Returns the decisions made since the last call.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         let mut decisions = self.routes.take_decisions();
         decisions.extend(self.backends.take_decisions());
@@ -178,7 +178,7 @@
         self.has_failed_since_begin && self.is_failing()
     }
 
-    /// Prepares for following the store. If nobody has followed it for a while, an outage is
+    /// Prepares for following the store. If no balancer has followed it for a while, an outage is
     /// assumed.
     pub fn prepare_to_follow(&mut self, knowledge: &Knowledge, now: Instant) {
         self.has_failed_since_begin = false;
--- a/crates/valvestage-policy/src/steering/store/watch_role.rs
+++ b/crates/valvestage-policy/src/steering/store/watch_role.rs
@@ -7,7 +7,7 @@
 //! addresses stay, the second one in another availability zone than the first, since a zone that is
 //! cut off takes its followers with it.
 //!
-//! While the store answers nobody, or refuses some balancers, a few balancers try at a time. A
+//! While the store answers no balancer, or refuses some balancers, a few balancers try at a time. A
 //! balancer that gets no answer backs off and lets others try, so that the number of calls does not
 //! grow with the deployment and a balancer that the store does answer is found.
 
@@ -22,8 +22,8 @@
 /// Number of balancers that follow the store, so that one may fail or be cut off without a gap.
 const REQUIRED_WATCHERS: usize = 2;
 
-/// A balancer counts as a follower for so long after the store last answered it: one watch of
-/// 1.5 s, plus the time for the report of its end to spread.
+/// A balancer counts as a follower for this time after the store last answered it: one watch of 1.5
+/// s, plus the time for the report of its end to spread.
 const SIGHTING_TTL: Duration = Duration::from_millis(2_200);
 
 /// A sighting that is newer by at least this much is forwarded at once, so that the report of a
@@ -34,7 +34,7 @@
 /// stop.
 const MAX_ANNOUNCED: usize = 4;
 
-/// How long an attempt counts of a peer that the store does not answer.
+/// How long an attempt of a peer that the store does not answer counts.
 const ATTEMPT_TTL: Duration = Duration::from_millis(800);
 
 /// Number of balancers that may try at once while the known state is complete and in force.
@@ -91,16 +91,16 @@
     pub is_failing: bool,
     /// Whether this balancer knows everything that it needs, or everything that exists.
     pub is_complete: bool,
-    /// Whether balancers of more than one availability zone are known.
+    /// Whether balancers of other availability zones have been heard from recently.
     pub has_zones: bool,
     /// Duration of the call for the last page of a long list that this balancer is reading; `None`
     /// if it reads no such list.
     pub page_time: Option<Duration>,
-    /// Whether a peer with complete knowledge has been heard and can be asked.
+    /// Whether a peer with complete knowledge has been heard from and can be asked.
     pub has_complete_peer: bool,
     /// Whether a peer is currently sending its knowledge to this balancer.
     pub is_receiving_answer: bool,
-    /// Number of peers that were heard recently.
+    /// Number of peers that were heard from recently.
     pub recent_peers: u32,
     /// A random number between 0 and 1.
     pub draw: f64,
@@ -336,7 +336,8 @@
         let limit =
             if inputs.is_complete { MAX_CONCURRENT_ATTEMPTS } else { MAX_CONCURRENT_READERS };
         let trying = self.sightings.values().filter(|sighting| !sighting.is_answered).count();
-        // Without any state in the cluster, backing off would only delay the first read.
+        // If this balancer knows too little and no other one is trying, backing off would only
+        // delay the first read.
         let has_alternative = inputs.is_complete || trying > 0;
         let is_backing_off = has_alternative && self.backoff_until.is_some_and(|until| until > now);
         let is_served =
@@ -399,9 +400,10 @@
     }
 }
 
-/// Sorts followers so that the two that stay come first. A balancer that hears of followers in one
-/// zone only keeps following, and when many start at once, a single zone may have more followers
-/// than a heartbeat names. While long lists are read, the readers with the best rank come first.
+/// Sorts followers so that the two that stay come first. A balancer that learns of followers in
+/// only one zone keeps following, and when many start at once, a single zone may have more
+/// followers than a heartbeat names. While long lists are read, the readers with the best rank come
+/// first.
 fn sort_for_heartbeat(mut sightings: Vec<WatcherSighting>) -> Vec<WatcherSighting> {
     if sightings.iter().any(|sighting| sighting.page_ms.is_some()) {
         sightings.sort_by_key(|sighting| reader_rank(sighting.page_ms, sighting.peer));
