--- a/crates/valvestage-policy/src/steering/entry_policy.rs
+++ b/crates/valvestage-policy/src/steering/entry_policy.rs
@@ -27,8 +27,8 @@
 /// Interval at which timers are checked.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A stall of at least this length counts as a pause of the process. Ticks come at least every 100
-/// ms, and somewhat later on a slow or busy VM.
+/// A stall of at least this length counts as a pause of the process. Ticks come at least every
+/// 100 ms, and somewhat later on a slow or busy VM.
 const MIN_PAUSE: Duration = Duration::from_secs(1);
 
 /// A gap between two ticks of at least this length counts as a stall, after which packets may have
--- a/crates/valvestage-policy/src/steering/peers/peer_message.rs
+++ b/crates/valvestage-policy/src/steering/peers/peer_message.rs
@@ -133,18 +133,18 @@
 pub struct ServiceDemand {
     /// The service.
     pub service: ServiceDigest,
-    /// Number of requests in flight, averaged over a second, in hundredths.
+    /// Number of requests under way, averaged over a second, in hundredths.
     pub busy_hundredths: u32,
 }
 
 impl ServiceDemand {
-    /// Creates a report of an average number of requests in flight.
+    /// Creates a report of an average number of requests under way.
     #[must_use]
     pub fn new(service: ServiceDigest, busy: f64) -> Self {
         Self { service, busy_hundredths: fixed_point(busy, 100.0) }
     }
 
-    /// Returns the reported number of requests in flight.
+    /// Returns the reported number of requests under way.
     #[must_use]
     pub fn busy(&self) -> f64 {
         f64::from(self.busy_hundredths) / 100.0
@@ -189,10 +189,10 @@
     pub instance: InstanceId,
     /// Requests with an ordinary answer, in tenths; older ones count less.
     pub answered_tenths: u16,
-    /// Requests without an ordinary answer, in tenths.
+    /// Poor requests, that is, those without an ordinary answer, in tenths.
     pub poor_tenths: u16,
-    /// How many requests without an ordinary answer the other backend servers of the service would
-    /// have led to expect, in tenths.
+    /// Expected number of poor requests, judged by the other backend servers of the service, in
+    /// tenths.
     pub expected_tenths: u16,
 }
 
@@ -349,7 +349,7 @@
     pub zone: u16,
     /// Address to which packets for it are sent.
     pub address: SocketAddrV4,
-    /// Number of requests that it processes at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
     /// Remaining time of its slow start, in milliseconds; 0 if it is over.
     pub cold_for_ms: u32,
@@ -361,15 +361,15 @@
 /// other balancers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordedPhase {
-    /// It accepts new flows.
+    /// It takes new flows.
     Ready,
-    /// It accepts no new flows.
+    /// It takes no new flows.
     Draining,
     /// Its entry does not describe a usable backend server.
     Unusable,
     /// Its entry is gone.
     Gone,
-    /// Its entry lapsed while it accepted new flows, so it may return.
+    /// Its entry lapsed while it took new flows, so it may return.
     Lapsed {
         /// Time since it lapsed, in milliseconds.
         ago_ms: u32,
--- a/crates/valvestage-policy/src/steering/placement/fleet_demand.rs
+++ b/crates/valvestage-policy/src/steering/placement/fleet_demand.rs
@@ -295,7 +295,7 @@
     }
 }
 
-/// Returns the number of requests that the usable backend servers can process at the same time, by
+/// Returns the number of requests that the usable backend servers can process concurrently, by
 /// service and availability zone. A backend server that is slow after its start counts less; one
 /// whose cold rate is limited, or whose zone is evacuated, does not count.
 fn slots_by_service<'a>(
--- a/crates/valvestage-policy/src/steering/placement/flow_placer.rs
+++ b/crates/valvestage-policy/src/steering/placement/flow_placer.rs
@@ -27,7 +27,7 @@
     Others,
 }
 
-/// Evaluates all criteria for and against each backend server.
+/// Chooses the backend servers of new flows, by what is known at one moment.
 pub(in crate::steering) struct FlowPlacer<'a> {
     pub options: &'a SteeringOptions,
     pub knowledge: &'a Knowledge,
--- a/crates/valvestage-policy/src/steering/placement/zone_shares.rs
+++ b/crates/valvestage-policy/src/steering/placement/zone_shares.rs
@@ -26,9 +26,9 @@
     pub zone: ZoneName,
     /// Whether the zone is in another region than this balancer.
     pub is_far: bool,
-    /// Requests that the zone's callers have under way at the same time; not negative.
+    /// Requests that the zone's callers have under way concurrently; not negative.
     pub demand: f64,
-    /// Requests that the zone's backend servers can process at the same time; not negative.
+    /// Requests that the zone's backend servers can process concurrently; not negative.
     pub slots: f64,
 }
 
--- a/crates/valvestage-policy/src/steering/store/watch_role.rs
+++ b/crates/valvestage-policy/src/steering/store/watch_role.rs
@@ -22,8 +22,8 @@
 /// Number of balancers that follow the store, so that one may fail or be cut off without a gap.
 const REQUIRED_WATCHERS: usize = 2;
 
-/// A balancer counts as a follower for this time after the store last answered it: one watch of 1.5
-/// s, plus the time for the report of its end to spread.
+/// A balancer counts as a follower for this time after the store last answered it: one watch of
+/// 1.5 s, plus the time for the report of its end to spread.
 const SIGHTING_TTL: Duration = Duration::from_millis(2_200);
 
 /// A sighting that is newer by at least this much is forwarded at once, so that the report of a
