--- a/crates/valvestage-policy/src/steering/peers/peer_message.rs
+++ b/crates/valvestage-policy/src/steering/peers/peer_message.rs
@@ -7,7 +7,7 @@
 //! Messages are not authenticated: the settings hold no secret, and one from the store could not be
 //! read while the store is unreachable, which is when peers matter most. Addresses of balancers can
 //! be reached only from the deployment's own network, and a message can add nothing that the
-//! backend server named by it would not check itself.
+//! backend server it names would not check itself.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -94,7 +94,7 @@
     pub outage_age_ms: u32,
     /// Balancers that follow the store, including the sender if it does.
     pub watchers: Vec<WatcherSighting>,
-    /// Some balancers that it has heard recently.
+    /// Some balancers that it has heard from recently.
     pub peers: Vec<SocketAddrV4>,
     /// What it has observed of backend servers in trouble.
     pub health: HealthReport,
@@ -111,8 +111,8 @@
 
 impl PeerHeartbeat {
     /// Adds the time that the heartbeat has waited to be read, which is `waited` at most, to the
-    /// ages of the store confirmations in it. Forwarded as fresh, they would keep the other
-    /// balancers from noticing that the store answers nobody any more.
+    /// ages of the store confirmations in it. If they were forwarded as fresh, the other balancers
+    /// would not notice that the store no longer answers any balancer.
     ///
     /// The age of the last outage stays as it is: to take an outage for a later one does no harm.
     pub fn add_age(&mut self, waited: Duration) {
@@ -133,18 +133,18 @@
 pub struct ServiceDemand {
     /// The service.
     pub service: ServiceDigest,
-    /// Number of requests in flight, averaged over a second, in hundredths.
+    /// Number of requests under way, averaged over a second, in hundredths.
     pub busy_hundredths: u32,
 }
 
 impl ServiceDemand {
-    /// Creates a report of an average number of requests in flight.
+    /// Creates a report of an average number of requests under way.
     #[must_use]
     pub fn new(service: ServiceDigest, busy: f64) -> Self {
         Self { service, busy_hundredths: fixed_point(busy, 100.0) }
     }
 
-    /// Returns the reported number of requests in flight.
+    /// Returns the reported number of requests under way.
     #[must_use]
     pub fn busy(&self) -> f64 {
         f64::from(self.busy_hundredths) / 100.0
@@ -165,7 +165,7 @@
 /// What one balancer has observed of backend servers in trouble.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HealthReport {
-    /// Backend servers that are suspected to have failed.
+    /// Backend servers that are suspected to be dead.
     pub suspects: Vec<InstanceId>,
     /// Outcomes of requests at backend servers that seem to fail more of them than others do.
     pub outcomes: Vec<OutcomeReport>,
@@ -189,10 +189,10 @@
     pub instance: InstanceId,
     /// Requests with an ordinary answer, in tenths; older ones count less.
     pub answered_tenths: u16,
-    /// Requests without an ordinary answer, in tenths.
+    /// Poor requests, that is, those without an ordinary answer, in tenths.
     pub poor_tenths: u16,
-    /// How many requests without an ordinary answer the other backend servers of the service would
-    /// have led to expect, in tenths.
+    /// Expected number of poor requests, judged by the other backend servers of the service, in
+    /// tenths.
     pub expected_tenths: u16,
 }
 
@@ -349,7 +349,7 @@
     pub zone: u16,
     /// Address to which packets for it are sent.
     pub address: SocketAddrV4,
-    /// Number of requests that it processes at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
     /// Remaining time of its slow start, in milliseconds; 0 if it is over.
     pub cold_for_ms: u32,
@@ -357,18 +357,19 @@
     pub phase: RecordedPhase,
 }
 
-/// [`crate::steering::BackendPhase`] without a time of the sender's clock.
+/// [`crate::steering::BackendPhase`] without times of the sender's clock, which mean nothing to
+/// other balancers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordedPhase {
-    /// It accepts new flows.
+    /// It takes new flows.
     Ready,
-    /// It accepts no new flows.
+    /// It takes no new flows.
     Draining,
     /// Its entry does not describe a usable backend server.
     Unusable,
     /// Its entry is gone.
     Gone,
-    /// Its entry lapsed while it accepted new flows, so it may return.
+    /// Its entry lapsed while it took new flows, so it may return.
     Lapsed {
         /// Time since it lapsed, in milliseconds.
         ago_ms: u32,
