--- a/crates/valvestage-balancer/src/data_path/data_handler.rs
+++ b/crates/valvestage-balancer/src/data_path/data_handler.rs
@@ -212,7 +212,7 @@
         }
 
         DataSnapshot {
-            configuration: director.latest_version(),
+            configuration: director.version_in_force(),
             flows: director.table().len() as u64,
             flow_table_bytes: director.table().allocated_bytes() as u64,
             flows_by_backend,
--- a/crates/valvestage-entry/src/data_thread.rs
+++ b/crates/valvestage-entry/src/data_thread.rs
@@ -198,7 +198,7 @@
 
     fn drop_expired_packets(&mut self, now: Instant) {
         for expired in self.held.take_expired(now) {
-            self.policy.on_held_too_long(&expired.packet, now);
+            self.policy.on_hold_expired(&expired.packet, now);
         }
     }
 
@@ -284,7 +284,7 @@
             PacketVerdict::Reset(_) => self.send_reset(FlowReset::from(&packet)),
             PacketVerdict::Drop(reason) if reason.is_transient() => {
                 if !self.held.hold(packet, datagram.to_vec(), now) {
-                    self.policy.on_held_too_long(&packet, now);
+                    self.policy.on_hold_expired(&packet, now);
                 }
             }
             PacketVerdict::Drop(_) => {}
--- a/crates/valvestage-policy/src/balancer/balancer_policy.rs
+++ b/crates/valvestage-policy/src/balancer/balancer_policy.rs
@@ -80,7 +80,7 @@
             FlowVerdict::Forward { backend, source, .. }
                 if packet.opening || source == FlowSource::History =>
             {
-                let version = self.director.latest_version();
+                let version = self.director.version_in_force();
                 Some(Decision::FlowBound { backend, source, version })
             }
             FlowVerdict::Relay { peer, hop } if packet.opening => {
--- a/crates/valvestage-policy/src/flows/flow_director.rs
+++ b/crates/valvestage-policy/src/flows/flow_director.rs
@@ -316,7 +316,7 @@
 
     /// Returns the configuration version in force, or 0 before the first.
     #[must_use]
-    pub fn latest_version(&self) -> ObjectVersion {
+    pub fn version_in_force(&self) -> ObjectVersion {
         self.history.version()
     }
 }
--- a/crates/valvestage-policy/src/requests/service_admission.rs
+++ b/crates/valvestage-policy/src/requests/service_admission.rs
@@ -73,7 +73,7 @@
             return Some(RefusalReason::NoBackend);
         }
 
-        let ahead = self.queue.count_ahead_of(request.class);
+        let ahead = self.queue.estimate_ahead_of(request.class);
         if ahead == 0 && self.pool.busy_slots() < usable {
             return None;
         }
--- a/crates/valvestage-policy/src/requests/wait_queue.rs
+++ b/crates/valvestage-policy/src/requests/wait_queue.rs
@@ -70,7 +70,7 @@
 
     /// Estimates the number of waiting requests that go before a new request of this class.
     #[must_use]
-    pub fn count_ahead_of(&self, class: RequestClass) -> usize {
+    pub fn estimate_ahead_of(&self, class: RequestClass) -> usize {
         match class {
             RequestClass::Urgent => self.urgent.len(),
             RequestClass::Bulk => {
--- a/crates/valvestage-policy/src/steering/entry_policy.rs
+++ b/crates/valvestage-policy/src/steering/entry_policy.rs
@@ -183,8 +183,9 @@
         self.steering.can_decide(&self.knowledge, packet)
     }
 
-    /// Records that the hold time of a packet has ended before what it needs became known.
-    pub fn on_held_too_long(&mut self, packet: &CallerPacket, now: Instant) {
+    /// Records that the hold time of a packet has ended before what it needs became known, or that
+    /// there was no room to hold it.
+    pub fn on_hold_expired(&mut self, packet: &CallerPacket, now: Instant) {
         self.steering.on_hold_expired(&self.knowledge, packet, now);
     }
 
--- a/crates/valvestage-policy/src/steering/keeper/knowledge_keeper.rs
+++ b/crates/valvestage-policy/src/steering/keeper/knowledge_keeper.rs
@@ -159,7 +159,7 @@
             is_answering: self.store.recent_answer_at(now).is_some(),
             is_failing: self.store.is_attempt_failing(),
             is_complete: knowledge.is_complete() || knowledge.is_certain(now),
-            has_zones: knowledge.contacts.hears_others(RECENTLY_HEARD_WITHIN, now),
+            hears_other_zones: knowledge.contacts.hears_others(RECENTLY_HEARD_WITHIN, now),
             page_time: self.store.page_time(),
             has_complete_peer: self.has_complete_peer,
             is_receiving_answer: self.exchange.is_receiving_backends(now),
@@ -211,8 +211,8 @@
             return Vec::new();
         }
 
-        let has_zones = knowledge.contacts.hears_others(RECENTLY_HEARD_WITHIN, now);
-        let keeps_watching = self.role.keeps_watching(has_zones);
+        let hears_other_zones = knowledge.contacts.hears_others(RECENTLY_HEARD_WITHIN, now);
+        let keeps_watching = self.role.keeps_watching(hears_other_zones);
         let calls = self.store.calls(knowledge, keeps_watching, packets_wait, now).into_iter();
         calls.map(|(kind, call)| KeeperAction::Call(kind, call)).collect()
     }
--- a/crates/valvestage-policy/src/steering/packets/caller_packet.rs
+++ b/crates/valvestage-policy/src/steering/packets/caller_packet.rs
@@ -110,7 +110,7 @@
     NoOther,
     /// The caller was sent a reset a moment ago, and is likely to have sent this packet before it
     /// got the reset.
-    AlreadyTold,
+    AlreadyReset,
 }
 
 impl DropReason {
@@ -129,7 +129,7 @@
             Self::NoRoute => "no_route",
             Self::UnknownToken => "unknown_token",
             Self::NoOther => "no_other",
-            Self::AlreadyTold => "already_told",
+            Self::AlreadyReset => "already_told",
         }
     }
 }
--- a/crates/valvestage-policy/src/steering/packets/flow_record.rs
+++ b/crates/valvestage-policy/src/steering/packets/flow_record.rs
@@ -238,7 +238,7 @@
 
     /// Reports whether this balancer has known the flow for at least a second.
     #[must_use]
-    pub fn has_opened_before(&self, now: Instant) -> bool {
+    pub fn is_long_known(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.first_packet) >= Duration::from_secs(1)
     }
 
--- a/crates/valvestage-policy/src/steering/packets/held_packets.rs
+++ b/crates/valvestage-policy/src/steering/packets/held_packets.rs
@@ -25,7 +25,7 @@
     /// Driver-specific data, such as the bytes of the packet.
     pub payload: T,
     /// Number of transmissions received so far; each replaces the one before.
-    pub copies: u32,
+    pub transmissions: u32,
     /// When the hold time ends.
     until: Instant,
 }
@@ -50,14 +50,14 @@
         if let Some(held) =
             self.packets.iter_mut().find(|held| is_retransmission(&held.packet, &packet))
         {
-            *held = HeldPacket { packet, payload, copies: held.copies + 1, until };
+            *held = HeldPacket { packet, payload, transmissions: held.transmissions + 1, until };
             return true;
         }
         if self.packets.len() >= MAX_HELD {
             return false;
         }
 
-        self.packets.push(HeldPacket { packet, payload, copies: 1, until });
+        self.packets.push(HeldPacket { packet, payload, transmissions: 1, until });
         true
     }
 
--- a/crates/valvestage-policy/src/steering/packets/opening_packets.rs
+++ b/crates/valvestage-policy/src/steering/packets/opening_packets.rs
@@ -106,7 +106,7 @@
     ) {
         let Some(entry) = knowledge.directory.get(instance) else { return };
 
-        if ColdShares::limit_for(self.options.cold_limit, knowledge, entry, now).is_some() {
+        if ColdShares::allowed_rate(self.options.cold_limit, knowledge, entry, now).is_some() {
             self.cold.on_request(instance, now);
         }
     }
--- a/crates/valvestage-policy/src/steering/packets/steering_policy.rs
+++ b/crates/valvestage-policy/src/steering/packets/steering_policy.rs
@@ -338,7 +338,7 @@
             return forward(knowledge, instance);
         };
         if self.reset_scheduler.was_reset_recently(&packet.flow, now) {
-            return PacketVerdict::Drop(DropReason::AlreadyTold);
+            return PacketVerdict::Drop(DropReason::AlreadyReset);
         }
         self.reset_scheduler.on_reset_sent(packet.flow, now);
         PacketVerdict::Reset(reason)
@@ -375,7 +375,7 @@
         // The first request of a flow is counted with its opening packet; each further request is
         // counted here.
         if observation.began.is_some()
-            && self.flows.get(&flow).is_some_and(|flow| flow.has_opened_before(now))
+            && self.flows.get(&flow).is_some_and(|flow| flow.is_long_known(now))
         {
             self.count_cold_request(knowledge, instance, now);
         }
--- a/crates/valvestage-policy/src/steering/peers/backend_walk.rs
+++ b/crates/valvestage-policy/src/steering/peers/backend_walk.rs
@@ -182,7 +182,7 @@
         }
 
         let known_until = knowledge.directory.complete_until();
-        let asks_all = !self.has_history || self.should_pull_overdue(knowledge, now);
+        let asks_all = !self.has_history || self.should_pull_everything(knowledge, now);
         let begin = if asks_all { StorePosition::START } else { known_until };
         let scope =
             if begin > StorePosition::START { WalkScope::Changes } else { WalkScope::Everything };
@@ -199,7 +199,7 @@
     /// over; true at most once per [`COMPARE_INTERVAL`]. Changes after the position up to which
     /// everything is known do not show that the entry was removed before, and while it is missing,
     /// this balancer's knowledge does not become complete.
-    fn should_pull_overdue(&mut self, knowledge: &Knowledge, now: Instant) -> bool {
+    fn should_pull_everything(&mut self, knowledge: &Knowledge, now: Instant) -> bool {
         let is_due = self.next_compare_at.is_none_or(|from| from <= now);
         if !is_due || !knowledge.directory.has_expired_missing(now) {
             return false;
--- a/crates/valvestage-policy/src/steering/placement/cold_shares.rs
+++ b/crates/valvestage-policy/src/steering/placement/cold_shares.rs
@@ -81,7 +81,7 @@
     /// Returns the maximum number of requests per second to a backend server at present; `None` if
     /// it is not limited.
     #[must_use]
-    pub fn limit_for(
+    pub fn allowed_rate(
         limit: Option<ColdLimit>,
         knowledge: &Knowledge,
         entry: &BackendEntry,
@@ -108,7 +108,7 @@
         }
 
         for entry in knowledge.directory.iter().filter(|entry| entry.zone == *zone) {
-            if let Some(allowed) = Self::limit_for(limit, knowledge, entry, now) {
+            if let Some(allowed) = Self::allowed_rate(limit, knowledge, entry, now) {
                 let (rank, holders) = rank_in(members, entry.instance);
                 self.shares.insert(entry.instance, holder_share(allowed, rank, holders));
             }
--- a/crates/valvestage-policy/src/steering/placement/fleet_demand.rs
+++ b/crates/valvestage-policy/src/steering/placement/fleet_demand.rs
@@ -371,7 +371,7 @@
 
     let lost = started.filter(is_cold).map(|entry| {
         let slots = f64::from(entry.slots);
-        match ColdShares::limit_for(options.cold_limit, knowledge, entry, now) {
+        match ColdShares::allowed_rate(options.cold_limit, knowledge, entry, now) {
             Some(_) => slots,
             None => slots - slots / options.cold_factor,
         }
--- a/crates/valvestage-policy/src/steering/placement/flow_placer.rs
+++ b/crates/valvestage-policy/src/steering/placement/flow_placer.rs
@@ -145,7 +145,7 @@
 
     /// Reports whether requests to a backend server are limited because it has just started.
     fn is_limited(&self, entry: &BackendEntry) -> bool {
-        ColdShares::limit_for(self.options.cold_limit, self.knowledge, entry, self.now).is_some()
+        ColdShares::allowed_rate(self.options.cold_limit, self.knowledge, entry, self.now).is_some()
     }
 
     /// Keeps only the cold backend servers if there are any: while the others are short of slots,
--- a/crates/valvestage-policy/src/steering/store/watch_role.rs
+++ b/crates/valvestage-policy/src/steering/store/watch_role.rs
@@ -92,7 +92,7 @@
     /// Whether this balancer knows everything that it needs, or everything that exists.
     pub is_complete: bool,
     /// Whether balancers of other availability zones have been heard from recently.
-    pub has_zones: bool,
+    pub hears_other_zones: bool,
     /// Duration of the call for the last page of a long list that this balancer is reading; `None`
     /// if it reads no such list.
     pub page_time: Option<Duration>,
@@ -203,8 +203,8 @@
     /// Reports whether this balancer will keep following the store, as far as it knows the other
     /// followers.
     #[must_use]
-    pub fn keeps_watching(&self, has_zones: bool) -> bool {
-        self.watching && self.is_chosen(has_zones)
+    pub fn keeps_watching(&self, hears_other_zones: bool) -> bool {
+        self.watching && self.is_chosen(hears_other_zones)
     }
 
     /// Returns the number of other balancers that are known to follow the store or to try to.
@@ -300,7 +300,7 @@
             self.begin_at = None;
             // A follower without a working connection to the store steps down regardless of its
             // address.
-            self.watching &= inputs.is_answering && self.is_chosen(inputs.has_zones);
+            self.watching &= inputs.is_answering && self.is_chosen(inputs.hears_other_zones);
         } else if self.watching {
             self.retry_or_yield(inputs, now);
         } else {
@@ -376,7 +376,7 @@
         zones.sort_unstable();
         zones.dedup();
 
-        let required_zones = if inputs.has_zones { REQUIRED_WATCHERS } else { 1 };
+        let required_zones = if inputs.hears_other_zones { REQUIRED_WATCHERS } else { 1 };
         answered.len() >= REQUIRED_WATCHERS && zones.len() >= required_zones
     }
 
@@ -388,13 +388,13 @@
     }
 
     /// Reports whether this balancer is one of the two that stay, as long as the store answers it.
-    fn is_chosen(&self, has_zones: bool) -> bool {
+    fn is_chosen(&self, hears_other_zones: bool) -> bool {
         let mut all = self.answered();
         all.push((self.own, &self.zone));
         all.sort_unstable();
 
         let Some((first, first_zone)) = all.first().copied() else { return true };
-        let counts = |zone: &ZoneName| !has_zones || zone != first_zone;
+        let counts = |zone: &ZoneName| !hears_other_zones || zone != first_zone;
         let second = all.iter().skip(1).find(|(_, zone)| counts(zone));
         first == self.own || second.is_some_and(|(peer, _)| *peer == self.own)
     }
--- a/crates/valvestage-policy/tests/fault_matrix/checks.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/checks.rs
@@ -34,7 +34,7 @@
         let mut reverted = None;
 
         for node in self.nodes.values_mut().filter(|node| node.is_ready()) {
-            let version = node.policy.director().latest_version();
+            let version = node.policy.director().version_in_force();
             if version < node.highest_version_in_force {
                 reverted = Some((node.id, version, node.highest_version_in_force));
             }
@@ -55,7 +55,7 @@
         let late = self.nodes.values().find(|node| {
             node.process_state == ProcessState::Running
                 && node.started <= limit
-                && node.policy.director().latest_version() < version
+                && node.policy.director().version_in_force() < version
         });
 
         let late = late.map(|node| node.id);
--- a/crates/valvestage-policy/tests/steering/ended_flows.rs
+++ b/crates/valvestage-policy/tests/steering/ended_flows.rs
@@ -199,7 +199,7 @@
 
     assert_eq!(site.request(1, 1), PacketVerdict::Reset(ResetReason::BackendGone));
     for _ in 0..10 {
-        assert_eq!(site.request(1, 1), PacketVerdict::Drop(DropReason::AlreadyTold));
+        assert_eq!(site.request(1, 1), PacketVerdict::Drop(DropReason::AlreadyReset));
     }
     // The reset was lost: the caller retransmits after 200 ms.
     site.now += millis(200);
--- a/crates/valvestage-policy/tests/steering/held_packets.rs
+++ b/crates/valvestage-policy/tests/steering/held_packets.rs
@@ -75,7 +75,7 @@
         "the retransmission has a hold time of its own"
     );
     let all = held.take_decidable(|_| true);
-    let all: Vec<_> = all.iter().map(|held| (held.payload, held.copies)).collect();
+    let all: Vec<_> = all.iter().map(|held| (held.payload, held.transmissions)).collect();
     assert_eq!(all, [(2, 2), (3, 1)]);
 }
 
--- a/crates/valvestage-policy/tests/steering/watch_role.rs
+++ b/crates/valvestage-policy/tests/steering/watch_role.rs
@@ -27,7 +27,7 @@
         is_answering,
         is_failing: false,
         is_complete: true,
-        has_zones: true,
+        hears_other_zones: true,
         page_time: None,
         has_complete_peer: false,
         is_receiving_answer: false,
@@ -200,7 +200,7 @@
     role.on_sighting(&sighting(1, 0), now);
     role.on_sighting(&sighting(3, 0), now);
 
-    role.step(RoleInputs { has_zones: false, ..inputs(true, 0.5) }, now);
+    role.step(RoleInputs { hears_other_zones: false, ..inputs(true, 0.5) }, now);
     assert!(!role.is_watching());
 }
 
