--- a/crates/valvestage-policy/tests/fault_matrix/ablations.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/ablations.rs
@@ -16,13 +16,13 @@
     DeadlineFence,
     /// The object that was read last is put in force, also if it is older.
     NewestVersion,
-    /// Flows are placed by hash alone: there is no flow table, and former homes are not asked.
+    /// Flows are placed by hash alone: there is no flow table, and former homes are not queried.
     History,
     /// Neither balancers nor backend servers compare services.
     ServiceCheck,
     /// Operators write without a condition on the version that they read.
     ConditionalWrite,
-    /// A process that was paused goes on without noticing.
+    /// A process continues after a pause without noticing it.
     PauseDetection,
 }
 
@@ -62,8 +62,8 @@
     pub cell_count: usize,
 }
 
-/// Runs the singles, the repeated faults and the pair marked for it with each mechanism disabled in
-/// turn.
+/// Runs the singles, the repeated faults and the pairs that are ablation cases, with each mechanism
+/// disabled in turn.
 pub fn run_ablations() -> Vec<AblationRow> {
     let cells: Vec<_> = all_cells()
         .into_iter()
--- a/crates/valvestage-policy/tests/fault_matrix/caller.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/caller.rs
@@ -35,7 +35,8 @@
 /// Reply that a caller receives for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallerReply {
-    /// An answer; `got_wrong_answer` says whether any was incomplete or not its own.
+    /// An answer; [`Request::got_wrong_answer`] says whether it was incomplete or belonged to
+    /// another request.
     Answered,
     /// A refusal that says what is known of the request's execution.
     Refused(Outcome),
--- a/crates/valvestage-policy/tests/fault_matrix/checks.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/checks.rs
@@ -161,8 +161,8 @@
     }
 
     fn check_leaving_backends(&mut self) {
-        // A balancer that is cut off, or that hears from the platform late or not at all, cannot
-        // know of the change.
+        // A balancer that is partitioned, or that gets the platform's updates late or not at all,
+        // cannot know of the change.
         let is_exempt = self.any_fault(|fault| {
             matches!(
                 fault,
--- a/crates/valvestage-policy/tests/fault_matrix/fault_injection.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/fault_injection.rs
@@ -120,7 +120,8 @@
 
         let is_cut = matches!(fault, Fault::ZoneCutFromZones | Fault::ZoneCutFromAll);
         if is_cut && self.cell.kind == crate::cells::CellKind::Single {
-            // Callers on both sides of the cut send requests once the balancers have noticed it.
+            // Callers on both sides of the partition send requests once the balancers have noticed
+            // it.
             for (zone, round) in (0..12).flat_map(|turn| [(zone, turn), ((zone + 1) % 3, turn)]) {
                 let after = Duration::from_millis(1_600 + 250 * round);
                 self.schedule(after, Event::Timer(Timer::ZoneRequest(zone)));
@@ -224,7 +225,7 @@
         }
     }
 
-    /// Starts a new process without any state on the VM of one that was killed.
+    /// Starts a new process, without any state, on the VM of a killed one.
     pub fn restart(&mut self, id: BalancerId) {
         let Some(former) =
             self.nodes.get(&id).filter(|node| node.process_state == ProcessState::Dead)
--- a/crates/valvestage-policy/tests/fault_matrix/faults.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/faults.rs
@@ -26,11 +26,12 @@
     AnswersLost,
     /// Watches show the value that each object had before its last write.
     WatchLags,
-    /// The availability zone of the balancer at work is cut from the other zones.
+    /// The availability zone of the balancer at work is partitioned from the other zones.
     ZoneCutFromZones,
-    /// The availability zone of the balancer at work is cut from the platform.
+    /// The availability zone of the balancer at work is partitioned from the platform.
     ZoneCutFromPlatform,
-    /// The availability zone of the balancer at work is cut from everything but callers.
+    /// The availability zone of the balancer at work is partitioned from the other zones and from
+    /// the platform. Callers still reach it.
     ZoneCutFromAll,
     PacketsLost,
     PacketsDuplicated,
--- a/crates/valvestage-policy/tests/fault_matrix/network.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/network.rs
@@ -20,9 +20,9 @@
 /// Present condition of the simulated network.
 #[derive(Debug, Default)]
 pub struct Network {
-    /// Availability zones cut from the other zones.
+    /// Availability zones that are partitioned from the other zones.
     pub zones_cut_from_zones: BTreeSet<usize>,
-    /// Availability zones cut from the platform.
+    /// Availability zones that are partitioned from the platform.
     pub zones_cut_from_platform: BTreeSet<usize>,
     /// Fraction of the packets that are lost, 0 to 1.
     pub loss_fraction: f64,
@@ -58,7 +58,8 @@
     /// Sends a datagram, which may be lost, duplicated or delayed.
     ///
     /// `may_duplicate` is false on the last hop to a backend server, since no balancer could do
-    /// anything about a copy made there, and for copies that were already made by the sender.
+    /// anything about a duplicate made there, and for packets that the sender has already
+    /// duplicated.
     fn send_packet(&mut self, delay: Duration, event: Event, may_duplicate: bool) {
         if self.draw_fraction() < self.network.loss_fraction {
             return;
--- a/crates/valvestage-policy/tests/fault_matrix/scenario.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/scenario.rs
@@ -71,7 +71,7 @@
     LoadEnds,
 }
 
-/// Returns the id and availability zone of each balancer that is there from the start.
+/// Returns the id and availability zone of each balancer that runs from the start.
 pub fn balancers() -> Vec<(BalancerId, usize)> {
     vec![(1, 0), (2, 1), (3, 2), (4, 0), (5, 1)]
 }
--- a/crates/valvestage-policy/tests/fault_matrix/steps.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/steps.rs
@@ -7,13 +7,13 @@
     FlowOpening,
     /// A backend server has accepted a packet of a flow and answers it.
     FlowEstablished,
-    /// A request that must not be repeated has reached its owner.
+    /// A non-repeatable request has reached its owner.
     RequestAccepted,
-    /// The owner has dispatched such a request to a backend server.
+    /// The owner has dispatched a non-repeatable request to a backend server.
     RequestDispatched,
-    /// A backend server has started such a request.
+    /// A backend server has started a non-repeatable request.
     RequestRunning,
-    /// A backend server has finished such a request and sends the answer to the owner.
+    /// A backend server has finished a non-repeatable request and sends the answer to the owner.
     RequestAnswered,
     /// An operator writes a configuration change to the platform.
     ChangeSent,
--- a/crates/valvestage-policy/tests/fault_matrix/world.rs
+++ b/crates/valvestage-policy/tests/fault_matrix/world.rs
@@ -340,7 +340,7 @@
             }
             Event::CallerRefusal { id, caller, refusal } => {
                 self.log_request_event(id, || {
-                    format!("was told {:?} ({})", refusal.outcome, refusal.reason.label())
+                    format!("was refused as {:?} ({})", refusal.outcome, refusal.reason.label())
                 });
                 self.on_caller_reply(id, caller, CallerReply::Refused(refusal.outcome));
             }
--- a/crates/valvestage-policy/tests/simulation/backends.rs
+++ b/crates/valvestage-policy/tests/simulation/backends.rs
@@ -38,8 +38,8 @@
     pub name: BackendName,
     /// The next incarnation, once one has started under the same name.
     pub successor: Option<InstanceId>,
-    /// When the store first had the entry of this incarnation; None again if a restore lost it. It
-    /// means something only for the successor of another incarnation.
+    /// When the store first had the entry of this incarnation; None again if a restore lost it.
+    /// Oracles read it only for the successors of other incarnations.
     pub entry_stored_at: Option<Millis>,
     pub service: usize,
     pub zone: usize,
--- a/crates/valvestage-policy/tests/simulation/callers.rs
+++ b/crates/valvestage-policy/tests/simulation/callers.rs
@@ -8,11 +8,13 @@
 
 use crate::events::Millis;
 
-/// Times after the first opening packet at which it is sent again, and the timeout of the opening.
+/// Times after the first opening packet at which it is retransmitted, and the timeout of the
+/// opening.
 pub const OPENING_RESENDS_AT: [Millis; 2] = [200, 600];
 pub const OPENING_TIMEOUT: Millis = 1_400;
 
-/// Delay before a request is sent again for the first time; it doubles each time up to the longest.
+/// Delay before the first retransmission of a request, and the longest delay. The delay doubles
+/// with each retransmission.
 pub const FIRST_RESEND_DELAY: Millis = 200;
 pub const MAX_RESEND_DELAY: Millis = 1_600;
 
--- a/crates/valvestage-policy/tests/simulation/fault.rs
+++ b/crates/valvestage-policy/tests/simulation/fault.rs
@@ -14,16 +14,16 @@
 /// Longest duration of a fault, in milliseconds.
 const MAX_DURATION_MS: usize = 4_500;
 
-/// Smallest growth of the configuration after store calls stopped answering, in addresses, and the
-/// longest delay of the growth after that.
+/// Smallest growth of the configuration after open store calls stop being answered, in addresses,
+/// and the longest time between the two, in milliseconds.
 const MIN_LARGE_GROWTH: usize = 4_300;
 const MAX_GROWTH_DELAY_MS: usize = 900;
 
-/// Longest outage of a store that is restored from a backup.
+/// Longest outage of a store that is restored from a backup, in milliseconds.
 const MAX_RESTORE_OUTAGE_MS: usize = 2_500;
 
-/// Most faults of a restore seed begin within a window around the first restore: the window's start
-/// before the restore, and its length.
+/// Most faults of a restore seed begin within a window around the first restore: how long before
+/// the restore the window starts, and its length.
 const RESTORE_WINDOW_LEAD_MS: Millis = 3_000;
 const RESTORE_WINDOW_MS: usize = 8_000;
 
@@ -87,9 +87,9 @@
 /// How much a restored store has lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RestoreDepth {
-    /// The last so many changes.
+    /// This number of the last changes.
     Changes(u64),
-    /// The changes of the last milliseconds before the outage.
+    /// The changes of this many milliseconds before the outage.
     Age(Millis),
 }
 
@@ -97,8 +97,8 @@
 /// the ordinary faults.
 pub const BACKEND_RESTART_SEEDS: u64 = 1_000_000;
 
-/// First seed of the series that adds to those evacuations, and cold backend servers with their low
-/// limits.
+/// First seed of the series that adds evacuations, and cold backend servers with low limits, to the
+/// faults of the series before it.
 pub const ZONE_FAULT_SEEDS: u64 = 2_000_000;
 
 /// First seed of the series with only overlapping partitions, pauses, restarts and store outages.
@@ -218,7 +218,7 @@
 }
 
 /// Draws a loss of all open store calls, and a growth of the configuration before any balancer has
-/// detected it.
+/// detected the loss.
 fn draw_growth(draw: &mut SeededDraw) -> Vec<Fault> {
     let silent = with_random_time(FaultKind::SilentCalls, draw);
     let routes = MIN_LARGE_GROWTH + draw.below(MAX_ROUTES - MIN_LARGE_GROWTH);
--- a/crates/valvestage-policy/tests/simulation/main.rs
+++ b/crates/valvestage-policy/tests/simulation/main.rs
@@ -86,12 +86,12 @@
     ),
     (
         1_014_960,
-        "flows opened before a restart was known had a token that nobody knew after all balancers restarted",
+        "flows opened before a restart was known had a token that no balancer knew after all of them restarted",
     ),
     (1_015_120, "as seed 1014960"),
     (
         2_001_313,
-        "three flows missed answers in a partition, and a resent packet came just after it",
+        "three flows missed answers in a partition, and a retransmission arrived just after it",
     ),
     (2_001_430, "as seed 2001313"),
     (2_001_601, "as seed 2001313"),
@@ -280,11 +280,11 @@
     assert!(violations.is_empty(), "{:?}", violations[0]);
 }
 
-/// An entry lapses in a partition. A balancer learns of the lapse after the partition and from then
-/// on is heard by nobody, so that it never learns that the entry was written again. It ended flows
-/// when the return time had passed by its own clock. The trace shows `BackendChanged` with the
-/// phase ready at all other balancers, and three seconds later at this one a `Reset` of a flow that
-/// had been answered 536 ms before.
+/// An entry lapses in a partition. A balancer learns of the lapse after the partition, and from
+/// then on none of its messages arrive. Its requests are not answered, so it never learns that the
+/// entry was written again. It ended flows when the return time had passed by its own clock. The
+/// trace shows `BackendChanged` with the phase ready at all other balancers, and three seconds
+/// later at this one a `Reset` of a flow that had been answered 536 ms before.
 #[test]
 fn a_flow_that_moves_between_two_outages_stays() {
     let violations = run_seed(2_009_812, None);
@@ -342,7 +342,7 @@
     assert!(failed.is_empty());
 }
 
-/// Runs one seed and prints what `VALVESTAGE_TRACE` asks for. A failing seed runs with the smaller
+/// Runs one seed and prints what `VALVESTAGE_TRACE` selects. A failing seed runs with the smaller
 /// fault plan that still makes it fail.
 #[test]
 #[ignore = "by hand"]
--- a/crates/valvestage-policy/tests/simulation/oracles.rs
+++ b/crates/valvestage-policy/tests/simulation/oracles.rs
@@ -5,7 +5,8 @@
 /// A promise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Oracle {
-    /// A balancer resets no flow that its running backend server answered a moment ago.
+    /// A balancer resets no flow that its running backend server answered within
+    /// [`ANSWERED_WITHIN`].
     LivingFlowsStay,
     /// A balancer does not repeatedly drop packets of an open flow whose backend server is running.
     OpenFlowsGoOn,
@@ -56,7 +57,7 @@
     pub what: String,
 }
 
-/// A flow counts as living if its backend server answered on it within this time.
+/// A flow counts as live if its backend server answered on it within this time.
 pub const ANSWERED_WITHIN: Millis = 1_500;
 
 /// Number of packets of one request that balancers may drop.
--- a/crates/valvestage-policy/tests/simulation/seeds/dropped_packets.rs
+++ b/crates/valvestage-policy/tests/simulation/seeds/dropped_packets.rs
@@ -4,10 +4,10 @@
 //! lapsed, so that no balancer knows the backend servers of the flows there. After the partition,
 //! three or more packets of one request are dropped.
 //!
-//! Cause: packets that could not be decided about yet were dropped, also those that had waited for
-//! the balancer to be ready, and the caller doubles its delay before each further retransmission.
-//! If the store reports the entry only after the caller's deadline, no balancer can prevent the
-//! failure.
+//! Cause: packets that could not be decided about yet were dropped, including those that had waited
+//! for the balancer to be ready, and the caller doubles its delay before each further
+//! retransmission. If the store reports the entry only after the caller's deadline, no balancer can
+//! prevent the failure.
 //!
 //! In the trace: `Dropped` with the reason unknown token for each transmission, by a balancer whose
 //! `RoutesInForce` has the same millisecond, while the store has no entry of the backend server;
--- a/crates/valvestage-policy/tests/simulation/seeds/late_routes.rs
+++ b/crates/valvestage-policy/tests/simulation/seeds/late_routes.rs
@@ -10,7 +10,7 @@
 
 /// Four balancers have the configuration after 2.7 s, and twenty others request it from each of
 /// them. The requests were served in the same order everywhere, so that the last of ninety
-/// balancers had it 1.7 s later: in the trace `RoutesInForce` stands four times at one moment, and
+/// balancers had it 1.7 s later: in the trace `RoutesInForce` appears four times at one moment, and
 /// hardly again for 0.7 s.
 #[test]
 fn a_large_configuration_is_in_force_in_time_after_calls_fell_silent() {
--- a/crates/valvestage-policy/tests/simulation/seeds/living_flows.rs
+++ b/crates/valvestage-policy/tests/simulation/seeds/living_flows.rs
@@ -1,9 +1,9 @@
 //! A balancer resets a flow that its backend server answered a moment ago.
 //!
 //! A zone is partitioned, and the entries of its backend servers lapse although they run and serve
-//! the callers of their zone. A balancer that served such a flow before sends its caller an
-//! unprompted reset, or a balancer that receives the flow just after the partition answers its
-//! first packet with a reset.
+//! the callers of their zone. A balancer that served such a flow before sends its caller a
+//! proactive reset, or a balancer that receives the flow just after the partition answers its first
+//! packet with a reset.
 //!
 //! Cause: the balancer took the lapse for an end, by its own clock or because it had seen no
 //! answer. In a partition both also apply to a running backend server.
@@ -29,8 +29,8 @@
 }
 
 /// A flow moves to a balancer whose zone is partitioned from its backend server. Its packet is lost
-/// in the partition, and the retransmission arrives 26 ms after the partition, before any balancer
-/// of the other zone has been heard again.
+/// in the partition, and the retransmission arrives 26 ms after the partition, before a message of
+/// any balancer in the other zone has arrived again.
 #[test]
 fn a_flow_that_moves_in_a_cut_and_sends_just_after_it_stays() {
     assert_no_violations(&[2_300_695]);
--- a/crates/valvestage-policy/tests/simulation/seeds/restored_stores.rs
+++ b/crates/valvestage-policy/tests/simulation/seeds/restored_stores.rs
@@ -9,8 +9,9 @@
     assert_no_violations(&[5_003_403, 5_004_777]);
 }
 
-/// Watches that are to confirm that the store has settled end 20 ms after that. If a change came
-/// just before, the next watch lasted 1.5 s, and conflicting entries were accepted that much later.
+/// The watches that are to confirm that the store has settled end 20 ms after it has. If a change
+/// came just before, the next watch lasted 1.5 s, and conflicting entries were accepted that much
+/// later.
 #[test]
 fn contested_entries_are_admitted_soon_after_the_store_has_settled() {
     assert_no_violations(&[5_000_703, 5_001_091]);
@@ -19,7 +20,7 @@
 /// A backend server drains and ends in a partition, and its entry is deleted. Balancers that list
 /// the store after the partition mark the entry, known to them from a former era, as missing. They
 /// took a peer's report of the entry in the new era for its return, although the list was later: in
-/// the trace `BackendMissing` and `BackendChanged` with the phase draining stand 4 ms apart at
+/// the trace `BackendMissing` and `BackendChanged` with the phase draining are 4 ms apart at
 /// balancers 5 and 8.
 #[test]
 fn an_entry_of_an_older_copy_is_not_believed_in_after_a_cut() {
@@ -27,8 +28,9 @@
 }
 
 /// The store fails again while an entry of the backup is in conflict. The entry does not lapse
-/// meanwhile, its successor cannot be written, and the entry is accepted once the time is over. The
-/// successor, written later, was taken permanently for one that the old entry had superseded.
+/// meanwhile, its successor cannot be written, and the entry is accepted once the store counts as
+/// settled. The successor, written later, was taken permanently for one that the old entry had
+/// superseded.
 #[test]
 fn a_start_that_an_older_entry_seemed_to_supersede_is_learned() {
     assert_no_violations(&[5_100_443]);
--- a/crates/valvestage-policy/tests/simulation/seeds/stale_beliefs.rs
+++ b/crates/valvestage-policy/tests/simulation/seeds/stale_beliefs.rs
@@ -8,8 +8,9 @@
 //! Cause: a balancer that got the changes from either of them knows all changes up to that
 //! revision, and queries no other peer. The conclusions differed because one balancer did not know
 //! an entry that the others knew: it had read the store without the entry, and accepted a peer's
-//! later report of it as if it were in the store (2,014,712); or it had read the entry as unusable,
-//! and took the incarnation under that name for gone since an earlier lapse (2,016,408).
+//! later report of it as if it were in the store (seed 2_014_712); or it had read the entry as
+//! unusable, and took the incarnation under that name for gone since an earlier lapse (seed
+//! 2_016_408).
 //!
 //! In the trace: heartbeats that report the same complete position and the same last change, by
 //! balancers of which one has `BackendChanged` with the phase gone at that revision and the other
@@ -50,8 +51,8 @@
 /// An entry lapses in a partition. A balancer that starts meanwhile learns of it as already gone,
 /// at the position that the entry had while it was present. Another balancer records the entry as
 /// missing, requests everything from the first one again and again, and takes the entry, which is
-/// reported as gone, for present. In the trace `Asked` from the start position stands once a second
-/// until the end.
+/// reported as gone, for present. In the trace `Asked` from the start position appears once a
+/// second until the end.
 #[test]
 fn an_end_that_is_told_at_the_position_of_the_entry_is_learned() {
     assert_no_violations(&[2_300_643, 2_302_693, 2_303_151]);
--- a/crates/valvestage-policy/tests/simulation/world.rs
+++ b/crates/valvestage-policy/tests/simulation/world.rs
@@ -56,7 +56,7 @@
     store: FakeStore,
     /// End of the last fault that affected the store.
     store_disturbed_at: Millis,
-    /// Whether entries lapse although the store is away.
+    /// Whether entries lapse although the store is unavailable.
     entries_lapse_while_away: bool,
     balancers: Vec<Balancer>,
     links: Option<LinkTable>,
--- a/crates/valvestage-policy/tests/simulation/world/checks.rs
+++ b/crates/valvestage-policy/tests/simulation/world/checks.rs
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Checks that an undisturbed balancer does not take an incarnation for running whose successor
+    /// Checks that no undisturbed balancer takes an incarnation for running although its successor
     /// has been in the store for longer than `KNOWN_WITHIN`.
     fn check_incarnations(&mut self, balancer: BalancerNumber) {
         if !self.is_undisturbed(balancer) {
@@ -128,8 +128,9 @@
         }
     }
 
-    /// Checks an opening packet that reaches a backend server against the rate limit of cold ones.
-    /// Retransmissions of an opening packet whose flow is already known are not counted.
+    /// Checks an opening packet that reaches a backend server against the rate limit, if the
+    /// backend server is cold. Retransmissions of an opening packet whose flow is already known are
+    /// not counted.
     pub(super) fn check_cold_rate(
         &mut self,
         instance: InstanceId,
--- a/crates/valvestage-policy/tests/simulation/world/faults.rs
+++ b/crates/valvestage-policy/tests/simulation/world/faults.rs
@@ -20,8 +20,8 @@
 /// Duration of a rolling restart of all balancers.
 const ROLLING_RESTART_MS: Millis = 4_000;
 
-/// After a restore of the store the operator writes again within the first time, and backend
-/// servers within the second one plus the interval between two writes.
+/// After a restore of the store, the operator writes again within the first of these times, and
+/// backend servers within the second one plus `WRITE_INTERVAL_MS`. Both are in milliseconds.
 const OPERATOR_WRITES_WITHIN: usize = 2_000;
 const BACKENDS_WRITE_WITHIN: usize = 1_200;
 
@@ -214,7 +214,8 @@
         }
     }
 
-    /// Writes the operator's configuration, unless the store is away and would refuse it.
+    /// Writes the operator's configuration, unless the store is unavailable and would not accept
+    /// it.
     fn write_configuration_if_possible(&mut self) {
         if self.store.mode == StoreMode::Answers {
             self.write_configuration();
@@ -248,8 +249,8 @@
         }
     }
 
-    /// Writes the operator's request for an evacuation, unless the store is away or the deployment
-    /// has no evacuations.
+    /// Writes the operator's request for an evacuation, unless the store is unavailable or the
+    /// deployment has no evacuations.
     fn evacuate(&mut self, zone: usize) {
         if self.store.mode == StoreMode::Answers && self.plan.places.is_some() {
             self.wanted_evacuations[zone] = true;
@@ -448,7 +449,7 @@
         self.backends.values().any(|backend| !backend.has_ended && backend.address == address)
     }
 
-    /// Starts the next incarnation of a crashed backend server, one whose address is not in use.
+    /// Starts the next incarnation of a crashed backend server whose address is not in use.
     fn restart_crashed_backend(&mut self, pick: usize) {
         let has_crashed = |backend: &&Backend| {
             backend.has_ended
--- a/crates/valvestage-policy/tests/simulation/world/flows.rs
+++ b/crates/valvestage-policy/tests/simulation/world/flows.rs
@@ -131,8 +131,8 @@
     }
 
     /// Handles a balancer's refusal of an opening packet. If the flow has been opened through
-    /// another balancer meanwhile, its caller ignores the reset: its sequence number is near that
-    /// of the first byte, and an open flow is far beyond that.
+    /// another balancer meanwhile, its caller ignores the reset: the sequence number of the reset
+    /// is near that of the flow's first byte, and the open flow is far beyond it.
     fn refuse_opening(&mut self, balancer: BalancerNumber, flow: FlowNumber) {
         if self.flows[flow].state == FlowState::Opening {
             let answer = Answer::BalancerReset(balancer);
@@ -163,9 +163,9 @@
     }
 
     /// Reports whether a flow could go on through a balancer: its backend server is running and has
-    /// responded since its last answer, no partition separates the two, and no configuration has
-    /// removed the flow's address since the flow was opened. Otherwise a reset is better for the
-    /// caller than waiting.
+    /// not stopped responding since its last answer, no partition separates the two, and no
+    /// configuration has removed the flow's address since the flow was opened. Otherwise a reset is
+    /// better for the caller than waiting.
     fn can_go_on(&self, balancer: BalancerNumber, instance: InstanceId, flow: &CallerFlow) -> bool {
         let zone = self.plan.zone_of(balancer);
         let has_path = self.is_connected(zone, self.backends[&instance].zone);
@@ -183,7 +183,8 @@
         backend.is_some_and(|backend| !backend.has_ended && !backend.is_silent(self.now))
     }
 
-    /// Returns the copies of a packet that a balancer holds, with one more.
+    /// Returns the copies of a packet that a balancer holds, including the one that has just
+    /// arrived.
     fn held_copies_with(
         &self,
         balancer: BalancerNumber,
--- a/crates/valvestage-policy/tests/simulation/world/knowledge.rs
+++ b/crates/valvestage-policy/tests/simulation/world/knowledge.rs
@@ -253,7 +253,7 @@
                         self.store.put_entry(entry, self.now);
                     }
                 } else if is_away && !self.entries_lapse_while_away {
-                    // A store that is away keeps its entries: they do not age.
+                    // An unavailable store keeps its entries: they do not age.
                     backend.last_written_at = self.now - WRITE_INTERVAL_MS;
                 }
             }
--- a/crates/valvestage-policy/tests/steering/backend_restarts.rs
+++ b/crates/valvestage-policy/tests/steering/backend_restarts.rs
@@ -1,6 +1,6 @@
 //! Guards against treating a restarted backend server as the process before it. A backend server
 //! that crashes and restarts under its name before its entry lapses leaves one entry in the store,
-//! without a gap. But its flows are gone, and the health data of the old process says nothing of
+//! without a gap. But its flows are gone, and the health data of the old process says nothing about
 //! the new one.
 
 use std::time::{Duration, Instant};
--- a/crates/valvestage-policy/tests/steering/cold_backends.rs
+++ b/crates/valvestage-policy/tests/steering/cold_backends.rs
@@ -189,8 +189,8 @@
     }
 }
 
-/// Prints the used share, also where it is below [`AIM`]: with few holders, the room kept for one
-/// more is a large part of the limit.
+/// Prints the used share, also where it is below [`MIN_USED_SHARE`]: with few holders, the room
+/// kept for one more is a large part of the limit.
 #[test]
 #[ignore = "by hand"]
 fn table_of_what_is_used() {
@@ -214,7 +214,7 @@
 #[test]
 fn one_holder_unknown_to_others_does_not_break_the_limit() {
     let mut zone = ColdZone::new(30, 3.0);
-    // The last balancer counts as settled, but half of the others have not heard of it.
+    // The last balancer counts as settled, but half of the others do not know it.
     for members in zone.members.iter_mut().take(15) {
         members.others.retain(|other| *other != member(29));
     }
--- a/crates/valvestage-policy/tests/steering/comparisons.rs
+++ b/crates/valvestage-policy/tests/steering/comparisons.rs
@@ -1,8 +1,8 @@
 //! Guards against balancers that consider a removed backend server live for good. Two balancers may
 //! conclude different ends from the same reading of the store, and so at the same revision. A third
-//! one that heard from one of them knows all changes up to that revision, and requests nothing
-//! more. Without comparisons, two of 15,000 simulated series of faults end so, nine seconds after
-//! the last fault.
+//! balancer that got the changes from one of them knows all changes up to that revision, and
+//! requests nothing more. Without comparisons, two of 15,000 simulated series of faults end in this
+//! state, nine seconds after the last fault.
 
 use valvestage_policy::steering::peers::backend_parts::backends_messages;
 use valvestage_policy::steering::peers::peer_message::{
@@ -51,8 +51,8 @@
     }
 }
 
-/// Lets a balancer hear that a peer knows more, so that it requests everything, and answers with the
-/// contents of the peer's directory.
+/// Sends a balancer the heartbeat of a peer that knows more, so that it requests everything, and
+/// then the contents of that peer's directory.
 fn announce_and_send_directory(
     deployment: &mut Deployment,
     node: usize,
@@ -121,7 +121,8 @@
     let before = deployment.messages;
     deployment.run(millis(10_000));
     let messages = deployment.messages - before;
-    // Four heartbeats each 400 ms, and those that announce a confirmation by the store.
+    // Each balancer sends four heartbeats every 400 ms, and further ones that announce a
+    // confirmation by the store.
     assert!(messages <= 8 * 4 * 40, "{messages} messages");
 }
 
@@ -139,7 +140,8 @@
 }
 
 /// A lapsed entry was written again, and overwritten by another writer before this balancer read
-/// it. Others have seen it in between, so its removal must be noticed here, too.
+/// it. Other balancers have read it in between and take it for present, so it must not stay gone
+/// here, or its later end would not be noticed.
 #[test]
 fn a_lapsed_entry_that_returns_unusable_is_not_gone() {
     let mut directory = BackendDirectory::default();
@@ -159,8 +161,8 @@
     assert!(!directory.mark_unusable(1, at(28)));
 }
 
-/// A balancer has read the store, and other entries are missing there. A peer reports an entry that
-/// was absent then, at a revision that was read.
+/// A balancer has read the store while another entry is missing. A peer reports an entry that the
+/// balancer did not find there, at a revision that it has read.
 #[test]
 fn a_peer_entry_that_was_absent_when_the_store_was_read_is_missing() {
     let mut directory = BackendDirectory::default();
--- a/crates/valvestage-policy/tests/steering/directory.rs
+++ b/crates/valvestage-policy/tests/steering/directory.rs
@@ -163,8 +163,8 @@
 
     assert!(directory.apply_peer_entry(backend(1, "core", OWN_ZONE), now).is_empty());
     assert!(directory.has_missing());
-    // The store shows it again at the same position: it was never removed. Later a peer reports
-    // that it has returned.
+    // The store shows the entry again at the same position: it was never removed. Later a peer
+    // reports that it has returned.
     assert_eq!(directory.apply_entry(backend(1, "core", OWN_ZONE), now), [1]);
     directory.mark_missing(1, now + millis(2_300));
     let returned = BackendEntry { position: at(9), ..backend(1, "core", OWN_ZONE) };
@@ -177,8 +177,8 @@
     let (mut directory, now) = (BackendDirectory::default(), start());
     directory.put(backend(1, "core", OWN_ZONE));
     directory.complete(at(1));
-    // It lapsed, returned and was removed again while this balancer read nothing. The list of
-    // revision 9 does not have it.
+    // The entry lapsed, returned and was removed again while this balancer read nothing. The list
+    // of revision 9 does not have the entry.
     directory.mark_missing(1, now + millis(2_300));
     directory.complete(at(9));
 
@@ -186,7 +186,7 @@
     directory.apply_peer_entry(peer_entry, now);
     assert!(directory.has_missing());
     assert_eq!(directory.get(1).unwrap().position, at(6));
-    // The next list began after its deadline.
+    // The next list began after the deadline of the missing entry.
     assert_eq!(directory.expire_missing(now + millis(2_400)), [1]);
     assert_eq!(directory.complete_until(), at(9));
 }
--- a/crates/valvestage-policy/tests/steering/ended_flows.rs
+++ b/crates/valvestage-policy/tests/steering/ended_flows.rs
@@ -2,7 +2,7 @@
 //!
 //! A backend server dies while flows on it are idle, and while callers wait for answers to requests
 //! that it has acknowledged: neither kind of caller sends a packet that could be answered with a
-//! reset. A caller whose next request is the first packet on the dead flow has sent it in vain, and
+//! reset. A caller whose next request is the first packet on the dead flow loses the request, and
 //! cannot repeat it if it is not idempotent. Where a quarter of the backend servers of a site stop
 //! answering, most lost requests are of this kind.
 
@@ -286,7 +286,7 @@
     assert_eq!(verdict, PacketVerdict::Reset(ResetReason::BackendSilent));
 }
 
-/// A zone is cut off for a second, and callers retransmit just after that.
+/// A zone is partitioned for a second, and callers retransmit just after the partition.
 #[test]
 fn a_suspected_backend_server_in_another_zone_is_probed_on_each_flow() {
     let mut site = before_third_retransmission_in(OTHER_ZONE);
--- a/crates/valvestage-policy/tests/steering/evacuations.rs
+++ b/crates/valvestage-policy/tests/steering/evacuations.rs
@@ -1,6 +1,6 @@
-//! Operators evacuate an availability zone, and lift the evacuation, while other faults go on. New
-//! flows leave the zone within a second, open flows stay, and callers in a zone that is also cut
-//! off are served by its own backend servers.
+//! Operators evacuate an availability zone, and lift the evacuation, while other faults occur. New
+//! flows leave the zone within a second, open flows stay, and callers in a zone that is also
+//! partitioned are served by its own backend servers.
 
 use std::time::Duration;
 
--- a/crates/valvestage-policy/tests/steering/fixtures.rs
+++ b/crates/valvestage-policy/tests/steering/fixtures.rs
@@ -83,7 +83,7 @@
     knowledge
 }
 
-/// Returns the opening packet of a flow, retransmitted that many times so far.
+/// Returns the opening packet of a flow after this number of retransmissions.
 pub fn opening(flow: FlowAddresses, retransmissions: u32) -> CallerPacket {
     CallerPacket {
         flow,
--- a/crates/valvestage-policy/tests/steering/held_packets.rs
+++ b/crates/valvestage-policy/tests/steering/held_packets.rs
@@ -1,10 +1,10 @@
 //! Guards against packets that are dropped, or answered a second late, after a restart.
 //!
-//! All balancers restart while an availability zone is cut off. The entries of its backend servers
-//! have lapsed, so no balancer knows the backend servers of their flows until the entries return,
-//! some 0.8 s after the partition. Callers retransmit a request after 200 ms, and then double the
-//! interval: a retransmission that arrives just before the entry is read would be the last for 0.8
-//! to 1.6 s, more than half of the time that a caller allows for a request.
+//! All balancers restart while an availability zone is partitioned. The entries of its backend
+//! servers have lapsed, so no balancer knows the backend servers of their flows until the entries
+//! return, some 0.8 s after the partition. Callers retransmit a request after 200 ms, and then
+//! double the interval: a retransmission that arrives just before the entry is read would be the
+//! last for 0.8 to 1.6 s, more than half of the time that a caller allows for a request.
 
 use std::time::Instant;
 
--- a/crates/valvestage-policy/tests/steering/keepers.rs
+++ b/crates/valvestage-policy/tests/steering/keepers.rs
@@ -130,7 +130,8 @@
     deployment.store_down = true;
     deployment.run(millis(4_000));
 
-    // They lapse during the outage. The store returns, and 1.5 s later so do they.
+    // Three entries lapse during the outage. The store answers again, and 1.5 s later two of them
+    // return.
     for instance in 1..=3 {
         deployment.store.delete_backend(instance);
     }
@@ -186,8 +187,8 @@
     lapse_in_an_outage(&mut deployment);
     deployment.run(millis(500));
 
-    // Its backend server could not write it in that moment, and the next outage is longer than the
-    // time within which entries return.
+    // The backend server could not write its entry while the store answered, and the next outage is
+    // longer than the time within which entries return.
     deployment.store_down = true;
     for _ in 0..5_000 {
         deployment.run(millis(1));
@@ -211,7 +212,8 @@
     lapse_in_an_outage(&mut deployment);
     deployment.run(millis(1_500));
 
-    // All balancers know that it is missing. One of them hears nothing more while it returns.
+    // All balancers know that the entry is missing. One of them is isolated while the entry
+    // returns.
     let isolated = 5;
     deployment.disconnected_from_store = vec![isolated];
     deployment.disconnected_from_peers = vec![isolated];
@@ -233,7 +235,7 @@
     deployment.store.watched_until = Some(deployment.store.revision);
     deployment.run(millis(1_500));
 
-    // It returns in time, and watches show it much later.
+    // The entry returns in time, and watches show it much later.
     deployment.store.put_backend(backend(1, "core", OWN_ZONE));
     for _ in 0..6_000 {
         deployment.run(millis(1));
@@ -267,8 +269,8 @@
 
 #[test]
 fn a_balancer_that_was_isolated_brings_no_gone_entry_back() {
-    // When it is heard again, and when it last called the store, depends on the length of the
-    // partition.
+    // When its messages arrive again, and when it last called the store, depends on the length of
+    // the partition.
     for step in 0..8 {
         check_nothing_returns_after(70_000 + step * 300);
     }
@@ -320,7 +322,8 @@
     deployment.store.delete_backend(4);
     deployment.run(millis(3_000));
 
-    // Packets of its flows still arrive, and their callers should be sent resets at once.
+    // Packets of the flows of backend server 4 still arrive, and their callers should be sent
+    // resets at once.
     deployment.start(6);
     let took = deployment.run_until(|now| {
         now.node(6).knowledge().directory.get(4).is_some_and(BackendEntry::is_gone)
@@ -452,7 +455,8 @@
     deployment.run(millis(5_000));
     let calls = deployment.store.calls - before;
     assert!(deployment.watchers() <= 4, "{} followers", deployment.watchers());
-    // Two followers, each with a watch of 1.5 s for either kind, and one that comes or goes.
+    // Two followers, each with a watch of 1.5 s for either kind of object, and one balancer that
+    // starts or stops following.
     assert!(calls <= 30, "{calls} calls in 5 s");
 }
 
@@ -465,8 +469,8 @@
     deployment.store.delete_backend(2);
     deployment.store_down = false;
 
-    // It reads the list without the lapsed entries, and the others learn from it that there is a
-    // newer state.
+    // Balancer 6 reads the list without the lapsed entries, and the others learn from it that there
+    // is a newer state.
     deployment.disconnected_from_peers = vec![6];
     deployment.start(6);
     deployment.run_until(|now| now.node(6).is_ready());
--- a/crates/valvestage-policy/tests/steering/lapses.rs
+++ b/crates/valvestage-policy/tests/steering/lapses.rs
@@ -179,7 +179,7 @@
 
     site.wait(millis(500));
     site.lapse();
-    // The store failed to answer 2 s later, and answers again 0.5 s after that.
+    // The store fails to answer 2 s later, and answers again 0.5 s after that.
     site.wait(millis(2_000));
     site.known.settle_at(site.now + millis(3_100));
     site.wait(millis(500));
@@ -189,8 +189,8 @@
     assert_ends(site.request());
 }
 
-/// Lets the entry of a backend server lapse that this balancer has had no packets from, followed by
-/// a store outage.
+/// Lets the entry of a backend server lapse, and then begins a store outage. This balancer has seen
+/// no packets of the backend server's flows.
 fn after_an_unseen_lapse() -> Site {
     let mut site = Site::with_open_flow(OWN_ZONE);
     site.known.directory.put(backend(3, "core", OTHER_ZONE));
@@ -262,7 +262,7 @@
 }
 
 /// Creates a balancer that has just started and reads an entry in the store, which lapses 600 ms
-/// later. It had no time to see whether the backend server shows life.
+/// later. The balancer has had no time to see whether the backend server shows life.
 fn lapsed_after_start() -> Site {
     let mut site = Site::with_open_flow(OWN_ZONE);
     site.known.directory.put(backend(3, "core", OTHER_ZONE));
@@ -319,8 +319,8 @@
     assert_stays(site.send(&data(flow(1), BackendDirectory::token_of(1), 1_101, 100, 900)));
 }
 
-/// A balancer that receives messages but is not heard gets no answers to its requests for what the
-/// others know more, and the entry may have returned.
+/// A balancer that receives messages, but whose own messages are lost, gets no answers to its
+/// requests for the changes that only others know, and the entry may have returned.
 #[test]
 fn a_balancer_that_is_behind_its_peers_ends_no_flow() {
     let mut site = Site::with_open_flow(OWN_ZONE);
--- a/crates/valvestage-policy/tests/steering/large_answers.rs
+++ b/crates/valvestage-policy/tests/steering/large_answers.rs
@@ -6,7 +6,7 @@
 //! which the link's queue took the first 64 KB. The rest was lost, the same parts each time (101 to
 //! 106 of the 118 arrived, always the first ones), and with it the changes of backend servers
 //! behind it. The parts that had arrived were not reused for the next answer. An answer therefore
-//! needs a limit on what is sent at once, and a way to ask for the rest.
+//! needs a limit on what is sent at once, and a way to request the rest.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -85,14 +85,15 @@
 }
 
 /// Time left to spread a configuration, in milliseconds. Balancers whose connections fell silent
-/// are held to bounds again after 4 s. Of these, up to 2.2 s pass until others notice that the
-/// store answers nobody, and 0.85 s until one of them has read the configuration over a slow link.
+/// are held to bounds again after 4 s. Of these 4 s, up to 2.2 s pass until others notice that the
+/// store answers no balancer, and 0.85 s until one of them has read the configuration over a slow
+/// link.
 const SPREAD_BOUND_MS: u64 = 950;
 
 /// Guards against balancers that answer all pulls in equal turns. A few have the configuration at
-/// first, and all others ask them at once. A balancer that has received some of it is served first,
-/// so that others soon have all of it and can answer too. With equal turns, all would complete at
-/// the same late moment.
+/// first, and all others request it from them at once. A balancer that has received some of it is
+/// served first, so that others soon have all of it and can answer too. With equal turns, all would
+/// complete at the same late moment.
 #[test]
 fn ninety_receive_a_large_configuration_before_their_time_is_over() {
     let mut deployment = settled(90, SLOW_LINK);
@@ -189,8 +190,8 @@
     assert_eq!(deployment.node(5).knowledge().directory.iter().count(), 5_400);
 }
 
-/// Guards against answering in equal turns when many balancers ask a few others for all backend
-/// servers at once: all would complete at the same late moment, and none could answer others
+/// Guards against answering in equal turns when many balancers request all backend servers from a
+/// few others at once: all would complete at the same late moment, and none could answer others
 /// before.
 #[test]
 fn many_balancers_that_pull_backend_servers_from_few_are_ready_soon() {
--- a/crates/valvestage-policy/tests/steering/late_messages.rs
+++ b/crates/valvestage-policy/tests/steering/late_messages.rs
@@ -2,7 +2,7 @@
 //!
 //! While a balancer is paused, received messages wait to be read, and the ages in them are then too
 //! low by the length of the pause. Forwarded as fresh, they kept 75 balancers from noticing for 2 s
-//! that the store answered nobody any more, and a configuration came into force 0.3 s too late.
+//! that the store had stopped answering, and a configuration came into force 0.3 s too late.
 
 use std::time::{Duration, Instant};
 
--- a/crates/valvestage-policy/tests/steering/links.rs
+++ b/crates/valvestage-policy/tests/steering/links.rs
@@ -37,7 +37,7 @@
         Self { limits, idle_at: vec![None; count], bytes: 0, draw: SeededDraw::new(7) }
     }
 
-    /// Returns the value of the `link_mbps` setting for such a link.
+    /// Returns the value of the `link_mbps` setting for these links.
     #[allow(dead_code, reason = "not every test that has links asks for it")]
     pub fn mbps(&self) -> f64 {
         f64::from(self.limits.bytes_per_s) * 8.0 / 1e6
--- a/crates/valvestage-policy/tests/steering/outliers.rs
+++ b/crates/valvestage-policy/tests/steering/outliers.rs
@@ -15,8 +15,8 @@
 const SERVER: u64 = 7;
 const OTHERS: [u64; 3] = [8, 9, 10];
 
-/// Observes requests at all backend servers, of which some end badly at [`SERVER`] only. Returns
-/// the time at which it was first avoided.
+/// Observes requests at all backend servers. Only at [`SERVER`] some of them end badly. Returns the
+/// time at which it was first avoided.
 fn observe_some(
     detector: &mut OutlierDetector,
     is_poor: impl Fn(u64) -> bool,
--- a/crates/valvestage-policy/tests/steering/partitioned_zones.rs
+++ b/crates/valvestage-policy/tests/steering/partitioned_zones.rs
@@ -1,6 +1,6 @@
 //! Guards against resets of flows that go on at the other side of a network partition.
 //!
-//! An availability zone is cut off for some seconds. The entries of its backend servers lapse,
+//! An availability zone is partitioned for some seconds. The entries of its backend servers lapse,
 //! though the backend servers go on serving the callers of their zone through the balancers there.
 //! A balancer on the other side learns of the lapse, and has a record of a flow that it served
 //! before, or gets a flow whose balancer restarts. A reset would end a flow that was answered a
@@ -85,7 +85,7 @@
         self.send(&data(flow(port), BackendDirectory::token_of(1), 2_001, 100, 900))
     }
 
-    /// Cuts off the zone of the backend server, whose entry lapses just before the end of the
+    /// Partitions the zone of the backend server, whose entry lapses just before the end of the
     /// partition. Returns the flows that were reset meanwhile.
     fn partition_other_zone(&mut self) -> Vec<FlowAddresses> {
         self.reachable_zones = vec![THIRD];
--- a/crates/valvestage-policy/tests/steering/peers.rs
+++ b/crates/valvestage-policy/tests/steering/peers.rs
@@ -131,7 +131,7 @@
     assert!(matches!(&messages[..], [PeerMessage::RoutesIndex(index)] if index.version == 3));
 }
 
-/// Returns the index of a configuration if it fits into one datagram.
+/// Returns the index of a configuration, which has to fit into one datagram.
 fn index_of(catalogue: &RouteCatalogue) -> RoutesIndex {
     match &catalogue.index_messages()[..] {
         [PeerMessage::RoutesIndex(index)] => index.clone(),
--- a/crates/valvestage-policy/tests/steering/restored_store.rs
+++ b/crates/valvestage-policy/tests/steering/restored_store.rs
@@ -1,6 +1,6 @@
 //! Guards against ignoring changes after the store is restored from a backup that is some seconds
-//! old. The store is in its next era then, and gives out revisions again that balancers know for
-//! other changes.
+//! old. The store is in its next era then, and assigns revisions again that balancers already know,
+//! now to other changes.
 //!
 //! If knowledge is compared by bare revisions, balancers that know all changes up to revision 26
 //! ignore a drain at revision 23, so requests still reach a backend server 3.0 s after the store
@@ -14,11 +14,10 @@
 use crate::deployment::Deployment;
 use crate::fixtures::{OTHER_ZONE, OWN_ZONE, backend, millis, routes};
 
-/// Within this time a draining backend server gets no new flows any more, and a new configuration
-/// is in force.
+/// Time within which all balancers have to know a drain, and to have a new configuration in force.
 const KNOWN_WITHIN: Duration = Duration::from_secs(3);
 
-/// How long the store is away.
+/// How long the store is unavailable before it is restored.
 const AWAY_FOR: Duration = Duration::from_millis(2_600);
 
 /// The newest configuration version that balancers know.
@@ -45,7 +44,7 @@
     deployment
 }
 
-/// Takes the store away, and restores it without its last changes.
+/// Makes the store unavailable, and then restores it without its last changes.
 fn restore(deployment: &mut Deployment, lost_changes: u64) {
     deployment.store_down = true;
     deployment.run(AWAY_FOR);
@@ -107,7 +106,8 @@
     deployment.store.put_backend(draining(2));
     deployment.run_until(|now| is_draining_everywhere(now, 2));
 
-    // The backup shows it as ready, and only later does it write again that it drains.
+    // The backup shows the backend server as ready, and only later does the backend server write
+    // again that it drains.
     restore(&mut deployment, 1);
     for _ in 0..150 {
         deployment.run(millis(10));
@@ -126,7 +126,7 @@
     deployment.store.delete_backend(2);
     deployment.run(millis(2_000));
 
-    // The backup shows it as ready until its entry lapses.
+    // The backup shows the backend server as ready until its entry lapses.
     restore(&mut deployment, 2);
     for _ in 0..230 {
         deployment.run(millis(10));
@@ -218,7 +218,8 @@
     assert!(took <= KNOWN_WITHIN, "{took:?}");
 }
 
-/// It knows only the new era, of which the others have not heard.
+/// The balancer starts isolated from its peers, and knows only the new era. The others know the
+/// former era as well.
 #[test]
 fn a_balancer_that_starts_in_the_new_era_agrees_with_the_others() {
     let mut deployment = settled(8);
@@ -235,8 +236,8 @@
     assert!(is_draining_everywhere(&deployment, 2));
 }
 
-/// It hears of the new era 5 s later, and its knowledge of the former era must not overwrite
-/// anything.
+/// The balancer learns of the new era 5 s later, and its knowledge of the former era must not
+/// overwrite anything.
 #[test]
 fn a_balancer_that_was_paused_during_a_restore_brings_nothing_back() {
     let mut deployment = settled(8);
--- a/crates/valvestage-policy/tests/steering/slow_store.rs
+++ b/crates/valvestage-policy/tests/steering/slow_store.rs
@@ -20,7 +20,7 @@
 const IN_FORCE: Duration = Duration::from_secs(3);
 
 /// Calls of two followers in 5 s, with a watch of at least 0.75 s for each of two kinds of objects,
-/// and the calls of one balancer that begins or stops.
+/// and the calls of one balancer that starts or stops following the store.
 const MAX_CALLS: usize = 32;
 
 /// Messages of one balancer in 5 s: four heartbeats every 400 ms, and twice as many for those that
@@ -38,8 +38,8 @@
     deployment
 }
 
-/// Returns a deployment after an outage of the store that lasted until all balancers had tried in
-/// vain.
+/// Returns a deployment after an outage of the store that lasted until all balancers had tried to
+/// read it without success.
 fn after_an_outage(count: usize) -> Deployment {
     let mut deployment = settled(count);
 
--- a/crates/valvestage-policy/tests/steering/unresolved_tokens.rs
+++ b/crates/valvestage-policy/tests/steering/unresolved_tokens.rs
@@ -1,9 +1,9 @@
 //! Guards against dropped packets whose tokens only a peer can resolve.
 //!
-//! Two availability zones are cut off from each other, and from the store. A balancer in one zone
-//! has read the entries before they lapsed, and keeps them as missing; a balancer in the other zone
-//! has started and read the store since. When the partition ends while the store does not answer,
-//! the latter gets flows whose backend servers only the former knows.
+//! Two availability zones are partitioned from each other and from the store. A balancer in one
+//! zone has read the entries before they lapsed, and keeps them as missing; a balancer in the other
+//! zone has started and read the store since. When the partition ends while the store does not
+//! answer, the second balancer gets flows whose backend servers only the first one knows.
 
 use std::time::{Duration, Instant};
 
--- a/crates/valvestage-policy/tests/steering/watch_role.rs
+++ b/crates/valvestage-policy/tests/steering/watch_role.rs
@@ -17,7 +17,7 @@
     }
 }
 
-/// Odd addresses are in one zone, even ones in the other.
+/// Returns the zone of an address: odd addresses are in one zone, even ones in the other.
 fn zone_of(last: u8) -> &'static str {
     if last % 2 == 1 { OWN_ZONE } else { OTHER_ZONE }
 }
@@ -99,7 +99,7 @@
     let now = start();
     let mut role = stopped(now);
 
-    // Both followers fail at once. The steps are heartbeats.
+    // Both followers fail at once. The balancer takes a step every 100 ms.
     let mut at = now;
     while !role.is_watching() {
         at += millis(100);
@@ -169,7 +169,7 @@
     role.step(unknowing, now + millis(20));
     assert!(!role.is_watching());
 
-    // Its answer is lost, while others follow the store.
+    // The answer of the peer is lost, while others follow the store.
     role.on_sighting(&sighting(1, 0), now);
     role.on_sighting(&sighting(2, 0), now);
     role.step(unknowing, now + millis(120));
@@ -254,7 +254,7 @@
     role.step(inputs(false, 0.0), later + millis(1_800));
     assert!(!role.is_watching());
     role.step(inputs(false, 0.0), later + millis(6_000));
-    assert!(role.is_watching(), "nobody else tries");
+    assert!(role.is_watching(), "no other balancer tries");
 }
 
 #[test]
