--- a/crates/valvestage-experiment/src/capacity.rs
+++ b/crates/valvestage-experiment/src/capacity.rs
@@ -10,8 +10,8 @@
 
 /// Prints the tables of claims, heartbeats, flows, configuration and owner map.
 pub fn print_tables() {
-    // Claims come first: they are measured by the growth of resident memory, which memory that
-    // earlier measurements have freed would hide.
+    // Claims come first: their memory is measured as the growth of resident memory, and claims that
+    // reused memory freed by earlier measurements would show too little growth.
     claim_slope::print_table();
     gossip_slope::print_table();
     flow_slope::print_table();
--- a/crates/valvestage-experiment/src/flows/change.rs
+++ b/crates/valvestage-experiment/src/flows/change.rs
@@ -4,15 +4,15 @@
 
 use crate::deployment::{backend, zone_name};
 
-/// A change, which each balancer learns of at a random time within 2 s, or of a killed balancer
-/// after the failure is detected.
+/// A change of the deployment. Each balancer learns of it at a random time within 2 s, and of the
+/// kill of a balancer 2 to 2.5 s later, when it detects the failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
     /// Three of the 14 backend servers are drained.
     Drain,
     /// Two backend servers are added.
     Add,
-    /// Four backend servers get a third of their weight.
+    /// The weight of four backend servers is reduced to a third.
     Weight,
     /// An availability zone is stopped.
     StopZone,
--- a/crates/valvestage-experiment/src/flows/flow_model.rs
+++ b/crates/valvestage-experiment/src/flows/flow_model.rs
@@ -81,7 +81,7 @@
     ids: Vec<BalancerId>,
     directors: Vec<FlowDirector>,
     keys: TokenKeys,
-    /// Configuration of each balancer, for the baseline that has no director.
+    /// Configuration of each balancer, for the modulo strategy, which uses no director.
     configurations: Vec<Arc<Configuration>>,
     next_configuration: Arc<Configuration>,
     flows: Vec<Flow>,
--- a/crates/valvestage-experiment/src/flows/hot_keys.rs
+++ b/crates/valvestage-experiment/src/flows/hot_keys.rs
@@ -1,4 +1,5 @@
-//! Trial of an approach from the related paper: only hot keys are spread, over a number of
+//! Trial of an approach from the literature, as an alternative to hashing the caller's address and
+//! port: the flows of a caller stay together, and only hot callers are spread, over a number of
 //! candidates that grows with their popularity.
 
 use valvestage_policy::rendezvous::{best, mix, weighted_score};
--- a/crates/valvestage-experiment/src/requests.rs
+++ b/crates/valvestage-experiment/src/requests.rs
@@ -135,7 +135,7 @@
     }
 }
 
-/// Shows goodput and both request classes at and beyond capacity.
+/// Prints the goodput and the results of both request classes, at and beyond capacity.
 fn print_overload() {
     for size in [&SIZES[0], &SIZES[2]] {
         let mut table = Table::new(&[
--- a/crates/valvestage-experiment/src/requests/ideal.rs
+++ b/crates/valvestage-experiment/src/requests/ideal.rs
@@ -23,7 +23,7 @@
 }
 
 /// Simulates one first-come, first-served queue with the arrivals and run times of the model. The
-/// only delays are those to callers and a constant one that extends each run.
+/// only delays are those to callers and `round_trip`, which extends each run.
 pub fn ideal(size: &ServiceSize, load: Load, round_trip: Duration) -> Measures {
     let mut rng = SeededRng::new(load.seed);
     let rate = capacity(size) * load.share;
--- a/crates/valvestage-experiment/src/requests/measures.rs
+++ b/crates/valvestage-experiment/src/requests/measures.rs
@@ -51,7 +51,8 @@
         percentile(self.samples.iter().map(|sample| sample.millis), share)
     }
 
-    /// Returns the number of retries per request sent, including requests that were never tried.
+    /// Returns the number of retries per request sent, including requests that were never
+    /// dispatched.
     pub fn retries_per_try(&self) -> f64 {
         as_f64(self.retries) / as_f64(self.sent.iter().sum::<u64>().max(1))
     }
--- a/crates/valvestage-experiment/src/requests/model.rs
+++ b/crates/valvestage-experiment/src/requests/model.rs
@@ -205,8 +205,8 @@
     }
 
     fn run(&mut self) {
-        // The periodic events never end. By twice the time to the deadline after the last arrival,
-        // all requests have ended.
+        // The periodic events never end, so the run stops at twice the time to the deadline after
+        // the last arrival. All requests have ended by then.
         let mut last_arrival = self.now;
 
         while let Some((at, event)) = self.queue.pop() {
--- a/crates/valvestage-experiment/src/requests/scenario.rs
+++ b/crates/valvestage-experiment/src/requests/scenario.rs
@@ -16,11 +16,12 @@
     ColdStart,
     /// Three backend servers are drained.
     ThreeDraining,
-    /// The backend servers of one availability zone, and its callers' entry VMs, are cut off.
+    /// The backend servers of one availability zone are unreachable, and the dispatchers count the
+    /// zone as lost.
     ZoneCut,
     /// The owner of the service fails; another balancer takes over once the failure is detected.
     BalancerLost,
-    /// Half of the requests come from one caller.
+    /// Half of the requests arrive at one balancer, as if one caller had sent them.
     SkewedCallers,
 }
 
--- a/crates/valvestage-soak/src/caller_load.rs
+++ b/crates/valvestage-soak/src/caller_load.rs
@@ -27,7 +27,7 @@
 /// Time after the start of a request at which its caller abandons it, over all attempts.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Attempts of one request, each on a flow of its own.
+/// Largest number of attempts of one request, each on a flow of its own.
 const MAX_ATTEMPTS: u32 = 3;
 
 /// Number of requests on a long flow.
--- a/crates/valvestage-soak/src/fault_kind.rs
+++ b/crates/valvestage-soak/src/fault_kind.rs
@@ -26,7 +26,7 @@
     Loss,
     /// All datagrams are delayed.
     Delay,
-    /// The store refuses all calls. In a long outage, entries of some backend servers expire.
+    /// The store refuses all calls. In a long outage, entries of some backend servers lapse.
     StoreDown,
     /// The store answers late.
     StoreSlow,
--- a/crates/valvestage-soak/src/fault_plan.rs
+++ b/crates/valvestage-soak/src/fault_plan.rs
@@ -20,7 +20,7 @@
 const MEAN_INTERVALS: std::ops::Range<Duration> =
     Duration::from_millis(1_000)..Duration::from_millis(6_000);
 
-/// One fault in this many is repeated, three times in a row in total.
+/// One fault in this many, on average, occurs three times in a row.
 const SERIES_ODDS: usize = 5;
 
 /// Fault with its time, duration and target.
--- a/crates/valvestage-soak/src/ground_truth.rs
+++ b/crates/valvestage-soak/src/ground_truth.rs
@@ -1,4 +1,4 @@
-//! Ground truth of the site, independent of what balancers believe.
+//! Ground truth of the site, independent of what balancers know.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
--- a/crates/valvestage-soak/src/observation.rs
+++ b/crates/valvestage-soak/src/observation.rs
@@ -122,7 +122,7 @@
 }
 
 /// Shortest time between two iterations of a thread of the soak test that counts as a stall.
-/// Callers resend after 200 ms, so a longer gap could look like a fault of a balancer.
+/// Callers retransmit after 200 ms, so a longer gap could look like a fault of a balancer.
 const STALL_THRESHOLD: Duration = Duration::from_millis(100);
 
 /// Detector of stalls of one thread of the soak test.
--- a/crates/valvestage-soak/src/promise.rs
+++ b/crates/valvestage-soak/src/promise.rs
@@ -8,18 +8,18 @@
 /// still counts as disturbed. This and the bounds below are those of the current deployments.
 pub const DISTURBANCE_MARGIN: Duration = Duration::from_secs(4);
 
-/// Time after the store has accepted a configuration at which balancers have to apply it.
+/// Time within which balancers have to apply a configuration, from when the store accepted it.
 pub const CONFIGURATION_WITHIN: Duration = Duration::from_secs(3);
 
-/// Time after a balancer is seen to use a configuration from which it must not open flows by an
-/// older one.
+/// Time after which a balancer that was seen to use a configuration must not open flows by an older
+/// one.
 pub const ROLLBACK_GRACE: Duration = Duration::from_millis(250);
 
-/// Time after the store has accepted that a backend server drains from which it gets no new flows.
+/// Time after which a backend server gets no new flows, from when the store accepted that it
+/// drains.
 pub const DRAIN_WITHIN: Duration = Duration::from_secs(3);
 
-/// Time after the store has accepted the evacuation of a zone from which the zone gets no new
-/// flows.
+/// Time after which a zone gets no new flows, from when the store accepted its evacuation.
 pub const EVACUATION_WITHIN: Duration = Duration::from_secs(3);
 
 /// Sliding window over which misrouted packets of one flow are counted.
@@ -58,7 +58,7 @@
     RunsOnce,
     /// Packets arrive as their sender wrote them.
     PacketUnchanged,
-    /// A balancer does not exit unless told to, exits successfully after SIGTERM, and is running
+    /// A balancer does not exit without a signal, exits successfully after SIGTERM, and is running
     /// again at the end of the run.
     NoOwnEnd,
     /// Callers are served again within [`RECOVERY_WITHIN`] after the last fault.
@@ -66,8 +66,8 @@
 }
 
 impl Promise {
-    /// Reports whether the promise has a time bound, which a VM under other load may break by its
-    /// slowness.
+    /// Reports whether the promise has a time bound, which other load on the VM may cause a
+    /// balancer to miss.
     #[must_use]
     pub fn is_timed(self) -> bool {
         matches!(
--- a/crates/valvestage-soak/src/promise_checker.rs
+++ b/crates/valvestage-soak/src/promise_checker.rs
@@ -62,7 +62,7 @@
     misrouted: Vec<Instant>,
 }
 
-/// Configuration version that a balancer is known to have had in force, at least.
+/// Lowest configuration version that a balancer can have had in force at a time.
 struct ObservedVersion {
     restarts: u32,
     version: ConfigurationVersion,
--- a/crates/valvestage-soak/src/soak_options.rs
+++ b/crates/valvestage-soak/src/soak_options.rs
@@ -26,8 +26,8 @@
     pub flows_per_second: u32,
     /// Kinds of faults to draw from.
     pub kinds: Vec<FaultKind>,
-    /// Whether promises with a time bound are checked. They cannot be on a VM with unknown other
-    /// load, which may delay balancers beyond any bound.
+    /// Whether promises with a time bound are checked. They cannot be checked on a VM with unknown
+    /// other load, which may delay balancers beyond any bound.
     pub timed: bool,
     /// Ends the run early when set to true; the balancers are killed as well.
     pub stop: Arc<AtomicBool>,
--- a/crates/valvestage-soak/src/soak_run.rs
+++ b/crates/valvestage-soak/src/soak_run.rs
@@ -178,7 +178,7 @@
         Ok(())
     }
 
-    /// Checks that every balancer that was killed or told to stop has exited and runs again.
+    /// Checks that every balancer that got SIGKILL or SIGTERM has exited and runs again.
     fn check_all_restarted(&mut self, give_up: Instant) -> Result<(), SoakError> {
         let all_running =
             |run: &Self| run.balancer_states.iter().all(|state| *state == BalancerState::Run);
--- a/crates/valvestage-soak/src/soak_run/fault_effects.rs
+++ b/crates/valvestage-soak/src/soak_run/fault_effects.rs
@@ -16,7 +16,7 @@
 use crate::soak_options::InjectedDefect;
 use crate::store_relay::StoreLinkState;
 
-/// Time after a backend server falls silent at which its entry expires from the store.
+/// Time after a backend server falls silent at which its entry lapses in the store.
 const ENTRY_EXPIRY: Duration = Duration::from_millis(2_300);
 
 /// Time for which a draining backend server continues to serve.
@@ -183,8 +183,9 @@
         self.timers.push((until, TimerAction::ReopenRelay(number)));
     }
 
-    /// Takes the store down. In a long outage, entries of some backend servers expire although
-    /// these keep running; the entries are written again less than two seconds after its end.
+    /// Takes the store down. In a long outage, entries of some backend servers lapse although these
+    /// keep running; the entries are written again less than two seconds after the end of the
+    /// outage.
     fn take_store_down(&mut self, fault: &PlannedFault, until: Instant) {
         const RESTORE_DELAY: Duration = Duration::from_millis(1_200);
         let now = Instant::now();
@@ -212,7 +213,7 @@
         let service = self.places.get(place).service;
         self.places.reserve(place, starts_at + LOOP_INTERVAL);
 
-        // Until its entry expires, the backend server's silence is the only sign of its crash.
+        // Until its entry lapses, the backend server's silence is the only sign of its crash.
         self.stop_backend(place, now);
         self.timers.push((deleted_at, TimerAction::DeleteEntry { place }));
         self.timers.push((starts_at, TimerAction::StartBackend { place, service }));
@@ -261,8 +262,8 @@
         self.site.store.end_evacuation(zone);
     }
 
-    /// Deletes the entry of a running backend server until a time. Balancers then treat the backend
-    /// server as stopped and may end its flows.
+    /// Deletes the entry of a running backend server, and writes it again at a time. Balancers then
+    /// treat the backend server as stopped and may end its flows.
     fn unregister_backend(&mut self, target: usize, until: Instant) {
         let Some(place) = self.disturb_backend(target, until) else { return };
 
@@ -270,8 +271,8 @@
         self.timers.push((until, TimerAction::RestoreEntry { place }));
     }
 
-    /// Marks an idle backend server as disturbed and its place as busy until a time. Returns the
-    /// place, or `None` if no backend server is idle.
+    /// Marks a backend server that no fault affects as disturbed, and reserves its place, until a
+    /// time. Returns the place, or `None` if all places are reserved.
     fn disturb_backend(&mut self, target: usize, until: Instant) -> Option<usize> {
         let place = self.places.idle_place(target, Instant::now())?;
 
--- a/crates/valvestage-soak/src/soak_run/site_changes.rs
+++ b/crates/valvestage-soak/src/soak_run/site_changes.rs
@@ -58,7 +58,8 @@
     }
 
     /// Writes the next configuration. Each one changes the service of the switching address, and
-    /// every second one adds or removes the route of the third address. Versions rise by 1 to 4.
+    /// every second one adds or removes the route of the intermittent address. Versions rise by 1
+    /// to 4.
     pub(super) fn write_configuration(&mut self) {
         let number = self.configurations as usize;
         self.configurations += 1;
--- a/crates/valvestage-standins/src/bin/standin-report.rs
+++ b/crates/valvestage-standins/src/bin/standin-report.rs
@@ -27,7 +27,7 @@
     let backends: RunSummary = read(&folder, "backends.json")?;
     let control_rate = control_bytes_per_second(&folder)?;
 
-    // A request that was refused as not run must not stand in the record of runs.
+    // A request that was refused as not run must not be in the record of runs.
     let ran = fs::read_to_string(folder.join("ran.txt"))?;
     let ran: HashSet<&str> = ran.lines().collect();
     let false_not_run = caller.not_run_ids.iter().filter(|id| ran.contains(id.as_str())).count();
--- a/crates/valvestage-standins/src/packets/backend_flow.rs
+++ b/crates/valvestage-standins/src/packets/backend_flow.rs
@@ -8,13 +8,13 @@
 /// Largest amount of data in one packet, bytes.
 const MAX_DATA_BYTES: usize = 1_200;
 
-/// Wait before the first resend; doubled for each further one, up to [`MAX_RESEND_WAIT`].
+/// Wait before the first retransmission; doubled for each further one, up to [`MAX_RESEND_WAIT`].
 const INITIAL_RESEND_WAIT: Duration = Duration::from_millis(200);
 
-/// Longest wait before a resend.
+/// Longest wait before a retransmission.
 const MAX_RESEND_WAIT: Duration = Duration::from_millis(1_600);
 
-/// Number of resends of an answer; after these it is sent no more.
+/// Largest number of retransmissions of an answer.
 const MAX_RESENDS: u32 = 8;
 
 /// Flow that a backend server holds, with the answer that is being sent on it.
@@ -99,8 +99,8 @@
         self.running_request = Some((due, request));
     }
 
-    /// Returns the packets to send now: those of an answer that has become ready, or the resend of
-    /// one that the caller has not acknowledged in time.
+    /// Returns the packets to send now: those of an answer that has become ready, or the
+    /// retransmissions of an answer that the caller has not acknowledged in time.
     pub fn due_packets(&mut self, now: Instant) -> Vec<FlowPacket> {
         if let Some((due, request)) = self.running_request
             && due <= now
--- a/crates/valvestage-standins/src/packets/caller_flow.rs
+++ b/crates/valvestage-standins/src/packets/caller_flow.rs
@@ -14,10 +14,10 @@
 /// Time after which a flow without an answer to its opening packet has failed to open.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(1_400);
 
-/// Wait before the first resend; doubled for each further one, up to [`MAX_RESEND_WAIT`].
+/// Wait before the first retransmission; doubled for each further one, up to [`MAX_RESEND_WAIT`].
 const INITIAL_RESEND_WAIT: Duration = Duration::from_millis(200);
 
-/// Longest wait before a resend.
+/// Longest wait before a retransmission.
 const MAX_RESEND_WAIT: Duration = Duration::from_millis(1_600);
 
 /// State of a flow.
@@ -137,7 +137,7 @@
         FlowStep { packets: vec![self.packet(flags::ACK, Vec::new())], event }
     }
 
-    /// Returns the packets whose resend is due, or the event that the flow failed to open.
+    /// Returns the packets whose retransmission is due, or the event that the flow failed to open.
     pub fn on_timer(&mut self, now: Instant) -> FlowStep {
         match self.state {
             FlowState::Opening { sent_at, .. } if now >= sent_at + OPEN_TIMEOUT => {
--- a/crates/valvestage-standins/src/platform/server.rs
+++ b/crates/valvestage-standins/src/platform/server.rs
@@ -118,8 +118,8 @@
         (!faults.down).then_some(())
     }
 
-    /// Answers a write. A write that took effect is answered with 503 while the faults ask for lost
-    /// answers.
+    /// Answers a write. A write that took effect is answered with 503 while the number of answers
+    /// to lose is above 0.
     fn answer_write(&self, result: Result<WireObject, WriteError>) -> HttpResponse {
         let object = match result {
             Ok(object) => object,
