--- a/crates/valvestage-experiment/src/fleet.rs
+++ b/crates/valvestage-experiment/src/fleet.rs
@@ -1,38 +1,42 @@
-//! A whole fleet of entry VMs in one process: the real policy around a small store, in simulated time.
+//! Simulation of a whole fleet of entry VMs in one process: the real policy with a small store, in
+//! simulated time.
 //!
-//! It shows what grows with the fleet. Processor time is that of the policy's calls on this machine; the rest is the same on each
-//! run.
+//! The tables show what grows with the fleet. Processor time is that of the policy's calls on the
+//! VM that runs the simulation; all other figures are deterministic.
 //!
 //! | module | contents |
 //! |---|---|
-//! | `store` | the platform's store, as far as balancers follow it |
-//! | `world` | balancers, datagrams and calls in simulated time |
-//! | `usage` | what the balancers use in a span of time |
-//! | `scenes` | what happens to the fleet, and how long it takes to be known |
+//! | `store` | the part of the platform's store that balancers read |
+//! | `simulation` | simulation of balancers, datagrams and calls |
+//! | `usage` | resources that the balancers use over a span of time |
+//! | `scenarios` | scenarios, and the time until all balancers know of a change |
 
-mod scenes;
+mod scenarios;
+mod simulation;
 mod store;
 mod usage;
-mod world;
 
-use self::scenes::SceneReport;
+use self::scenarios::ScenarioReport;
 use crate::table::Table;
 
-/// Backend servers for each balancer.
-const BACKENDS_EACH: usize = 10;
+/// Number of backend servers per balancer.
+const BACKENDS_PER_BALANCER: usize = 10;
 
-/// Prints a table of each scene, with a column for each size and the exponent between the last two.
+/// Prints a table for each scenario, with a column for each fleet size and the growth exponent from
+/// the first size to the last.
 pub fn print_tables(sizes: &[usize], starts_only: bool) {
-    let reports: Vec<_> =
-        sizes.iter().map(|size| scenes::play(*size, size * BACKENDS_EACH, starts_only)).collect();
+    let reports: Vec<_> = sizes
+        .iter()
+        .map(|size| scenarios::run_all(*size, size * BACKENDS_PER_BALANCER, starts_only))
+        .collect();
 
-    for scene in 0..reports.first().map_or(0, Vec::len) {
-        let of_scene: Vec<_> = reports.iter().map(|report| &report[scene]).collect();
-        print_scene(sizes, &of_scene);
+    for scenario in 0..reports.first().map_or(0, Vec::len) {
+        let of_scenario: Vec<_> = reports.iter().map(|report| &report[scenario]).collect();
+        print_scenario(sizes, &of_scenario);
     }
 }
 
-fn print_scene(sizes: &[usize], reports: &[&SceneReport]) {
+fn print_scenario(sizes: &[usize], reports: &[&ScenarioReport]) {
     let [.., last] = reports else { return };
     let mut names = vec!["measure".to_owned()];
     names.extend(sizes.iter().map(|size| format!("{size} balancers")));
@@ -44,14 +48,15 @@
         let values: Vec<_> = reports.iter().map(|report| report.rows[row].1).collect();
         let mut cells = vec![(*measure).to_owned()];
         cells.extend(values.iter().map(|value| format_value(*value)));
-        cells.push(exponent(sizes, &values));
-        table.row(&cells);
+        cells.push(growth_exponent(sizes, &values));
+        table.add_row(&cells);
     }
     table.print(last.name);
 }
 
-/// The power of the number of balancers with which a value grows, from the first size to the last.
-fn exponent(sizes: &[usize], values: &[f64]) -> String {
+/// Returns the power of the number of balancers with which a value grows from the first size to the
+/// last, or a dash if there are fewer than two sizes or either value is not positive.
+fn growth_exponent(sizes: &[usize], values: &[f64]) -> String {
     let (&[first_size, .., last_size], &[first, .., last]) = (sizes, values) else {
         return "-".to_owned();
     };
@@ -59,7 +64,7 @@
         return "-".to_owned();
     }
 
-    // Sizes are small enough to be exact.
+    // Sizes are far below 2^53, so the conversion is exact.
     #[allow(clippy::cast_precision_loss)]
     let ratio = last_size as f64 / first_size as f64;
     format!("{:.2}", (last / first).ln() / ratio.ln())
--- a/crates/valvestage-experiment/src/flows/hot_keys.rs
+++ b/crates/valvestage-experiment/src/flows/hot_keys.rs
@@ -1,5 +1,5 @@
-//! One trial of the related paper's idea: spread only hot keys, over as many candidates as their
-//! popularity needs.
+//! Trial of an approach from the related paper: only hot keys are spread, over a number of
+//! candidates that grows with their popularity.
 
 use valvestage_policy::rendezvous::{best, mix, weighted_score};
 
@@ -11,10 +11,10 @@
 const BACKENDS: usize = 14;
 const SEED: u64 = 42;
 
-/// A caller with more than this share of all flows so far is hot.
+/// Share of all flows so far above which a caller is hot.
 const HOT_SHARE: f64 = 0.002;
 
-/// Prints the trial.
+/// Prints the imbalance of flows by skew of the callers, for three placements.
 pub fn print_table() {
     let mut table = Table::new(&[
         "skew of callers",
@@ -29,10 +29,10 @@
         let by_port = callers.iter().enumerate().map(|(flow, caller)| mix(*caller, flow as u64));
         let by_caller = callers.iter().map(|caller| mix(*caller, 0));
         let (spread, exceptions) = spread_hot(&callers);
-        table.row(&[
+        table.add_row(&[
             format!("{skew}"),
-            format!("{:.3}", imbalance(&count(by_port.map(place)))),
-            format!("{:.3}", imbalance(&count(by_caller.map(place)))),
+            format!("{:.3}", imbalance(&count_by_backend(by_port.map(preferred_backend)))),
+            format!("{:.3}", imbalance(&count_by_backend(by_caller.map(preferred_backend)))),
             format!("{:.3}", imbalance(&spread)),
             format!("{:.1}%", 100.0 * as_f64(exceptions) / as_f64(FLOWS)),
         ]);
@@ -40,7 +40,7 @@
     table.print("Imbalance of flows over 14 backend servers, callers with a power law of flows");
 }
 
-/// The caller of each flow, by a power law.
+/// Draws the caller of each flow from a power law.
 fn draw_callers(skew: f64) -> Vec<u64> {
     let weights: Vec<f64> = (1..=CALLERS).map(|rank| as_f64(rank).powf(-skew)).collect();
     let total: f64 = weights.iter().sum();
@@ -51,16 +51,18 @@
         sums.push(sum);
     }
 
-    let mut draws = SeededRng::new(SEED);
+    let mut rng = SeededRng::new(SEED);
     (0..FLOWS)
         .map(|_| {
-            let drawn = draws.next_f64();
+            let drawn = rng.next_f64();
             sums.partition_point(|sum| *sum < drawn) as u64
         })
         .collect()
 }
 
-/// Hot callers go to the least loaded of more candidates, the more popular they are.
+/// Places the flows of hot callers on the least loaded of several candidates, whose number grows
+/// with the caller's share of flows. Returns the number of flows on each backend server and the
+/// number of flows that are not on their preferred one.
 fn spread_hot(callers: &[u64]) -> (Vec<usize>, usize) {
     let mut counts = vec![0; BACKENDS];
     let mut popularity = vec![0usize; CALLERS];
@@ -71,7 +73,7 @@
         *seen += 1;
         let share = as_f64(*seen) / as_f64(flow + 1);
         let key = mix(*caller, 0);
-        let preferred = place(key);
+        let preferred = preferred_backend(key);
 
         let chosen = if share > HOT_SHARE && *seen > 10 {
             #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
@@ -89,22 +91,23 @@
 fn least_loaded(key: u64, candidates: usize, counts: &[usize]) -> usize {
     let mut ranked: Vec<usize> = (0..BACKENDS).collect();
     ranked.sort_by(|left, right| {
-        let score = |place: &usize| weighted_score(key, *place as u64, 1.0);
+        let score = |backend: &usize| weighted_score(key, *backend as u64, 1.0);
         score(right).total_cmp(&score(left))
     });
 
-    ranked.into_iter().take(candidates).min_by_key(|place| counts[*place]).unwrap_or(0)
+    ranked.into_iter().take(candidates).min_by_key(|backend| counts[*backend]).unwrap_or(0)
 }
 
-fn place(key: u64) -> usize {
-    best((0..BACKENDS).map(|place| (place, weighted_score(key, place as u64, 1.0)))).unwrap_or(0)
+fn preferred_backend(key: u64) -> usize {
+    best((0..BACKENDS).map(|backend| (backend, weighted_score(key, backend as u64, 1.0))))
+        .unwrap_or(0)
 }
 
-fn count(places: impl Iterator<Item = usize>) -> Vec<usize> {
+fn count_by_backend(backends: impl Iterator<Item = usize>) -> Vec<usize> {
     let mut counts = vec![0; BACKENDS];
 
-    for place in places {
-        counts[place] += 1;
+    for backend in backends {
+        counts[backend] += 1;
     }
     counts
 }
--- a/crates/valvestage-experiment/src/requests/model_occupancy.rs
+++ b/crates/valvestage-experiment/src/requests/model_occupancy.rs
@@ -1,20 +1,20 @@
-//! How evenly the slots of the model's backend servers are used.
+//! Sampling of how evenly the slots of the model's backend servers are used.
 
 use std::time::Duration;
 
 use super::model::Model;
 use super::model_event::Event;
 
-/// Length of one sample of the occupancy.
-pub(super) const SAMPLE: Duration = Duration::from_millis(100);
+/// Interval at which the occupancy of slots is sampled.
+pub(super) const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Samples in a window of a second.
+/// Number of samples in a window of one second.
 const SAMPLES_PER_SECOND: u32 = 10;
 
 impl Model<'_> {
-    pub(super) fn sample(&mut self) {
+    pub(super) fn sample_occupancy(&mut self) {
         let busy: Vec<u32> = self.servers.values().map(|s| s.running.len() as u32).collect();
-        add_imbalance(&mut self.measures.imbalance, &busy);
+        add_imbalance(&mut self.measures.imbalance_100ms_sum, &busy);
 
         for (server, busy) in self.servers.values_mut().zip(&busy) {
             server.busy_sum += busy;
@@ -23,13 +23,13 @@
         if self.samples.is_multiple_of(SAMPLES_PER_SECOND) {
             let sums: Vec<u32> =
                 self.servers.values_mut().map(|s| std::mem::take(&mut s.busy_sum)).collect();
-            add_imbalance(&mut self.measures.imbalance_second, &sums);
+            add_imbalance(&mut self.measures.imbalance_1s_sum, &sums);
         }
-        self.schedule(SAMPLE, Event::Sample);
+        self.schedule(SAMPLE_INTERVAL, Event::Sample);
     }
 }
 
-/// (max - mean) / mean.
+/// Adds (max - mean) / mean to a sum of imbalances and counts it. Skips samples without busy slots.
 fn add_imbalance(sum: &mut (f64, u64), busy: &[u32]) {
     let total: u32 = busy.iter().sum();
     if total == 0 {
--- a/crates/valvestage-experiment/src/requests/model_server.rs
+++ b/crates/valvestage-experiment/src/requests/model_server.rs
@@ -1,4 +1,4 @@
-//! The backend servers of the model.
+//! Backend servers of the request model.
 
 use std::collections::BTreeMap;
 
@@ -9,26 +9,26 @@
 use super::model::Model;
 use super::model_event::Event;
 
-/// `Server` is one backend server and what runs there.
-pub(super) struct Server {
+/// A simulated backend server with its running requests and injected faults.
+pub(super) struct SimulatedServer {
     pub(super) record: Backend,
     pub(super) running: BTreeMap<(RequestId, Attempt), ()>,
     pub(super) slow_factor: u32,
     pub(super) is_shedding: bool,
     pub(super) is_cut: bool,
-    /// Busy slots summed over the samples of the present second.
+    /// Sum of busy slots over the samples of the current window of one second.
     pub(super) busy_sum: u32,
 }
 
 impl Model<'_> {
-    pub(super) fn at_backend(
+    pub(super) fn deliver_to_backend(
         &mut self,
         dispatcher: usize,
         backend: BackendId,
         id: RequestId,
         attempt: Attempt,
     ) {
-        let after = self.to_backend(dispatcher, backend);
+        let after = self.backend_delay(dispatcher, backend);
         let reply = BackendReply { backend, id, attempt };
         let Some(server) = self.servers.get_mut(&backend).filter(|server| !server.is_cut) else {
             return;
@@ -42,17 +42,17 @@
         }
         server.running.insert((id, attempt), ());
         let run_time = self.pending[&id].run_time * server.slow_factor;
-        self.schedule(run_time, Event::Done { dispatcher, backend, id, attempt });
+        self.schedule(run_time, Event::CompleteRun { dispatcher, backend, id, attempt });
     }
 
-    pub(super) fn done(
+    pub(super) fn complete_run(
         &mut self,
         dispatcher: usize,
         backend: BackendId,
         id: RequestId,
         attempt: Attempt,
     ) {
-        let after = self.to_backend(dispatcher, backend);
+        let after = self.backend_delay(dispatcher, backend);
         let Some(server) = self.servers.get_mut(&backend) else {
             return;
         };
@@ -63,15 +63,15 @@
         }
     }
 
-    /// The backend server stops the run and says so: its slot is free.
-    pub(super) fn cancelled(
+    /// Stops a run at its backend server, which frees the slot and reports the cancellation.
+    pub(super) fn cancel_run(
         &mut self,
         dispatcher: usize,
         backend: BackendId,
         id: RequestId,
         attempt: Attempt,
     ) {
-        let after = self.to_backend(dispatcher, backend);
+        let after = self.backend_delay(dispatcher, backend);
         let Some(server) = self.servers.get_mut(&backend).filter(|server| !server.is_cut) else {
             return;
         };
--- a/crates/valvestage-policy/tests/simulation/backends.rs
+++ b/crates/valvestage-policy/tests/simulation/backends.rs
@@ -1,4 +1,4 @@
-//! Backend servers: they answer what they hold, and keep their entries.
+//! The simulated backend servers: they serve their flows and write their entries to the store.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -11,55 +11,58 @@
 use crate::events::{FlowNumber, Millis};
 use crate::site::{SERVICES, ZONES};
 
-/// Time between two writes of an entry, and silence after which it lapses.
-pub const BEAT_MS: Millis = 770;
-pub const LAPSE_MS: Millis = 3 * BEAT_MS;
+/// Interval between two writes of an entry, and the time without a write after which it lapses.
+pub const WRITE_INTERVAL_MS: Millis = 770;
+pub const LAPSE_MS: Millis = 3 * WRITE_INTERVAL_MS;
 
-/// Time that one serves on after it said that it leaves.
-pub const LEAVES_AFTER: Millis = 5_000;
+/// How long a draining backend server keeps serving its flows.
+pub const DRAIN_MS: Millis = 5_000;
 
-/// Time of one request.
-pub const WORK_MS: Millis = 40;
+/// Processing time of one request.
+pub const REQUEST_MS: Millis = 40;
 
-/// A flow at a backend server.
+/// State of a flow at its backend server.
 #[derive(Debug, Default)]
 pub struct HeldFlow {
     pub is_open: bool,
-    /// Number after the last byte that came.
+    /// Sequence number after the last byte received.
     pub received: u32,
-    pub is_working: bool,
-    /// The token of the last packet.
+    pub is_processing: bool,
+    /// Token of the last packet received.
     pub token: u32,
 }
 
-/// `Backend` is one incarnation.
+/// One incarnation of a backend server: a process, from its start to its end.
 pub struct Backend {
     pub instance: InstanceId,
     pub name: BackendName,
-    /// Another one that has started under its name.
-    pub heir: Option<InstanceId>,
-    /// When the store first had its entry, if it started under the name of another one.
-    pub born_at: Option<Millis>,
+    /// The next incarnation, once one has started under the same name.
+    pub successor: Option<InstanceId>,
+    /// When the store first had the entry of this incarnation; None again if a restore lost it. It
+    /// means something only for the successor of another incarnation.
+    pub entry_stored_at: Option<Millis>,
     pub service: usize,
     pub zone: usize,
     pub address: SocketAddrV4,
     pub has_ended: bool,
     pub silent_until: Millis,
-    /// When it said that it leaves.
-    pub drains_since: Option<Millis>,
-    /// When the store took that, unless it lost it.
+    /// When draining began.
+    pub draining_since: Option<Millis>,
+    /// When the store accepted the draining entry; None again if a restore lost it.
     pub drain_stored_at: Option<Millis>,
     pub flows: BTreeMap<FlowNumber, HeldFlow>,
-    /// Until when it bears little, if it has started during traffic.
+    /// End of the cold phase, if the backend server started during traffic.
     pub cold_until: Option<Millis>,
-    /// Opening packets that it took while it was cold: when they were sent, and when they arrived.
+    /// Opening packets received while cold: the time at which each was sent to its balancer, and
+    /// the time at which it arrived here.
     pub cold_openings: Vec<(Millis, Millis)>,
-    /// When it last wrote its entry.
-    pub last_beat: Millis,
-    /// Whether another one comes in its place, with those that ended together with it.
-    pub comes_back: bool,
-    /// When something last happened to it.
-    pub disturbed_at: Millis,
+    /// When the entry was last written. After a restore of the store it lies in the future, so that
+    /// the next write comes later.
+    pub last_written_at: Millis,
+    /// Whether a cold backend server is to replace this one when its zone returns.
+    pub returns_with_zone: bool,
+    /// From when on another backend server may get the address; 0 if none is to get it.
+    pub address_free_at: Millis,
 }
 
 impl Backend {
@@ -67,21 +70,21 @@
         Self {
             instance,
             name: name_of(instance),
-            heir: None,
-            born_at: None,
+            successor: None,
+            entry_stored_at: None,
             service,
             zone,
             address,
             has_ended: false,
             silent_until: 0,
-            drains_since: None,
+            draining_since: None,
             drain_stored_at: None,
             flows: BTreeMap::new(),
             cold_until: None,
             cold_openings: Vec::new(),
-            last_beat: 0,
-            comes_back: false,
-            disturbed_at: 0,
+            last_written_at: 0,
+            returns_with_zone: false,
+            address_free_at: 0,
         }
     }
 
@@ -89,10 +92,14 @@
         self.silent_until > now
     }
 
-    /// What it writes, at a place where times are counted from an instant.
+    /// Returns the entry that the backend server writes. `base` is the instant of the simulation's
+    /// start.
     pub fn entry(&self, base: Instant) -> BackendEntry {
-        let phase =
-            if self.drains_since.is_some() { BackendPhase::Draining } else { BackendPhase::Ready };
+        let phase = if self.draining_since.is_some() {
+            BackendPhase::Draining
+        } else {
+            BackendPhase::Ready
+        };
 
         BackendEntry {
             instance: self.instance,
@@ -109,20 +116,20 @@
     }
 }
 
-/// Bits of an incarnation's number that are those of its name.
+/// Number of low bits of an instance id that identify the name; the higher ones count incarnations.
 const NAME_BITS: u32 = 40;
 
-/// The name under which a backend server writes its entry.
+/// Returns the name under which a backend server writes its entry.
 fn name_of(instance: InstanceId) -> BackendName {
     BackendName { digest: 0, number: instance & ((1 << NAME_BITS) - 1) }
 }
 
-/// The next incarnation under the name of one.
-pub fn next_birth(instance: InstanceId) -> InstanceId {
+/// Returns the id of the next incarnation under the same name.
+pub fn next_incarnation(instance: InstanceId) -> InstanceId {
     instance + (1 << NAME_BITS)
 }
 
-/// Where the backend server of a number listens.
+/// Returns the address on which the backend server of a number listens.
 pub fn backend_address(number: u64) -> SocketAddrV4 {
     let [.., high, low] = number.to_be_bytes();
 
--- a/crates/valvestage-policy/tests/simulation/balancers.rs
+++ b/crates/valvestage-policy/tests/simulation/balancers.rs
@@ -1,4 +1,4 @@
-//! Balancers, and what happens to them.
+//! The simulated balancers: their policy, and the faults that affect them.
 
 use std::time::Instant;
 
@@ -7,63 +7,63 @@
 use crate::events::{BalancerNumber, FlowNumber, Millis};
 use crate::site::{SitePlan, ZONES, balancer_address};
 
-/// Copies of one packet that wait at a balancer.
+/// The copies of one packet that a balancer holds.
 #[derive(Debug, Clone, Copy)]
 pub struct HeldCopies {
     pub flow: FlowNumber,
-    /// How many of them count as dropped if they wait in vain: those that could be decided about when they came, as far as the
-    /// world was then.
+    /// How many of them count as dropped packets if the hold time ends: those that the balancer
+    /// should have been able to decide about when they arrived.
     pub counted: u32,
 }
 
-/// One balancer.
+/// A simulated balancer, running or down.
 pub struct Balancer {
-    /// None while it is down.
+    /// The policy of the running process; None while the balancer is down.
     pub policy: Option<EntryPolicy>,
-    /// How often it has started.
-    pub life: u32,
-    /// When it first knew enough in this life.
+    /// Number of starts so far.
+    pub start_count: u32,
+    /// When the present process first became ready.
     pub ready_at: Option<Millis>,
-    /// Until when it stands still.
-    pub frozen_until: Millis,
+    /// End of the current or last pause.
+    pub paused_until: Millis,
     pub is_cut_from_store: bool,
-    /// It hears no other balancer; it is heard by none.
-    pub is_deaf: bool,
-    pub is_mute: bool,
-    /// When something last happened to it.
+    /// Whether messages of other balancers are lost, and whether messages to them are lost.
+    pub is_inbound_cut: bool,
+    pub is_outbound_cut: bool,
+    /// End of the last fault that affected the balancer.
     pub disturbed_at: Millis,
-    /// The highest version that was in force in this life.
-    pub version: u64,
-    /// When it looks at what is due; an earlier look replaces it.
+    /// The highest configuration version that was in force since the last start.
+    pub highest_version: u64,
+    /// When the timer fires next. Timer events for earlier times are ignored.
     pub wakes_at: Millis,
-    /// Packets about which it could not decide yet.
+    /// Packets that the balancer cannot decide about yet.
     pub held: HeldPackets<HeldCopies>,
-    /// Messages that it sent in the last seconds.
-    pub late_messages: usize,
+    /// Messages sent in the final phase, which has no faults.
+    pub final_messages: usize,
 }
 
 impl Balancer {
     pub fn new() -> Self {
         Self {
             policy: None,
-            life: 0,
+            start_count: 0,
             ready_at: None,
-            frozen_until: 0,
+            paused_until: 0,
             is_cut_from_store: false,
-            is_deaf: false,
-            is_mute: false,
+            is_inbound_cut: false,
+            is_outbound_cut: false,
             disturbed_at: 0,
-            version: 0,
+            highest_version: 0,
             wakes_at: Millis::MAX,
             held: HeldPackets::default(),
-            late_messages: 0,
+            final_messages: 0,
         }
     }
 
-    /// Starts it; it knows nothing.
+    /// Starts a new process without any knowledge.
     pub fn start(&mut self, number: BalancerNumber, plan: &SitePlan, seed: u64, now: Instant) {
-        self.life += 1;
-        self.version = 0;
+        self.start_count += 1;
+        self.highest_version = 0;
         self.ready_at = None;
         self.held = HeldPackets::default();
         let options = EntryOptions {
@@ -78,14 +78,16 @@
             evacuable_zones: plan
                 .places
                 .map(|_| ZONES[..plan.zones].iter().map(|zone| (*zone).to_owned()).collect()),
-            is_first_start: self.life == 1,
-            seed: seed ^ u64::try_from(number << 8).expect("small") ^ u64::from(self.life),
+            is_first_start: self.start_count == 1,
+            seed: seed
+                ^ u64::try_from(number << 8).expect("the number fits")
+                ^ u64::from(self.start_count),
         };
 
         self.policy = Some(EntryPolicy::new(options, now));
     }
 
     pub fn is_ready(&self, now: Millis) -> bool {
-        self.frozen_until <= now && self.policy.as_ref().is_some_and(EntryPolicy::is_ready)
+        self.paused_until <= now && self.policy.as_ref().is_some_and(EntryPolicy::is_ready)
     }
 }
--- a/crates/valvestage-policy/tests/simulation/callers.rs
+++ b/crates/valvestage-policy/tests/simulation/callers.rs
@@ -1,4 +1,4 @@
-//! Callers and their flows.
+//! The simulated callers and their flows.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -8,25 +8,25 @@
 
 use crate::events::Millis;
 
-/// When an opening packet is sent again, and when its flow is given up.
-pub const COPIES_AT: [Millis; 2] = [200, 600];
-pub const OPEN_WITHIN: Millis = 1_400;
+/// Times after the first opening packet at which it is sent again, and the timeout of the opening.
+pub const OPENING_RESENDS_AT: [Millis; 2] = [200, 600];
+pub const OPENING_TIMEOUT: Millis = 1_400;
 
-/// First wait for an answer; doubled each time up to the longest.
-pub const FIRST_RESEND: Millis = 200;
-pub const LONGEST_RESEND: Millis = 1_600;
+/// Delay before a request is sent again for the first time; it doubles each time up to the longest.
+pub const FIRST_RESEND_DELAY: Millis = 200;
+pub const MAX_RESEND_DELAY: Millis = 1_600;
 
-/// Time that a caller gives a request.
-pub const DEADLINE: Millis = 3_000;
+/// Time after which a caller gives up a request.
+pub const REQUEST_DEADLINE: Millis = 3_000;
 
-/// Bytes of a request, and of an answer.
+/// Size of a request and of an answer, in bytes.
 pub const REQUEST_BYTES: u32 = 300;
 pub const ANSWER_BYTES: u32 = 900;
 
-/// Number before a flow's first byte.
+/// Sequence number of a flow's first byte.
 const FIRST_SEQUENCE: u32 = 1_000;
 
-/// Where a flow stands.
+/// State of a flow as its caller sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FlowState {
     Opening,
@@ -37,14 +37,14 @@
 /// A request that has no answer yet.
 #[derive(Debug, Clone, Copy)]
 pub struct OpenRequest {
-    pub since: Millis,
+    pub started_at: Millis,
     pub resend_at: Millis,
-    pub wait: Millis,
-    /// Its packets that balancers dropped, though its backend server lived.
-    pub drops: u32,
+    pub resend_delay: Millis,
+    /// Number of the request's packets that balancers dropped although the flow could go on.
+    pub dropped: u32,
 }
 
-/// One flow of a caller.
+/// A flow of a caller.
 pub struct CallerFlow {
     pub caller: usize,
     pub zone: usize,
@@ -52,13 +52,13 @@
     pub state: FlowState,
     pub token: u32,
     pub opened_at: Millis,
-    pub copies: u32,
-    pub sent: u32,
+    pub opening_resends: u32,
+    pub next_sequence: u32,
     pub acknowledged: u32,
     pub request: Option<OpenRequest>,
     pub next_request_at: Millis,
     pub requests_left: u32,
-    pub last_answer: Millis,
+    pub last_answer_at: Millis,
 }
 
 impl CallerFlow {
@@ -71,7 +71,8 @@
     ) -> Self {
         let [.., c, high, low] = number.to_be_bytes();
         let port = 1_024 + u16::from_be_bytes([high, low]) % 60_000;
-        let caller_ip = Ipv4Addr::new(100, 64, c, u8::try_from(caller % 250).expect("small"));
+        let caller_ip =
+            Ipv4Addr::new(100, 64, c, u8::try_from(caller % 250).expect("the number fits"));
 
         Self {
             caller,
@@ -80,17 +81,17 @@
             state: FlowState::Opening,
             token: 0,
             opened_at: now,
-            copies: 0,
-            sent: FIRST_SEQUENCE,
+            opening_resends: 0,
+            next_sequence: FIRST_SEQUENCE,
             acknowledged: 0,
             request: None,
             next_request_at: 0,
             requests_left: if caller.is_multiple_of(2) { 40 } else { 1 },
-            last_answer: 0,
+            last_answer_at: 0,
         }
     }
 
-    /// What routers hash.
+    /// Returns the hash of the flow's addresses that routers use.
     pub fn hash(&self) -> u64 {
         let FlowAddresses { caller, service } = self.addresses;
         let ends = (u64::from(u32::from(*caller.ip())) << 16) | u64::from(caller.port());
@@ -106,17 +107,17 @@
             reset: false,
             token: 0,
             sequence: FIRST_SEQUENCE - 1,
-            acknowledged: self.copies,
+            acknowledged: self.opening_resends,
             data_length: 0,
         }
     }
 
-    /// A packet with the bytes before what was sent last, or none.
+    /// Returns a packet with the last `bytes` bytes that were sent, or without data for 0.
     pub fn packet(&self, bytes: u32) -> CallerPacket {
         CallerPacket {
             opening: false,
             token: self.token,
-            sequence: self.sent - bytes,
+            sequence: self.next_sequence - bytes,
             acknowledged: self.acknowledged,
             data_length: bytes,
             ..self.opening_packet()
--- a/crates/valvestage-policy/tests/simulation/world.rs
+++ b/crates/valvestage-policy/tests/simulation/world.rs
@@ -1,4 +1,4 @@
-//! All of it, one event after the other.
+//! The simulation of one seed: its state, and the loop that handles one event after the other.
 
 mod checks;
 mod faults;
@@ -26,26 +26,26 @@
 use crate::store::FakeStore;
 use crate::trace::TraceOptions;
 
-/// When callers begin.
+/// When callers start.
 const CALLERS_AT: Millis = 3_500;
 
-/// When the last seconds begin, in which there is no fault, and when all ends.
-const LATE_AT: Millis = 24_000;
+/// Start of the final phase, which has no faults, and end of the simulation.
+const FINAL_PHASE_AT: Millis = 24_000;
 const END_AT: Millis = 29_000;
 
-/// Time of a packet between balancers and backend servers, and from them to callers.
-const NEAR_MS: Millis = 1;
-const FAR_MS: Millis = 2;
+/// Latency of each packet to a balancer or a backend server, and of each packet to a caller.
+const HOP_MS: Millis = 1;
+const TO_CALLER_MS: Millis = 2;
 
-/// Time between two looks of the store, and of the routers.
-const SCAN_EVERY: Millis = 5;
-const PROBE_EVERY: Millis = 100;
-const ROUTER_PROBES: Millis = 500;
+/// Intervals of the store's scan, of the oracles' checks, and of the routers' health probes.
+const STORE_SCAN_INTERVAL: Millis = 5;
+const PROBE_INTERVAL: Millis = 100;
+const ROUTER_PROBE_INTERVAL: Millis = 500;
 
-/// Addresses with traffic.
-const ADDRESSES: usize = 4;
+/// Number of addresses with traffic.
+const ADDRESS_COUNT: usize = 4;
 
-/// `World` is one seed's deployment.
+/// The simulated deployment of one seed.
 pub struct World {
     plan: SitePlan,
     draw: SeededDraw,
@@ -54,35 +54,35 @@
     now: Millis,
     queue: EventQueue,
     store: FakeStore,
-    /// When something last happened to the store.
+    /// End of the last fault that affected the store.
     store_disturbed_at: Millis,
-    lapses: bool,
+    /// Whether entries lapse although the store is away.
+    entries_lapse_while_away: bool,
     balancers: Vec<Balancer>,
     links: Option<LinkTable>,
     router: RouterTable,
     cut_zones: Vec<bool>,
-    /// When the operator last asked for the evacuation of each zone; none: it has not, or took it back.
+    /// When the present evacuation of each zone was stored; None without one.
     evacuated_since: Vec<Option<Millis>>,
     backends: BTreeMap<InstanceId, Backend>,
     flows: Vec<CallerFlow>,
     flow_numbers: HashMap<FlowAddresses, FlowNumber>,
     faults: Vec<Fault>,
-    /// Which service each address leads to, as the operator wants it.
-    wanted: BTreeMap<SocketAddrV4, usize>,
-    /// When each address was last dropped.
+    /// The service of each address in the operator's desired configuration.
+    wanted_routes: BTreeMap<SocketAddrV4, usize>,
+    /// When each address was last removed from the configuration.
     dropped_at: BTreeMap<SocketAddrV4, Millis>,
-    /// All that was ever allowed.
-    allowed: BTreeSet<(SocketAddrV4, usize)>,
-    /// Versions and when they were acknowledged.
+    /// Every pair of address and service that any configuration has allowed.
+    ever_allowed: BTreeSet<(SocketAddrV4, usize)>,
+    /// Configuration versions, and when the store acknowledged them.
     acknowledged: Vec<(u64, Millis)>,
-    /// The newest configuration that the operator has written, also where the store has lost it.
+    /// The newest configuration that the operator has written, even if a restore has lost it.
     newest_routes: RouteMap,
     /// Which zones the operator wants to be evacuated.
-    wants_evacuated: Vec<bool>,
+    wanted_evacuations: Vec<bool>,
     mutation: Option<Mutation>,
     violations: Vec<Violation>,
-    late_calls: usize,
-    /// What is printed, for a trace by hand.
+    final_calls: usize,
     trace: TraceOptions,
 }
 
@@ -90,8 +90,8 @@
     pub fn new(seed: u64, faults: FaultPlan, mutation: Option<Mutation>) -> Self {
         let mut draw = SeededDraw::new(seed);
         let mut plan = SitePlan::draw(&mut draw);
-        if matches!(FaultSeries::of(seed), FaultSeries::Places | FaultSeries::Restores) {
-            plan.add_places(&mut draw);
+        if matches!(FaultSeries::of(seed), FaultSeries::ZoneFaults | FaultSeries::Restores) {
+            plan.add_cold_limits(&mut draw);
         }
         let slow = Some(SLOW_LINK).filter(|_| plan.has_slow_links);
         let links = slow.map(|limits: LinkLimits| LinkTable::new(plan.balancers, limits));
@@ -104,7 +104,7 @@
             queue: EventQueue::default(),
             store: FakeStore::default(),
             store_disturbed_at: 0,
-            lapses: false,
+            entries_lapse_while_away: false,
             balancers: (0..plan.balancers).map(|_| Balancer::new()).collect(),
             links,
             router: RouterTable::new(&plan),
@@ -114,15 +114,15 @@
             flows: Vec::new(),
             flow_numbers: HashMap::new(),
             faults,
-            wanted: (0..ADDRESSES).map(|n| (service_address(n), n % 2)).collect(),
+            wanted_routes: (0..ADDRESS_COUNT).map(|n| (service_address(n), n % 2)).collect(),
             dropped_at: BTreeMap::new(),
-            allowed: BTreeSet::new(),
+            ever_allowed: BTreeSet::new(),
             acknowledged: Vec::new(),
             newest_routes: RouteMap::default(),
-            wants_evacuated: vec![false; plan.zones],
+            wanted_evacuations: vec![false; plan.zones],
             mutation,
             violations: Vec::new(),
-            late_calls: 0,
+            final_calls: 0,
             trace: TraceOptions::from_environment(),
             plan,
         };
@@ -135,8 +135,8 @@
         self.store.hides_drains = self.mutation == Some(Mutation::HideDrains);
         self.store.hides_evacuations = self.mutation == Some(Mutation::HideEvacuations);
         self.store.hides_cold = self.mutation == Some(Mutation::HideCold);
-        self.store.hides_births = self.mutation == Some(Mutation::HideBirths);
-        self.configure();
+        self.store.hides_incarnations = self.mutation == Some(Mutation::HideBirths);
+        self.write_configuration();
         for service in 0..SERVICES.len() {
             for zone in 0..self.plan.zones {
                 for _ in 0..self.plan.backends_each {
@@ -145,12 +145,12 @@
             }
         }
         for balancer in 0..self.plan.balancers {
-            self.start(balancer);
+            self.start_balancer(balancer);
         }
         self.queue.add(1, Event::StoreScan);
         self.queue.add(2, Event::Probe);
         for caller in 0..self.plan.callers_each * self.plan.zones {
-            let later = u64::try_from(self.draw.below(1_000)).expect("small");
+            let later = u64::try_from(self.draw.below(1_000)).expect("the number fits");
             self.queue.add(CALLERS_AT + later, Event::CallerStart(caller));
         }
         for (number, fault) in self.faults.iter().enumerate() {
@@ -159,7 +159,7 @@
         }
     }
 
-    /// The deployment of the seed, in words for a trace.
+    /// Describes the seed's deployment for a trace.
     pub fn describe(&self) -> String {
         let backends = self.backends.values();
         let backends: Vec<_> =
@@ -168,7 +168,7 @@
         format!("{:?}; {}", self.plan, backends.join(", "))
     }
 
-    /// Plays it to its end; gives what was violated.
+    /// Runs the simulation to its end; returns the violations.
     pub fn run(mut self) -> Vec<Violation> {
         while let Some((at, event)) = self.queue.next() {
             if at > END_AT {
@@ -185,22 +185,22 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Wake(balancer) => self.wake(balancer),
-            Event::Message(from, to, message) => self.deliver(from, to, message),
+            Event::Message(from, to, message) => self.deliver_message(from, to, message),
             Event::Packet(balancer, flow, packet) => self.on_packet(balancer, flow, packet),
             Event::Forwarded { .. } => self.on_forwarded(event),
-            Event::Worked(instance, flow) => self.on_worked(instance, flow),
+            Event::RequestDone(instance, flow) => self.on_request_done(instance, flow),
             Event::Answer(flow, answer) => self.on_answer(flow, answer),
             Event::CallerTimer(flow) => self.on_caller_timer(flow),
             Event::CallerStart(caller) => self.open_flow(caller),
             Event::StoreScan => self.scan_store(),
             Event::Probe => self.probe(),
-            Event::OperatorWrites => self.write_again(),
+            Event::OperatorRewrites => self.rewrite_lost_state(),
             Event::FaultBegins(number) => self.begin_fault(number),
             Event::FaultEnds(number) => self.end_fault(number),
         }
     }
 
-    /// The time that the policy is given.
+    /// Returns the present simulated time as the instant that is passed to the policy.
     fn instant(&self) -> Instant {
         self.base + Duration::from_millis(self.now)
     }
@@ -211,10 +211,10 @@
         Millis::try_from(since.as_micros().div_ceil(1_000)).unwrap_or(Millis::MAX)
     }
 
-    /// The operator writes what it wants.
-    fn configure(&mut self) {
+    /// Writes the operator's desired configuration to the store, as a new version.
+    fn write_configuration(&mut self) {
         let version = self.newest_routes.version + 1 + self.draw.next_number() % 3;
-        let routes = self.wanted.iter().map(|(address, service)| {
+        let routes = self.wanted_routes.iter().map(|(address, service)| {
             let service = SERVICES[*service].to_owned();
             (*address, vec![RouteTarget { service, weight: 1 }])
         });
@@ -231,33 +231,35 @@
         self.newest_routes = map.clone();
         self.store.put_routes(map);
         self.acknowledged.push((version, self.now));
-        self.allowed.extend(self.wanted.iter().map(|(address, service)| (*address, *service)));
+        self.ever_allowed
+            .extend(self.wanted_routes.iter().map(|(address, service)| (*address, *service)));
     }
 
-    /// Starts a backend server, at an address of its own or at the one given.
+    /// Starts a backend server at the given address, or else at a new one.
     fn add_backend(&mut self, service: usize, zone: usize, address: Option<SocketAddrV4>) {
-        let number = u64::try_from(self.backends.len()).expect("few") + 1;
+        let number = u64::try_from(self.backends.len()).expect("the count fits") + 1;
         let instance = 0xab_0000_0000 + number * 0x1_0001;
         let address = address.unwrap_or_else(|| backend_address(number));
 
         let mut backend = Backend::new(instance, service, zone, address);
-        backend.last_beat = self.now;
+        backend.last_written_at = self.now;
         backend.cold_until = self.cold_until();
-        // It is slow to come into the store while that does not answer.
-        if self.reaches_store(zone) {
+        // While the store is not reachable, the periodic writes store the entry later.
+        if self.can_reach_store(zone) {
             self.store.put_entry(backend.entry(self.base), self.now);
         }
         self.backends.insert(instance, backend);
     }
 
-    /// Until when a backend server is cold that starts now; none before there is traffic.
+    /// Returns the end of the cold phase of a backend server that starts now. Returns None before
+    /// there is traffic, and in deployments without cold starts.
     fn cold_until(&self) -> Option<Millis> {
         let places = self.plan.places.filter(|_| self.now >= CALLERS_AT)?;
 
         Some(self.now + places.cold_ms)
     }
 
-    fn start(&mut self, balancer: BalancerNumber) {
+    fn start_balancer(&mut self, balancer: BalancerNumber) {
         let now = self.instant();
         self.balancers[balancer].start(balancer, &self.plan, self.seed, now);
 
@@ -265,12 +267,12 @@
         self.queue.add(self.now, Event::Wake(balancer));
     }
 
-    /// Whether two zones reach each other.
-    fn is_joined(&self, one: usize, other: usize) -> bool {
+    /// Reports whether packets pass between two zones.
+    fn is_connected(&self, one: usize, other: usize) -> bool {
         one == other || !self.cut_zones[one] && !self.cut_zones[other]
     }
 
-    fn reaches_store(&self, zone: usize) -> bool {
+    fn can_reach_store(&self, zone: usize) -> bool {
         !self.cut_zones[zone] && self.store.mode == crate::store::StoreMode::Answers
     }
 }
